--- a/internal/coordination/bucketer/accounts.go
+++ b/internal/coordination/bucketer/accounts.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// Collect returns the report that is due. Answered or Failed must follow before the
+// Collect returns the report that is due. ApplyAnswer or ReportFailed must follow before the
 // next.
 func (a *Accounts) Collect(now time.Time) Report {
 	a.mu.Lock()
@@ -154,8 +154,8 @@
 	return r
 }
 
-// Answered takes the leader's answer to a report that was collected at a time.
-func (a *Accounts) Answered(at time.Time, answer Answer) {
+// ApplyAnswer takes the leader's answer to a report that was collected at a time.
+func (a *Accounts) ApplyAnswer(at time.Time, answer Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.entries = max(1, answer.Entries)
@@ -170,9 +170,9 @@
 	}
 }
 
-// Failed takes back a report that may not have arrived: the next one repeats it, and counts
+// ReportFailed takes back a report that may not have arrived: the next one repeats it, and counts
 // once.
-func (a *Accounts) Failed() {
+func (a *Accounts) ReportFailed() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, c := range a.accounts {
@@ -181,8 +181,8 @@
 	}
 }
 
-// Tight reports whether a bucket in use is low, so that reports are due sooner.
-func (a *Accounts) Tight(now time.Time) bool {
+// BelowHalf reports whether a bucket in use is low, so that reports are due sooner.
+func (a *Accounts) BelowHalf(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, c := range a.accounts {
--- a/internal/coordination/bucketer/model_test.go
+++ b/internal/coordination/bucketer/model_test.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		w.due[i] = now.Add(250 * time.Millisecond)
-		if a.Tight(now) {
+		if a.BelowHalf(now) {
 			w.due[i] = now.Add(100 * time.Millisecond)
 		}
 		r := a.Collect(now)
@@ -82,16 +82,16 @@
 		}
 		w.sent++
 		if !reach(i) {
-			a.Failed()
+			a.ReportFailed()
 			continue
 		}
 		r.Entry = strconv.Itoa(i)
 		levels := w.ledger.Report(now, bucketer.Batch{Host: "h", Entries: len(w.accounts), Reports: []bucketer.Report{r}})
 		if w.deaf != nil && w.deaf(now) {
-			a.Failed()
+			a.ReportFailed()
 			continue
 		}
-		a.Answered(now, bucketer.Answer{Ledger: w.term, Entries: w.ledger.Entries(), Levels: levels})
+		a.ApplyAnswer(now, bucketer.Answer{Ledger: w.term, Entries: w.ledger.Entries(), Levels: levels})
 	}
 }
 
--- a/internal/coordination/bucketer/property_test.go
+++ b/internal/coordination/bucketer/property_test.go
@@ -32,13 +32,13 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				a.Answered(now, bucketer.Answer{Ledger: ledger.Number(), Entries: 1, Levels: ledger.Report(now, batch("a", a.Collect(now)))})
+				a.ApplyAnswer(now, bucketer.Answer{Ledger: ledger.Number(), Entries: 1, Levels: ledger.Report(now, batch("a", a.Collect(now)))})
 			case 1:
 				r := a.Collect(now)
 				if rapid.Bool().Draw(t, "arrives") {
 					ledger.Report(now, batch("a", r))
 				}
-				a.Failed()
+				a.ReportFailed()
 			default:
 				cost := rapid.Float64Range(0, 50).Draw(t, "cost")
 				d := a.Spend(now, "w", limit, cost)
@@ -76,7 +76,7 @@
 		report := func() {
 			for i, a := range entries {
 				levels := ledger.Report(now, batch(strconv.Itoa(i), a.Collect(now)))
-				a.Answered(now, bucketer.Answer{Ledger: ledger.Number(), Entries: len(entries), Levels: levels})
+				a.ApplyAnswer(now, bucketer.Answer{Ledger: ledger.Number(), Entries: len(entries), Levels: levels})
 			}
 		}
 		var total float64
@@ -126,13 +126,13 @@
 	a := bucketer.NewAccounts(rand.New(rand.NewPCG(1, 2)))
 	a.Spend(now, "w", limit, 10)
 	answer := func() []bucketer.Level { return ledger.Report(now, batch("a", a.Collect(now))) }
-	a.Answered(now, bucketer.Answer{Ledger: 1, Entries: 1, Levels: answer()})
+	a.ApplyAnswer(now, bucketer.Answer{Ledger: 1, Entries: 1, Levels: answer()})
 	before := answer()[0].Tokens
-	a.Failed()
+	a.ReportFailed()
 	a.Spend(now, "w", limit, 10)
 	for range 5 {
 		answer()
-		a.Failed()
+		a.ReportFailed()
 	}
 	if got := before - answer()[0].Tokens; got != 10 {
 		t.Errorf("%v counted, want 10", got)
@@ -168,7 +168,7 @@
 	a := bucketer.NewAccounts(rand.New(rand.NewPCG(1, 2)))
 	limit := bucketer.Limit{Rate: 1e12, Burst: 1e12, Number: 1}
 	a.Spend(now, "w", limit, 1)
-	a.Answered(now, bucketer.Answer{Ledger: ledger.Number(), Entries: 1, Levels: ledger.Report(now, batch("a", a.Collect(now)))})
+	a.ApplyAnswer(now, bucketer.Answer{Ledger: ledger.Number(), Entries: 1, Levels: ledger.Report(now, batch("a", a.Collect(now)))})
 	for b.Loop() {
 		a.Spend(now, "w", limit, 1)
 	}
--- a/internal/transport/subscriber/reports.go
+++ b/internal/transport/subscriber/reports.go
@@ -82,7 +82,7 @@
 
 // reportPause returns the time until the next report.
 func (c *Client) reportPause() time.Duration {
-	if c.accounts.Tight(c.settings.Now()) {
+	if c.accounts.BelowHalf(c.settings.Now()) {
 		return c.settings.TightInterval
 	}
 	return c.settings.ReportInterval
@@ -102,12 +102,12 @@
 	r.Entry = c.settings.Node
 	var a bucketer.Answer
 	if err := conn.Call(ctx, messenger.MethodReport, r, &a); err != nil {
-		c.accounts.Failed()
+		c.accounts.ReportFailed()
 		c.metrics.reportsFailed.Inc()
 		c.settings.Log.Debug().Err(err).Msg("report not answered")
 		return
 	}
-	c.accounts.Answered(at, a)
+	c.accounts.ApplyAnswer(at, a)
 	c.metrics.reports.Inc()
 	held := c.settings.Index.Revision()
 	c.mu.Lock()
