--- a/internal/coordination/registrar/board.go
+++ b/internal/coordination/registrar/board.go
@@ -74,15 +74,15 @@
 	delete(b.dirty, name)
 }
 
-// LoadLimit is the number of changes of load alone that Collect gives out at
+// MaxLoadChanges is the number of changes of load alone that Collect gives out at
 // once. Load travels with each answer too; these are for the backend servers
 // that an entry has not heard from. Without a limit each entry would be told of
 // each change of every backend server's load.
-const LoadLimit = 4
+const MaxLoadChanges = 4
 
 // Collect returns the changes since the last call, sorted by name. It leaves out
-// what is not worth a message (see ServerState.SameAs), and puts off changes of
-// load alone beyond LoadLimit: those of two levels or more come first, then the
+// what is not worth a message (see ServerState.Equivalent), and puts off changes of
+// load alone beyond MaxLoadChanges: those of two levels or more come first, then the
 // oldest.
 func (b *Board) Collect() DigestBatch {
 	var batch DigestBatch
@@ -90,7 +90,7 @@
 	for name := range b.dirty {
 		former, now := b.published[name], b.servers[name]
 		switch {
-		case former.Sequence != 0 && now.SameAs(former):
+		case former.Sequence != 0 && now.Equivalent(former):
 			delete(b.dirty, name)
 		case now.sameResidency(former):
 			loads = append(loads, name)
@@ -99,7 +99,7 @@
 		}
 	}
 	slices.SortFunc(loads, b.compareLoads)
-	for _, name := range loads[:min(len(loads), LoadLimit)] {
+	for _, name := range loads[:min(len(loads), MaxLoadChanges)] {
 		batch.Changes = append(batch.Changes, b.publish(name))
 	}
 	slices.SortFunc(batch.Changes, func(x, y ServerChange) int { return cmp.Compare(x.Name, y.Name) })
--- a/internal/coordination/registrar/board_test.go
+++ b/internal/coordination/registrar/board_test.go
@@ -59,10 +59,10 @@
 		report(2, 9, 8)
 		report(3, 0, 1, "w/a@1")
 		first := b.Collect().Changes
-		Expect(first).To(HaveLen(1 + registrar.LoadLimit))
+		Expect(first).To(HaveLen(1 + registrar.MaxLoadChanges))
 		Expect(first[0].Name).To(Equal("s0"))
 		Expect(first[len(first)-1].Name).To(Equal("s9"))
-		Expect(b.Collect().Changes).To(HaveLen(registrar.LoadLimit))
+		Expect(b.Collect().Changes).To(HaveLen(registrar.MaxLoadChanges))
 		Expect(b.Collect().Changes).To(HaveLen(1))
 		Expect(b.Collect().Changes).To(BeEmpty())
 	})
@@ -100,7 +100,7 @@
 				for name, s := range state {
 					want, _ := source.State(name)
 					got, _ := follower.State(name)
-					if !want.SameAs(got) {
+					if !want.Equivalent(got) {
 						t.Fatalf("%s: source %+v, follower %+v, state %+v", name, want, got, s)
 					}
 				}
--- a/internal/coordination/registrar/digest.go
+++ b/internal/coordination/registrar/digest.go
@@ -104,9 +104,9 @@
 	return c
 }
 
-// SameAs reports whether s and former differ by nothing worth a message:
+// Equivalent reports whether s and former differ by nothing worth a message:
 // the same residency and the same level of load.
-func (s ServerState) SameAs(former ServerState) bool {
+func (s ServerState) Equivalent(former ServerState) bool {
 	return s.sameResidency(former) && s.Load.Level() == former.Load.Level()
 }
 
--- a/internal/transport/subscriber/memberships.go
+++ b/internal/transport/subscriber/memberships.go
@@ -128,7 +128,7 @@
 		// A busy backend server's load differs at each heartbeat. Told exactly, it
 		// would travel twice a second to its control host and on to all the others,
 		// none of which passes on more than its level.
-		if sent, told := m.sent[name]; !told || !state.SameAs(sent) {
+		if sent, told := m.sent[name]; !told || !state.Equivalent(sent) {
 			change := state.ChangeFrom(sent)
 			h.Report = &change
 			m.sent[name] = state
