--- a/internal/coordination/claimer/kept.go
+++ b/internal/coordination/claimer/kept.go
@@ -7,8 +7,8 @@
 	"github.com/juju/errors"
 )
 
-// Kept names an answer which a companion keeps.
-type Kept struct {
+// RetainedAnswer names an answer which a companion keeps.
+type RetainedAnswer struct {
 	Request string
 	Attempt int
 }
@@ -16,17 +16,17 @@
 const keptSeparator = "#"
 
 // String returns the form that a claim stores.
-func (k Kept) String() string { return k.Request + keptSeparator + strconv.Itoa(k.Attempt) }
+func (k RetainedAnswer) String() string { return k.Request + keptSeparator + strconv.Itoa(k.Attempt) }
 
-// ParseKept reads what String wrote.
-func ParseKept(text string) (Kept, error) {
+// ParseRetainedAnswer reads what String wrote.
+func ParseRetainedAnswer(text string) (RetainedAnswer, error) {
 	request, number, ok := strings.Cut(text, keptSeparator)
 	if !ok || request == "" {
-		return Kept{}, errors.NotValidf("kept answer %q", text)
+		return RetainedAnswer{}, errors.NotValidf("kept answer %q", text)
 	}
 	attempt, err := strconv.Atoi(number)
 	if err != nil || attempt < 1 {
-		return Kept{}, errors.NotValidf("attempt of kept answer %q", text)
+		return RetainedAnswer{}, errors.NotValidf("attempt of kept answer %q", text)
 	}
-	return Kept{Request: request, Attempt: attempt}, nil
+	return RetainedAnswer{Request: request, Attempt: attempt}, nil
 }
--- a/internal/coordination/claimer/machine.go
+++ b/internal/coordination/claimer/machine.go
@@ -71,10 +71,10 @@
 // Identity returns the claim's identity.
 func (m *Machine) Identity() Identity { return m.identity }
 
-// Answered takes in the state machine's answer to a proposal.
-func (m *Machine) Answered(now time.Time, r storer.Result) Step {
+// ProposalAnswered takes in the state machine's answer to a proposal.
+func (m *Machine) ProposalAnswered(now time.Time, r storer.Result) Step {
 	if m.phase != PhaseProposing {
-		panic("claimer: Answered after the proposal was decided")
+		panic("claimer: ProposalAnswered after the proposal was decided")
 	}
 	switch r.Verdict {
 	case storer.VerdictAccepted:
@@ -114,12 +114,12 @@
 	}
 	switch c.State {
 	case storer.ClaimStateDone:
-		kept, err := ParseKept(c.Request)
+		kept, err := ParseRetainedAnswer(c.Request)
 		if err != nil || c.Backend == "" {
 			return m.refuse(ReasonOutcomeUnknown)
 		}
 		m.phase = PhaseEnded
-		return FetchKept{Backend: c.Backend, Kept: kept}
+		return FetchRetained{Backend: c.Backend, RetainedAnswer: kept}
 	case storer.ClaimStateClaimed:
 		// The entry that held it may be lost, and then nobody settles it. The
 		// call may have run; after the longest life of a call there is nothing
@@ -133,12 +133,12 @@
 	}
 }
 
-// Failed takes in a proposal without an answer. It is certain if the claim was
+// ProposalFailed takes in a proposal without an answer. It is certain if the claim was
 // certainly not accepted. The same holder proposes again: for the holder of a
 // claim a proposal is idempotent.
-func (m *Machine) Failed(now time.Time, certain bool) Step {
+func (m *Machine) ProposalFailed(now time.Time, certain bool) Step {
 	if m.phase != PhaseProposing {
-		panic("claimer: Failed after the proposal was decided")
+		panic("claimer: ProposalFailed after the proposal was decided")
 	}
 	m.doubt = m.doubt || !certain
 	wait := min(m.settings.InitialWait<<min(m.proposals, 20), m.settings.MaxWait)
@@ -152,7 +152,7 @@
 // Abandon ends the claim of a call that is given up before it was dispatched.
 func (m *Machine) Abandon() Refuse {
 	if m.phase == PhaseDispatched {
-		panic("claimer: Abandon after Dispatched")
+		panic("claimer: Abandon after MarkDispatched")
 	}
 	return m.refuse(ReasonNoClaim)
 }
@@ -165,26 +165,26 @@
 	return Refuse{Reason: r, Release: release}
 }
 
-// Dispatched notes that the call is about to be handed to a companion. It panics
+// MarkDispatched notes that the call is about to be handed to a companion. It panics
 // unless the claim is held: a call that nobody claimed must not run.
-func (m *Machine) Dispatched() {
+func (m *Machine) MarkDispatched() {
 	if m.phase != PhaseHeld && m.phase != PhaseDispatched {
-		panic("claimer: Dispatched without the claim")
+		panic("claimer: MarkDispatched without the claim")
 	}
 	m.phase = PhaseDispatched
 }
 
-// Released returns the command that gives the claim back.
-func (m *Machine) Released() storer.SettleClaim {
+// ReleaseCommand returns the command that gives the claim back.
+func (m *Machine) ReleaseCommand() storer.SettleClaim {
 	return m.settle(storer.ClaimStateReleased)
 }
 
-// Ended returns the command that settles a dispatched call. The claim is
+// SettleCommand returns the command that settles a dispatched call. The claim is
 // released only when every attempt is known not to have run, done only when the
 // whole answer was seen, and unknown otherwise.
-func (m *Machine) Ended(notRun, completed bool, backend string, kept Kept) storer.SettleClaim {
+func (m *Machine) SettleCommand(notRun, completed bool, backend string, kept RetainedAnswer) storer.SettleClaim {
 	if m.phase != PhaseDispatched && m.phase != PhaseHeld {
-		panic("claimer: Ended without the claim")
+		panic("claimer: SettleCommand without the claim")
 	}
 	never := m.phase == PhaseHeld
 	m.phase = PhaseEnded
--- a/internal/coordination/claimer/machine_test.go
+++ b/internal/coordination/claimer/machine_test.go
@@ -29,21 +29,21 @@
 	DescribeTable("answers a claim that another holder has",
 		func(r storer.Result, want claimer.Step) {
 			m := claimer.NewMachine(claimer.Settings{}, identity("me"), start.Add(time.Minute))
-			Expect(m.Answered(start, r)).To(Equal(want))
+			Expect(m.ProposalAnswered(start, r)).To(Equal(want))
 		},
 		Entry("in progress", held(storer.ClaimStateClaimed, time.Second, ""), claimer.Refuse{Reason: claimer.ReasonInProgress}),
 		Entry("held longer than any call lives", held(storer.ClaimStateClaimed, time.Hour, ""), claimer.Refuse{Reason: claimer.ReasonOutcomeUnknown}),
 		Entry("unknown", held(storer.ClaimStateUnknown, 0, ""), claimer.Refuse{Reason: claimer.ReasonOutcomeUnknown}),
-		Entry("done", held(storer.ClaimStateDone, 0, "r#2"), claimer.FetchKept{Backend: "b", Kept: claimer.Kept{Request: "r", Attempt: 2}}),
+		Entry("done", held(storer.ClaimStateDone, 0, "r#2"), claimer.FetchRetained{Backend: "b", RetainedAnswer: claimer.RetainedAnswer{Request: "r", Attempt: 2}}),
 		Entry("done, kept nowhere", held(storer.ClaimStateDone, 0, ""), claimer.Refuse{Reason: claimer.ReasonOutcomeUnknown}),
 		Entry("another body", storer.Result{Verdict: storer.VerdictKeyReused}, claimer.Refuse{Reason: claimer.ReasonKeyReused}),
 	)
 
 	It("panics when a call is dispatched without the claim", func() {
 		m := claimer.NewMachine(claimer.Settings{}, identity("me"), start.Add(time.Minute))
-		Expect(m.Dispatched).To(Panic())
-		m.Failed(start, false)
-		Expect(m.Dispatched).To(Panic())
+		Expect(m.MarkDispatched).To(Panic())
+		m.ProposalFailed(start, false)
+		Expect(m.MarkDispatched).To(Panic())
 		Expect(m.Abandon()).To(Equal(claimer.Refuse{Reason: claimer.ReasonNoClaim, Release: true}))
 	})
 })
@@ -99,39 +99,39 @@
 				switch rapid.IntRange(0, 3).Draw(t, "proposal") {
 				case 0: // Lost on the way; it may arrive later.
 					late = append(late, c)
-					step = h.machine.Failed(now, false)
+					step = h.machine.ProposalFailed(now, false)
 				case 1: // The answer is lost.
 					apply(c)
-					step = h.machine.Failed(now, false)
+					step = h.machine.ProposalFailed(now, false)
 				case 2:
-					step = h.machine.Failed(now, true)
+					step = h.machine.ProposalFailed(now, true)
 				default:
-					step = h.machine.Answered(now, apply(c))
+					step = h.machine.ProposalAnswered(now, apply(c))
 				}
 			case claimer.PhaseHeld:
 				if rapid.Bool().Draw(t, "dispatch") {
-					h.machine.Dispatched()
+					h.machine.MarkDispatched()
 					continue
 				}
-				settle(h, h.machine.Ended(true, false, "", claimer.Kept{}))
+				settle(h, h.machine.SettleCommand(true, false, "", claimer.RetainedAnswer{}))
 			case claimer.PhaseDispatched:
 				// What a companion may tell: not run, ran whole, or in doubt.
 				switch rapid.IntRange(0, 2).Draw(t, "ending") {
 				case 0:
-					settle(h, h.machine.Ended(true, false, "", claimer.Kept{}))
+					settle(h, h.machine.SettleCommand(true, false, "", claimer.RetainedAnswer{}))
 				case 1:
 					h.ran = true
 					runs++
-					settle(h, h.machine.Ended(false, true, "b", claimer.Kept{Request: "r", Attempt: 1}))
+					settle(h, h.machine.SettleCommand(false, true, "b", claimer.RetainedAnswer{Request: "r", Attempt: 1}))
 				default:
 					h.ran = true
 					runs++
-					settle(h, h.machine.Ended(false, false, "", claimer.Kept{}))
+					settle(h, h.machine.SettleCommand(false, false, "", claimer.RetainedAnswer{}))
 				}
 			case claimer.PhaseEnded:
 			}
 			if r, ok := step.(claimer.Refuse); ok && r.Release {
-				settle(h, h.machine.Released())
+				settle(h, h.machine.ReleaseCommand())
 			}
 			if runs > 1 {
 				t.Fatalf("ran %d times", runs)
--- a/internal/coordination/claimer/step.go
+++ b/internal/coordination/claimer/step.go
@@ -6,16 +6,16 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Step is what to do next: one of Dispatch, FetchKept, Refuse and ProposeAgain.
+// Step is what to do next: one of Dispatch, FetchRetained, Refuse and ProposeAgain.
 type Step interface{ step() }
 
 // Dispatch runs the call: the claim is held.
 type Dispatch struct{}
 
-// FetchKept gives the answer of the first run, which is kept at Backend.
-type FetchKept struct {
-	Backend string
-	Kept    Kept
+// FetchRetained gives the answer of the first run, which is kept at Backend.
+type FetchRetained struct {
+	Backend        string
+	RetainedAnswer RetainedAnswer
 }
 
 // Refuse ends the call without running it.
@@ -29,10 +29,10 @@
 // ProposeAgain proposes the same claim by the same holder after the wait.
 type ProposeAgain struct{ Wait time.Duration }
 
-func (Dispatch) step()     {}
-func (FetchKept) step()    {}
-func (Refuse) step()       {}
-func (ProposeAgain) step() {}
+func (Dispatch) step()      {}
+func (FetchRetained) step() {}
+func (Refuse) step()        {}
+func (ProposeAgain) step()  {}
 
 //go:generate stringer -type=Reason -trimprefix=Reason
 
--- a/internal/transport/gatekeeper/attempt.go
+++ b/internal/transport/gatekeeper/attempt.go
@@ -122,7 +122,7 @@
 		return res, true
 	}
 	if q.claim != nil {
-		q.claim.machine.Dispatched()
+		q.claim.machine.MarkDispatched()
 	}
 	d := q.dispatch
 	d.Attempt, d.Epoch, d.DeadlineMillis = a.id.attempt, epoch, a.timeLeft()
--- a/internal/transport/gatekeeper/claim.go
+++ b/internal/transport/gatekeeper/claim.go
@@ -63,7 +63,7 @@
 			if !pauser.Pause(ctx, s.Wait) {
 				return c.refused(ctx, q, c.machine.Abandon()), true
 			}
-		case claimer.FetchKept:
+		case claimer.FetchRetained:
 			e.metrics.claims.WithLabelValues("Kept").Inc()
 			return q.fetch(whole, s), true
 		case claimer.Refuse:
@@ -79,16 +79,16 @@
 	})
 	if err != nil {
 		e.settings.Log.Debug().Err(err).Str("Request", q.id).Msg("claim not answered")
-		return c.machine.Failed(e.settings.Now(), certain(err))
+		return c.machine.ProposalFailed(e.settings.Now(), certain(err))
 	}
-	return c.machine.Answered(e.settings.Now(), r)
+	return c.machine.ProposalAnswered(e.settings.Now(), r)
 }
 
 // refused returns the truthful answer to a call whose claim was not had.
 func (c *claim) refused(ctx context.Context, q *request, s claimer.Refuse) *translator.Fault {
 	q.entry.metrics.claims.WithLabelValues(s.Reason.String()).Inc()
 	if s.Release {
-		q.settle(ctx, c.machine.Released())
+		q.settle(ctx, c.machine.ReleaseCommand())
 	}
 	var f *translator.Fault
 	switch s.Reason {
@@ -119,8 +119,8 @@
 	// A caller that left before the end of a whole answer leaves it kept; what
 	// the attempt saw decides, not what the caller got.
 	notRun := !completed && fault.Outcome == messenger.OutcomeNotRun
-	kept := claimer.Kept{Request: q.id, Attempt: q.attempts}
-	q.settle(ctx, c.machine.Ended(notRun, completed, q.decision.Backend, kept))
+	kept := claimer.RetainedAnswer{Request: q.id, Attempt: q.attempts}
+	q.settle(ctx, c.machine.SettleCommand(notRun, completed, q.decision.Backend, kept))
 }
 
 // settle proposes the command beside the request until it is accepted. Callers
@@ -151,13 +151,13 @@
 
 // fetch gives the kept answer of the first run, from the companion that keeps
 // it.
-func (q *request) fetch(ctx context.Context, s claimer.FetchKept) *translator.Fault {
+func (q *request) fetch(ctx context.Context, s claimer.FetchRetained) *translator.Fault {
 	q.entry.members()
 	address, life, ok := q.entry.router.Address(s.Backend)
 	if !ok {
 		return notKept("the backend server that ran it has left")
 	}
-	a := q.newAttempt(attemptID{s.Kept.Request, s.Kept.Attempt}, s.Backend, address, life)
+	a := q.newAttempt(attemptID{s.RetainedAnswer.Request, s.RetainedAnswer.Attempt}, s.Backend, address, life)
 	defer a.close()
 	a.lostAt = q.entry.settings.Now()
 	q.answer = a.answer
