--- a/internal/coordination/drainer/drain.go
+++ b/internal/coordination/drainer/drain.go
@@ -31,7 +31,7 @@
 	// leaving is accepted or could not be announced.
 	Announced bool
 	// Before tells that the roles of the process which stop earlier have stopped.
-	Before bool
+	PrecedingStopped bool
 	// InProgress counts requests in progress, and answers that are not yet
 	// acknowledged.
 	InProgress int
@@ -45,8 +45,8 @@
 // Phase returns the present phase.
 func (d *Drain) Phase() Phase { return d.phase }
 
-// Cut tells whether the stop gave up waiting for work in progress.
-func (d *Drain) Cut() bool { return d.cut }
+// Interrupted tells whether the stop gave up waiting for work in progress.
+func (d *Drain) Interrupted() bool { return d.cut }
 
 // Signal begins the stop. A second signal ends it at once.
 func (d *Drain) Signal(now time.Time) Phase {
@@ -81,7 +81,7 @@
 	case PhaseUnready:
 		return PhaseBalancerDelay, f.Announced
 	case PhaseBalancerDelay:
-		return PhaseClosing, passed >= d.settings.BalancerDelay && f.Before
+		return PhaseClosing, passed >= d.settings.BalancerDelay && f.PrecedingStopped
 	case PhaseClosing:
 		return PhaseFinishing, true
 	case PhaseFinishing:
--- a/internal/coordination/drainer/drain_test.go
+++ b/internal/coordination/drainer/drain_test.go
@@ -26,24 +26,24 @@
 		f := Facts{Announced: true, InProgress: 2}
 		Expect(d.Advance(at(2), f)).To(Equal(PhaseBalancerDelay))
 		Expect(d.Advance(at(8), f)).To(Equal(PhaseBalancerDelay), "roles before it still run")
-		f.Before = true
+		f.PrecedingStopped = true
 		Expect(d.Advance(at(8), f)).To(Equal(PhaseFinishing))
 		Expect(d.Advance(at(60), f)).To(Equal(PhaseFinishing))
 		f.InProgress = 0
 		Expect(d.Advance(at(61), f)).To(Equal(PhaseHandingOver))
 		f.HandedOver = true
 		Expect(d.Advance(at(62), f)).To(Equal(PhaseStopped))
-		Expect(d.Cut()).To(BeFalse())
+		Expect(d.Interrupted()).To(BeFalse())
 	})
 
 	It("bounds the waits, and says that it cut requests off", func() {
 		d := NewDrain(settings)
 		d.Signal(at(0))
-		f := Facts{Announced: true, Before: true, InProgress: 1}
+		f := Facts{Announced: true, PrecedingStopped: true, InProgress: 1}
 		d.Advance(at(0), f)
 		Expect(d.Advance(at(5), f)).To(Equal(PhaseFinishing))
 		Expect(d.Advance(at(65), f)).To(Equal(PhaseHandingOver))
-		Expect(d.Cut()).To(BeTrue())
+		Expect(d.Interrupted()).To(BeTrue())
 		Expect(d.Advance(at(75), f)).To(Equal(PhaseStopped))
 	})
 
@@ -51,6 +51,6 @@
 		d := NewDrain(settings)
 		d.Signal(at(0))
 		Expect(d.Signal(at(1))).To(Equal(PhaseStopped))
-		Expect(d.Cut()).To(BeTrue())
+		Expect(d.Interrupted()).To(BeTrue())
 	})
 })
--- a/internal/transport/companion/drain.go
+++ b/internal/transport/companion/drain.go
@@ -45,7 +45,7 @@
 	c.announceLeaving(ctx, true)
 	d.Advance(c.settings.Now(), drainer.Facts{HandedOver: true})
 	c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindStopped, Backend: c.settings.Node})
-	if d.Cut() {
+	if d.Interrupted() {
 		return errors.Trace(errCut)
 	}
 	return nil
@@ -57,7 +57,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return drainer.Facts{
-		Announced: true, Before: true,
+		Announced: true, PrecedingStopped: true,
 		InProgress: len(c.works) + c.running + c.buffer.Unreleased(c.settings.Now(), returnLimit),
 	}
 }
