--- a/internal/coordination/retrier/retrier.go
+++ b/internal/coordination/retrier/retrier.go
@@ -90,9 +90,9 @@
 	// RetryAfter is what the refusing backend server asks for. It concerns that
 	// one only; another may take the call at once.
 	RetryAfter time.Duration
-	// Alone means that no other backend server is left to try.
-	Alone    bool
-	Deadline time.Time
+	// NoAlternative means that no other backend server is left to try.
+	NoAlternative bool
+	Deadline      time.Time
 }
 
 // Decision is the answer on a failed attempt.
@@ -124,8 +124,8 @@
 	return &Retrier{settings: s.withDefaults(), random: random, groups: make(map[string]*budget)}
 }
 
-// Succeeded counts a success of the group.
-func (r *Retrier) Succeeded(now time.Time, group string) {
+// RecordSuccess counts a success of the group.
+func (r *Retrier) RecordSuccess(now time.Time, group string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget(now, group).successes++
@@ -178,7 +178,7 @@
 func (r *Retrier) wait(a Attempt) time.Duration {
 	bound := min(r.settings.InitialWait<<min(a.Number-1, 20), r.settings.MaxWait)
 	wait := time.Duration(r.random.Int64N(int64(bound) + 1))
-	if a.Alone {
+	if a.NoAlternative {
 		wait += a.RetryAfter
 	}
 	return wait
--- a/internal/coordination/retrier/retrier_test.go
+++ b/internal/coordination/retrier/retrier_test.go
@@ -31,7 +31,7 @@
 		for number := 1; ; number++ {
 			made++
 			if random.Float64() >= failing {
-				r.Succeeded(now, "base")
+				r.RecordSuccess(now, "base")
 				good++
 				break
 			}
@@ -83,14 +83,14 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "passed")) * time.Millisecond)
 			if rapid.IntRange(0, 3).Draw(t, "success") == 0 {
-				r.Succeeded(now, "base")
+				r.RecordSuccess(now, "base")
 				successes++
 				continue
 			}
 			a := retrier.Attempt{
 				Group: "base", Number: rapid.IntRange(1, 7).Draw(t, "number"),
 				NotRun: rapid.Bool().Draw(t, "notRun"), Idempotent: rapid.Bool().Draw(t, "idempotent"),
-				Answered: rapid.IntRange(0, 5).Draw(t, "answered") == 0, Alone: rapid.Bool().Draw(t, "alone"),
+				Answered: rapid.IntRange(0, 5).Draw(t, "answered") == 0, NoAlternative: rapid.Bool().Draw(t, "alone"),
 				RetryAfter: time.Duration(rapid.IntRange(0, 300).Draw(t, "after")) * time.Millisecond,
 				Deadline:   now.Add(time.Duration(rapid.IntRange(-100, 5000).Draw(t, "left")) * time.Millisecond),
 			}
--- a/internal/transport/gatekeeper/request.go
+++ b/internal/transport/gatekeeper/request.go
@@ -151,7 +151,7 @@
 		last = q.attempt(ctx)
 		q.ran = q.ran || last.outcome != messenger.OutcomeNotRun
 		if last.outcome == messenger.OutcomeCompleted {
-			q.entry.retrier.Succeeded(q.entry.settings.Now(), q.call.Pool.Name)
+			q.entry.retrier.RecordSuccess(q.entry.settings.Now(), q.call.Pool.Name)
 			q.survived(ctx)
 			return nil
 		}
@@ -203,7 +203,7 @@
 	d := e.retrier.Decide(e.settings.Now(), retrier.Attempt{
 		Group: q.call.Pool.Name, Number: q.attempts,
 		NotRun: last.outcome == messenger.OutcomeNotRun, Idempotent: q.idempotent, Answered: q.answer.begun,
-		RetryAfter: last.retryAfter, Alone: e.router.Size(q.call.Pool) <= len(q.call.Avoid), Deadline: q.deadline,
+		RetryAfter: last.retryAfter, NoAlternative: e.router.Size(q.call.Pool) <= len(q.call.Avoid), Deadline: q.deadline,
 	})
 	e.metrics.retries.WithLabelValues(d.Verdict.String()).Inc()
 	event := q.event(recorder.KindRetried, fmt.Sprintf("%s after %s %s, wait %s", d.Verdict, last.outcome, last.reason, d.Wait))
