--- a/internal/coordination/replicator/core.go
+++ b/internal/coordination/replicator/core.go
@@ -112,7 +112,7 @@
 	SnapshotSends []Message
 	Committed     []Entry
 	// Ballots are the steps of elections, to be observed.
-	Ballots []Balloted
+	Ballots []ElectionEvent
 	// Reads are reads whose state is that of the given commit index.
 	Reads []ReadState
 }
@@ -197,13 +197,13 @@
 // and a leader step down, for want of messages that have arrived.
 func (c *Core) SetClock(now time.Duration) { c.clock = max(c.clock, now) }
 
-// Waited tells that a vote or a request for votes, which is sent only now, has waited
+// DelayCampaign tells that a vote or a request for votes, which is sent only now, has waited
 // for the disk. The time for the answers begins with the sending.
 //
 // Without this a host whose disk is slow takes its own wait for the others' silence: it
 // campaigns anew before its request could be answered, and the term of the new campaign
 // makes the answer void.
-func (c *Core) Waited(d time.Duration) {
+func (c *Core) DelayCampaign(d time.Duration) {
 	c.campaignAt += min(max(d, 0), 2*c.settings.ElectionTimeout)
 }
 
--- a/internal/coordination/replicator/doc.go
+++ b/internal/coordination/replicator/doc.go
@@ -31,7 +31,7 @@
 // a new incarnation and is therefore a new host: it has to be removed and added
 // again, which are two committed steps. The folder of a host must never be
 // replaced by an older copy of it; where the leader still leads that is found
-// out (ErrDiskWentBack), after an election it can't be.
+// out (ErrStaleDisk), after an election it can't be.
 //
 // # Conventions
 //
--- a/internal/coordination/replicator/election.go
+++ b/internal/coordination/replicator/election.go
@@ -102,7 +102,7 @@
 
 // balloted notes a step of an election.
 func (c *Core) balloted(step BallotStep, term uint64, other HostID, index, logTerm uint64, refusal Refusal) {
-	c.out.Ballots = append(c.out.Ballots, Balloted{
+	c.out.Ballots = append(c.out.Ballots, ElectionEvent{
 		Step: step, Term: term, Other: other, LogIndex: index, LogTerm: logTerm,
 		OwnIndex: c.log.last(), OwnTerm: c.log.lastTerm(), Refusal: refusal,
 	})
--- a/internal/coordination/replicator/errors.go
+++ b/internal/coordination/replicator/errors.go
@@ -50,10 +50,10 @@
 // Error returns a text with the reason.
 func (e ErrChangeRefused) Error() string { return "membership change refused: " + e.Reason }
 
-// ErrDiskWentBack reports that the host's log ends before what it acknowledged
+// ErrStaleDisk reports that the host's log ends before what it acknowledged
 // to the leader in this term: its disk is an old copy, and the host must be
 // replaced under a new identity.
-type ErrDiskWentBack struct {
+type ErrStaleDisk struct {
 	// Last is the end of the host's log.
 	Last uint64
 	// Acknowledged is what the leader counts it for.
@@ -61,7 +61,7 @@
 }
 
 // Error returns a text that names both indices.
-func (e ErrDiskWentBack) Error() string {
+func (e ErrStaleDisk) Error() string {
 	return fmt.Sprintf("the log ends at %d but %d was acknowledged: the disk is an old copy; remove this host, empty its folder and add it again",
 		e.Last, e.Acknowledged)
 }
--- a/internal/coordination/replicator/faults_test.go
+++ b/internal/coordination/replicator/faults_test.go
@@ -109,7 +109,7 @@
 		b.disk = old
 		s.start(b)
 		s.run(1, false)
-		var back ErrDiskWentBack
+		var back ErrStaleDisk
 		Expect(errors.As(failure, &back)).To(BeTrue())
 		Expect(back.Acknowledged).To(BeNumerically(">", back.Last))
 	})
--- a/internal/coordination/replicator/follower.go
+++ b/internal/coordination/replicator/follower.go
@@ -55,7 +55,7 @@
 	c.promisedUntil = c.clock + c.settings.ElectionTimeout
 	c.resetCampaign()
 	if c.log.last() < m.Counted {
-		return errors.Trace(ErrDiskWentBack{Last: c.log.last(), Acknowledged: m.Counted})
+		return errors.Trace(ErrStaleDisk{Last: c.log.last(), Acknowledged: m.Counted})
 	}
 	if m.Kind == SnapshotRequest {
 		if m.Snapshot != nil && m.Snapshot.Index > c.commit {
--- a/internal/coordination/replicator/loop.go
+++ b/internal/coordination/replicator/loop.go
@@ -48,7 +48,7 @@
 			return err
 		}
 		ended := r.clock.read()
-		r.noteHeldUp(HeldUp{Late: max(0, began-last-r.settings.TickInterval), Disk: ended - began}, ended)
+		r.noteHeldUp(LoopDelayed{Late: max(0, began-last-r.settings.TickInterval), Disk: ended - began}, ended)
 		last = ended
 	}
 }
@@ -58,7 +58,7 @@
 
 // noteHeldUp has a host tell that it was held up for a third of the election timeout or
 // more: three such waits in a row cost an election.
-func (r *Replicator) noteHeldUp(h HeldUp, now time.Duration) {
+func (r *Replicator) noteHeldUp(h LoopDelayed, now time.Duration) {
 	if h.Late+h.Disk <= r.settings.ElectionTimeout/3 || r.heldUpAt > 0 && now-r.heldUpAt < heldUpPause {
 		return
 	}
--- a/internal/coordination/replicator/observation.go
+++ b/internal/coordination/replicator/observation.go
@@ -50,8 +50,8 @@
 // to one or has another list.
 type BootstrapRefused struct{ By HostID }
 
-// Balloted tells of one step of an election at this host.
-type Balloted struct {
+// ElectionEvent tells of one step of an election at this host.
+type ElectionEvent struct {
 	Step BallotStep
 	// Term is the one that the vote is, or would be, for.
 	Term uint64
@@ -102,8 +102,8 @@
 	RefusalOther
 )
 
-// HeldUp tells that the host did nothing for a good part of the election timeout.
-type HeldUp struct {
+// LoopDelayed tells that the host did nothing for a good part of the election timeout.
+type LoopDelayed struct {
 	// Late is by how much its timer fired late, as where the process was not run.
 	Late time.Duration
 	// Disk is how long the turn took then, nearly all of it at the disk.
@@ -122,6 +122,6 @@
 func (MembershipChanged) observation() {}
 func (MessageRefused) observation()    {}
 func (BootstrapRefused) observation()  {}
-func (Balloted) observation()          {}
-func (HeldUp) observation()            {}
+func (ElectionEvent) observation()     {}
+func (LoopDelayed) observation()       {}
 func (Stopped) observation()           {}
--- a/internal/coordination/replicator/replica.go
+++ b/internal/coordination/replicator/replica.go
@@ -198,7 +198,7 @@
 			return err
 		}
 		if rd.HardState != nil {
-			r.core.Waited(r.settings.Now().Sub(began))
+			r.core.DelayCampaign(r.settings.Now().Sub(began))
 		}
 		r.emit(rd.Early)
 		r.emit(rd.Messages)
--- a/internal/coordination/replicator/replicator.go
+++ b/internal/coordination/replicator/replicator.go
@@ -100,11 +100,11 @@
 // why, and which host was held up by its disk or not run at all.
 func (r *Replicator) logElection(o Observation) {
 	switch t := o.(type) {
-	case Balloted:
+	case ElectionEvent:
 		r.settings.Log.Info().Stringer("Step", t.Step).Uint64("Term", t.Term).Uint64("Other", uint64(t.Other)).
 			Uint64("LogIndex", t.LogIndex).Uint64("LogTerm", t.LogTerm).Uint64("OwnIndex", t.OwnIndex).Uint64("OwnTerm", t.OwnTerm).
 			Stringer("Refusal", t.Refusal).Msg("election")
-	case HeldUp:
+	case LoopDelayed:
 		r.settings.Log.Info().Dur("Late", t.Late).Dur("Disk", t.Disk).Msg("held up")
 	}
 }
