--- a/internal/coordination/replicator/admitter.go
+++ b/internal/coordination/replicator/admitter.go
@@ -6,29 +6,30 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/snapshotter"
 )
 
-// step takes in a message from the network, whoever sent it.
+// step handles a message from the network. Messages that are not addressed to this group, host and
+// disk are dropped. A returned error means that the process must stop.
 func (r *replica) step(m Message) error {
 	if m.Group != r.identity.Group || m.To != r.settings.Self.ID {
-		return r.refuse(m, "of another group or for another host")
+		return r.refuse(m, "wrong group or destination host")
 	}
 	if m.Kind == FoundRequest {
-		r.answerFounder(m)
+		r.answerFoundRequest(m)
 		return nil
 	}
 	if m.Kind == FoundReply {
-		return r.stepFounder(m)
+		return r.handleFoundReply(m)
 	}
 	if m.Formation == 0 || (r.identity.Formation != 0 && m.Formation != r.identity.Formation) {
-		return r.refuse(m, "of another formation of the group")
+		return r.refuse(m, "wrong formation of the group")
 	}
-	// A leader that feeds a learner may not know its disk. This host may still take
-	// itself for the voter that it was before it was removed: what it answers counts
-	// for nothing before the group gives this disk a vote again.
+	// A leader may not know the incarnation of a learner's disk yet. After this host was removed,
+	// it may still regard itself as a voter; its replies are not counted until the group gives this
+	// disk a vote again.
 	unaddressed := m.ToIncarnation == 0 && (m.Kind == AppendRequest || m.Kind == SnapshotRequest)
 	if m.ToIncarnation != r.identity.Incarnation && !unaddressed {
-		return r.refuse(m, "for another disk of this host")
+		return r.refuse(m, "wrong disk incarnation")
 	}
-	if err := r.bind(m.Formation); err != nil {
+	if err := r.joinFormation(m.Formation); err != nil {
 		return err
 	}
 	return errors.Trace(r.core.Step(m))
@@ -39,43 +40,44 @@
 	return nil
 }
 
-// bind makes this host, if it is new, a part of the group that has spoken to
-// its disk. That lasts before anything is answered.
-func (r *replica) bind(formation uint64) error {
+// joinFormation records on the disk that this host belongs to the given formation, if it belongs to
+// none yet. The record is durable before any reply is sent.
+func (r *replica) joinFormation(formation uint64) error {
 	if r.identity.Formation != 0 {
 		return nil
 	}
 	r.identity.Formation = formation
-	r.founder = nil
+	r.bootstrapper = nil
 	return errors.Trace(r.store.SaveIdentity(r.identity))
 }
 
-// answerFounder tells whether this host is new and has the same list.
-func (r *replica) answerFounder(m Message) {
+// answerFoundRequest replies whether this host is new and has the same bootstrap list.
+func (r *replica) answerFoundRequest(m Message) {
 	fresh := r.identity.Formation == 0 && digestMembers(r.settings.Bootstrap) == m.Digest
 	r.emit([]Message{{Kind: FoundReply, To: m.From, Digest: m.Digest, Rejected: !fresh}})
 }
 
-// stepFounder forms the group once all have answered.
-func (r *replica) stepFounder(m Message) error {
-	if r.founder == nil {
+// handleFoundReply counts a reply to a FoundRequest, and forms the group once all hosts of the
+// bootstrap list have agreed.
+func (r *replica) handleFoundReply(m Message) error {
+	if r.bootstrapper == nil {
 		return nil
 	}
-	r.founder.step(m)
-	if r.founder.refusedBy != 0 {
+	r.bootstrapper.step(m)
+	if r.bootstrapper.refusedBy != 0 {
 		r.settings.Observe(BootstrapRefused{By: m.From})
 		r.settings.Log.Warn().Uint64("Host", uint64(m.From)).
-			Msg("no group is formed: a host of the bootstrap list belongs to a group or has another list; this host waits to be added")
-		r.founder = nil
+			Msg("group not formed: a host of the bootstrap list already belongs to a group or has a different list; this host waits to be added")
+		r.bootstrapper = nil
 		return nil
 	}
-	return r.tryFound()
+	return r.tryFormGroup()
 }
 
-// tryFound writes the group's first entry, and then the identity, whose
-// formation number makes it valid.
-func (r *replica) tryFound() error {
-	configuration, ok := r.founder.done()
+// tryFormGroup forms the group if all hosts of the bootstrap list have agreed. It writes the first
+// entry and then the identity: the entry is valid only once the identity has a formation number.
+func (r *replica) tryFormGroup() error {
+	configuration, ok := r.bootstrapper.initialConfiguration()
 	if !ok {
 		return nil
 	}
@@ -88,7 +90,7 @@
 	if _, err := r.journal.Append([][]byte{encodeEntry(first)}); err != nil {
 		return errors.Trace(err)
 	}
-	if err := r.bind(r.settings.Random.Uint64() | 1); err != nil {
+	if err := r.joinFormation(r.settings.Random.Uint64() | 1); err != nil {
 		return err
 	}
 	now := r.core.clock
@@ -96,7 +98,7 @@
 	if r.core, err = NewCore(r.settings.core(r.identity.Incarnation), hard, snapshotter.Metadata{}, Configuration{}, []Entry{first}); err != nil {
 		return errors.Trace(err)
 	}
-	// All others are new, so that nobody else can lead.
+	// All other hosts are new, so that no other leader can exist.
 	r.core.clock = now
 	r.core.campaign(false)
 	return nil
--- a/internal/coordination/replicator/applier.go
+++ b/internal/coordination/replicator/applier.go
@@ -10,27 +10,27 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/snapshotter"
 )
 
-// applier applies committed entries to the state machine and takes snapshots
-// of it. It is used by one goroutine.
+// applier applies committed entries to the state machine and takes snapshots of it. It is used by a
+// single goroutine, except for save.
 type applier struct {
 	machine StateMachine
 	store   *snapshotter.Store
 	observe func(Observation)
 
-	// applied and term are those of the last entry applied.
+	// applied and term are the index and term of the last applied entry.
 	applied, term uint64
-	// configuration is the committed one as of applied.
+	// configuration is the committed configuration at applied.
 	configuration Configuration
-	// snapshot is the index of the last snapshot, bytes the size of the
-	// entries applied since.
+	// snapshot is the index of the last snapshot; bytes is the size of the entries applied since
+	// then.
 	snapshot uint64
 	bytes    int64
 
-	// saving is held while a snapshot is written: one at a time.
+	// saving is held while a snapshot is written; only one is written at a time.
 	saving sync.Mutex
 }
 
-// restore replaces the state by the latest snapshot, if it is newer.
+// restore loads the latest snapshot into the state machine if it is newer than applied.
 func (a *applier) restore() error {
 	r, err := a.store.OpenLatest()
 	if err != nil || r == nil {
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// apply applies one entry. Entries that a snapshot has overtaken are skipped.
+// apply applies one entry and returns the state machine's result. Entries that the restored
+// snapshot already covers are skipped.
 func (a *applier) apply(e Entry) (any, error) {
 	if e.Index <= a.applied {
 		return nil, nil
@@ -79,34 +80,35 @@
 	return result, nil
 }
 
-// due reports whether it is time for a snapshot.
-func (a *applier) due(s Settings) bool {
+// snapshotDue reports whether enough entries or bytes were applied to take a snapshot.
+func (a *applier) snapshotDue(s Settings) bool {
 	return a.applied-a.snapshot >= s.SnapshotEvery || a.bytes >= s.SnapshotBytes
 }
 
-// frozen is the state after an entry, to be written as a snapshot.
-type frozen struct {
+// frozenState is the state at some index, to be written as a snapshot.
+type frozenState struct {
 	metadata snapshotter.Metadata
 	write    func(w io.Writer) error
-	// apart tells that write may run while entries are applied.
-	apart bool
+	// concurrent is set if write may run while further entries are applied.
+	concurrent bool
 }
 
-// freeze takes the present state.
-func (a *applier) freeze() frozen {
-	f := frozen{
+// freeze captures the current state for a snapshot.
+func (a *applier) freeze() frozenState {
+	f := frozenState{
 		metadata: snapshotter.Metadata{Index: a.applied, Term: a.term, Extra: encodeConfiguration(a.configuration)},
 		write:    a.machine.Snapshot,
 	}
 	if m, ok := a.machine.(Freezer); ok {
-		f.write, f.apart = m.Freeze(), true
+		f.write, f.concurrent = m.Freeze(), true
 	}
 	a.snapshot, a.bytes = a.applied, 0
 	return f
 }
 
-// save writes a snapshot of a frozen state. It uses nothing that apply changes.
-func (a *applier) save(f frozen, now func() time.Time) (snapshotter.Metadata, error) {
+// save writes a snapshot of a frozen state. It may run concurrently with apply where f.concurrent
+// is set, since it reads nothing that apply changes.
+func (a *applier) save(f frozenState, now func() time.Time) (snapshotter.Metadata, error) {
 	start := now()
 	m, err := a.store.Create(f.metadata, f.write)
 	if err != nil {
--- a/internal/coordination/replicator/change.go
+++ b/internal/coordination/replicator/change.go
@@ -3,11 +3,11 @@
 // Change is a change of the membership by one member.
 type Change interface{ change() }
 
-// AddLearner adds a member that receives the log and doesn't vote. Where the
-// member is there already, only its address and failure domain change.
+// AddLearner adds a member that receives the log and does not vote. For an existing member it only
+// updates the address and the failure domain.
 type AddLearner struct{ Member Member }
 
-// PromoteLearner gives a learner its vote.
+// PromoteLearner makes a learner a voter.
 type PromoteLearner struct{ ID HostID }
 
 // RemoveMember removes a member.
@@ -17,40 +17,41 @@
 func (PromoteLearner) change() {}
 func (RemoveMember) change()   {}
 
-// ProposeChange appends a change of the membership, which is in force from now
-// on and committed separately. Two majorities of configurations that differ by
-// one voter always meet, so that two leaders can't be elected, provided that
-// only one change is under way and that the leader has committed an entry of
-// its own term: else a change of an older leader might still be in some logs.
+// ProposeChange appends a change of the membership. The new configuration is in force at once and
+// is committed like any other entry. Two majorities of configurations that differ by one voter
+// always intersect, so that two leaders can't be elected, provided that only one change is in
+// progress and that the leader has committed an entry of its own term: otherwise a change by an
+// earlier leader may still be in the logs of some members. It returns ErrNotLeader or
+// ErrChangeRefused.
 func (c *Core) ProposeChange(change Change) (index, term uint64, err error) {
-	if c.role != Leader || c.doubt {
+	if c.role != Leader || c.quorumLost {
 		return 0, 0, c.notLeader()
 	}
 	if c.transferTo != 0 {
-		return 0, 0, ErrChangeRefused{Reason: "leadership is being handed over"}
+		return 0, 0, ErrChangeRefused{Reason: "leadership is being transferred"}
 	}
-	if c.commit < c.opened {
+	if c.commit < c.termStart {
 		return 0, 0, ErrChangeRefused{Reason: "the leader has not committed an entry of its term yet"}
 	}
-	if c.changeIndex() > c.commit {
+	if c.configurationIndex() > c.commit {
 		return 0, 0, ErrChangeRefused{Reason: "another change is in progress"}
 	}
-	next, err := c.changed(change)
+	next, err := c.configurationAfter(change)
 	if err != nil {
 		return 0, 0, err
 	}
-	if c.answering(next) < next.Quorum() {
-		// Such a configuration could never commit itself, nor be undone.
-		return 0, 0, ErrChangeRefused{Reason: "too few of the remaining voters answer"}
+	if c.responsiveVoters(next) < next.Quorum() {
+		// Such a configuration could neither be committed nor be reverted.
+		return 0, 0, ErrChangeRefused{Reason: "too few of the remaining voters respond"}
 	}
-	index = c.appendOwn(EntryMembership, encodeConfiguration(next))
+	index = c.appendEntry(EntryMembership, encodeConfiguration(next))
 	c.syncPeers()
 	return index, c.hard.Term, nil
 }
 
-// answering returns how many voters of a configuration have answered a
-// heartbeat within the last ElectionTimeout.
-func (c *Core) answering(configuration Configuration) int {
+// responsiveVoters returns the number of voters of a configuration that have answered a heartbeat
+// within the last ElectionTimeout, this host included.
+func (c *Core) responsiveVoters(configuration Configuration) int {
 	n := 0
 	for _, m := range configuration.Members {
 		p := c.peers[m.ID]
@@ -61,24 +62,24 @@
 	return n
 }
 
-// silent returns the voters that have not answered this leader lately. A voter
-// counts from the start of the leader's term.
-func (c *Core) silent() []HostID {
-	if c.role != Leader || c.commit < c.opened {
+// silentVoters returns the voters that have not answered this leader for more than SilentTimeouts
+// election timeouts. The time counts at the earliest from the start of the leader's term.
+func (c *Core) silentVoters() []HostID {
+	if c.role != Leader || c.commit < c.termStart {
 		return nil
 	}
-	var silent []HostID
+	var silentVoters []HostID
 	for _, m := range c.Configuration().Members {
 		p := c.peers[m.ID]
 		if m.Voter && m.ID != c.settings.Self && p != nil && c.clock-max(p.roundAt, c.electedAt) > SilentTimeouts*c.settings.ElectionTimeout {
-			silent = append(silent, m.ID)
+			silentVoters = append(silentVoters, m.ID)
 		}
 	}
-	return silent
+	return silentVoters
 }
 
-// changed returns the configuration after a change.
-func (c *Core) changed(change Change) (Configuration, error) {
+// configurationAfter returns the configuration that results from a change.
+func (c *Core) configurationAfter(change Change) (Configuration, error) {
 	now := c.Configuration()
 	switch t := change.(type) {
 	case AddLearner:
@@ -94,7 +95,7 @@
 			return now, ErrChangeRefused{Reason: "not a learner"}
 		}
 		if !c.CaughtUp(t.ID) {
-			return now, ErrChangeRefused{Reason: "the learner is not caught up"}
+			return now, ErrChangeRefused{Reason: "the learner has not caught up"}
 		}
 		m.Voter, m.Incarnation = true, c.peers[t.ID].incarnation
 		return now.with(m), nil
@@ -103,10 +104,9 @@
 			return now, ErrChangeRefused{Reason: "not a member"}
 		}
 		if t.ID == c.settings.Self {
-			// Its entry could be in its own log only when it is cut off; the
-			// others would then need the vote of a host that no longer counts
-			// itself as a voter.
-			return now, ErrChangeRefused{Reason: "the leader can't remove itself; it must hand over leadership first"}
+			// A leader that is cut off could have the entry in its own log only; the others would
+			// then need the vote of a host that no longer counts itself as a voter.
+			return now, ErrChangeRefused{Reason: "the leader can't remove itself; transfer leadership first"}
 		}
 		return now.without(t.ID), nil
 	default:
@@ -114,16 +114,16 @@
 	}
 }
 
-// CaughtUp reports whether a member's disk holds nearly all of the log, so that
-// the group isn't held up when commits begin to need it.
+// CaughtUp reports whether a member's disk holds nearly all of the log, so that commits are not
+// delayed once they need it.
 func (c *Core) CaughtUp(id HostID) bool {
 	p := c.peers[id]
 	return c.role == Leader && p != nil && p.incarnation != 0 && p.state == replicating &&
-		p.match >= c.opened && p.match+c.settings.CatchUpEntries >= c.log.last()
+		p.match >= c.termStart && p.match+c.settings.CatchUpEntries >= c.log.last()
 }
 
-// Transfer begins to hand leadership to the voter that holds most of the log.
-// No proposals are accepted meanwhile.
+// Transfer starts to transfer leadership to the voter with the most complete log. Proposals are
+// refused until the transfer has ended.
 func (c *Core) Transfer() error {
 	if c.role != Leader {
 		return c.notLeader()
@@ -141,7 +141,7 @@
 		return ErrNotAccepted{Reason: "there is no other voter"}
 	}
 	c.transferTo = best
-	c.transferEnd = c.clock + c.settings.ElectionTimeout
+	c.transferDeadline = c.clock + c.settings.ElectionTimeout
 	c.continueTransfer()
 	return nil
 }
@@ -155,6 +155,6 @@
 	if p == nil || p.match < c.log.last() {
 		return
 	}
-	c.transferAsked = true
+	c.transferRequested = true
 	c.send(Message{Kind: TimeoutNow, To: c.transferTo})
 }
--- a/internal/coordination/replicator/clock.go
+++ b/internal/coordination/replicator/clock.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// clock turns readings that may jump back into a time that never falls. What
-// passed between a reading and a jump back is lost, which is at most the time
-// between two readings; LeaseDrift has to cover it.
+// clock makes a non-decreasing time from readings that may jump back. The time between the last
+// reading and a jump back is lost; it is at most the interval between two readings, and LeaseDrift
+// has to cover it.
 type clock struct {
 	now func() time.Time
 
@@ -20,7 +20,7 @@
 
 func newClock(now func() time.Time) *clock { return &clock{now: now, last: now()} }
 
-// read returns the time since the clock was made.
+// read returns the time since the clock was created.
 func (c *clock) read() time.Duration {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/coordination/replicator/configuration.go
+++ b/internal/coordination/replicator/configuration.go
@@ -10,28 +10,27 @@
 
 // Member describes a host of the group.
 type Member struct {
-	// ID is the host's number, not 0.
+	// ID is the number of the host, not 0.
 	ID HostID
-	// Address is where the transport reaches it.
+	// Address is the address at which the transport reaches the host.
 	Address string
-	// FailureDomain is the failure domain it runs in.
+	// FailureDomain is the failure domain of the host.
 	FailureDomain string
-	// Voter says that it counts in quorums. A member that isn't one is a
-	// learner, which receives the log only.
+	// Voter is set if the member counts in quorums. A member that is not a voter is a learner,
+	// which only receives the log.
 	Voter bool
-	// Incarnation identifies the host's disk. It is 0 for a learner until it
-	// becomes a voter, and never 0 for a voter. Callers leave it 0.
+	// Incarnation identifies the disk of the host. It is 0 for a learner until it becomes a voter,
+	// and never 0 for a voter. Callers leave it 0.
 	Incarnation uint64 `json:",omitempty"`
 }
 
-// Configuration is the membership of the group as of some entry. It is not
-// changed once made.
+// Configuration is the membership of the group at some entry. It is immutable.
 type Configuration struct {
-	// Members are in rising order of their ID.
+	// Members are in ascending order of their ID.
 	Members []Member
 }
 
-// Find returns the member with the given ID and whether there is one.
+// Find returns the member with the given ID, and false if there is none.
 func (c Configuration) Find(id HostID) (Member, bool) {
 	for _, m := range c.Members {
 		if m.ID == id {
@@ -52,11 +51,10 @@
 	return n
 }
 
-// Quorum returns the number of voters that is a majority.
+// Quorum returns the number of voters that form a majority.
 func (c Configuration) Quorum() int { return c.Voters()/2 + 1 }
 
-// with returns a copy in which m takes the place of the member with its ID, or
-// is added.
+// with returns a copy in which m replaces the member with the same ID, or is added.
 func (c Configuration) with(m Member) Configuration {
 	out := c.without(m.ID)
 	out.Members = append(out.Members, m)
@@ -75,8 +73,7 @@
 	return out
 }
 
-// quorumValue returns the highest value that a majority of the voters has
-// reached.
+// quorumValue returns the highest value that a majority of the voters has reached.
 func quorumValue[T cmp.Ordered](c Configuration, of func(HostID) T) T {
 	values := make([]T, 0, len(c.Members))
 	for _, m := range c.Members {
@@ -101,7 +98,7 @@
 	return b
 }
 
-// decodeConfiguration reads the data of an EntryMembership.
+// decodeConfiguration decodes the data of an EntryMembership.
 func decodeConfiguration(b []byte) (Configuration, error) {
 	var c Configuration
 	if err := json.Unmarshal(b, &c); err != nil {
--- a/internal/coordination/replicator/election.go
+++ b/internal/coordination/replicator/election.go
@@ -2,39 +2,39 @@
 
 import "marigoldpoint.example/marigoldpoint/internal/state/snapshotter"
 
-// campaign asks for votes: first whether they would be given, unless the
-// leader itself has asked for the campaign.
+// campaign starts an election with a round of pre-votes, or at once with votes if it was forced by
+// the leader or this host is the only voter.
 func (c *Core) campaign(forced bool) {
 	c.becomeFollower(c.hard.Term, 0)
 	c.resetCampaign()
 	c.forced = forced
 	if forced || c.soleVoter() {
-		c.askVotes()
+		c.startElection()
 		return
 	}
 	c.role = PreCandidate
 	c.preVotes = make(map[HostID]bool)
-	c.poll(PreVoteRequest, c.hard.Term+1)
+	c.sendVoteRequests(PreVoteRequest, c.hard.Term+1)
 }
 
-// askVotes raises the term, votes for itself and asks the others.
-func (c *Core) askVotes() {
+// startElection increments the term, votes for this host and requests the votes of the others.
+func (c *Core) startElection() {
 	c.role = Candidate
 	c.hard = snapshotter.HardState{Term: c.hard.Term + 1, Vote: uint64(c.settings.Self)}
-	c.votes, c.votesOf = make(map[HostID]bool), c.hard.Term
+	c.votes, c.votesTerm = make(map[HostID]bool), c.hard.Term
 	c.resetCampaign()
-	c.poll(VoteRequest, c.hard.Term)
+	c.sendVoteRequests(VoteRequest, c.hard.Term)
 }
 
-// poll counts the host's own vote and asks the other voters.
-func (c *Core) poll(kind MessageKind, term uint64) {
+// sendVoteRequests counts the host's own vote and requests those of the other voters.
+func (c *Core) sendVoteRequests(kind MessageKind, term uint64) {
 	step := BallotVoteAsked
 	if kind == PreVoteRequest {
 		step = BallotPreVoteAsked
 	}
 	for _, m := range c.Configuration().Members {
 		if m.Voter && m.ID != c.settings.Self {
-			c.balloted(step, term, m.ID, c.log.last(), c.log.lastTerm(), RefusalNone)
+			c.recordElectionEvent(step, term, m.ID, c.log.last(), c.log.lastTerm(), RefusalNone)
 			c.send(Message{
 				Kind: kind, To: m.ID, Term: term, Force: c.forced,
 				LogIndex: c.log.last(), LogTerm: c.log.lastTerm(),
@@ -48,18 +48,17 @@
 	}
 }
 
-// countPreVote records an answer and asks for votes where a majority would give
-// them.
+// countPreVote counts a reply, and starts the election if a majority would vote for this host.
 func (c *Core) countPreVote(from HostID, granted bool) {
 	switch won, lost := c.tally(c.preVotes, from, granted); {
 	case won:
-		c.askVotes()
+		c.startElection()
 	case lost:
 		c.becomeFollower(c.hard.Term, 0)
 	}
 }
 
-// countVote records an answer and leads where a majority gave its vote.
+// countVote counts a reply, and makes this host the leader if a majority voted for it.
 func (c *Core) countVote(from HostID, granted bool) {
 	switch won, lost := c.tally(c.votes, from, granted); {
 	case won:
@@ -69,8 +68,7 @@
 	}
 }
 
-// tally records an answer among others, and reports whether a majority gave its vote,
-// or can't any more.
+// tally counts a reply, and reports whether a majority granted its votes, or no longer can.
 func (c *Core) tally(votes map[HostID]bool, from HostID, granted bool) (won, lost bool) {
 	if _, counted := votes[from]; !counted {
 		votes[from] = granted
@@ -87,51 +85,51 @@
 	return given >= configuration.Quorum(), refused > configuration.Voters()-configuration.Quorum()
 }
 
-// promised reports whether a leader may rely on this host's silence. A leader
-// relies on itself until it lacks a majority.
-func (c *Core) promised() bool {
-	return c.role == Leader && !c.doubt || c.clock < c.promisedUntil
+// withholdsVotes reports whether a leader's lease may depend on this host granting no votes. For a
+// leader this holds until it has lost its quorum.
+func (c *Core) withholdsVotes() bool {
+	return c.role == Leader && !c.quorumLost || c.clock < c.votesWithheldUntil
 }
 
-// upToDate reports whether a candidate's log holds all that this host's may
-// have helped to commit.
+// upToDate reports whether a candidate's log contains every entry that this host may have helped to
+// commit.
 func (c *Core) upToDate(m Message) bool {
 	own := c.log.lastTerm()
 	return m.LogTerm > own || (m.LogTerm == own && m.LogIndex >= c.log.last())
 }
 
-// balloted notes a step of an election.
-func (c *Core) balloted(step BallotStep, term uint64, other HostID, index, logTerm uint64, refusal Refusal) {
-	c.out.Ballots = append(c.out.Ballots, ElectionEvent{
+// recordElectionEvent records one step of an election for observation.
+func (c *Core) recordElectionEvent(step BallotStep, term uint64, other HostID, index, logTerm uint64, refusal Refusal) {
+	c.pending.Ballots = append(c.pending.Ballots, ElectionEvent{
 		Step: step, Term: term, Other: other, LogIndex: index, LogTerm: logTerm,
 		OwnIndex: c.log.last(), OwnTerm: c.log.lastTerm(), Refusal: refusal,
 	})
 }
 
-// stepPreVote answers without changing any term.
+// stepPreVote replies to a pre-vote request without changing any term.
 //
-// Who would give its vote lets the other one go first. Hosts that ask each other in the
-// same moment, as all do after a leader that they lost together, would else all stand
-// in the same term, each with its own vote alone, and again a timeout later: where
-// rounds take as long as the timeouts lie apart, for as long as that lasts.
+// A host that grants a pre-vote defers its own campaign. Otherwise hosts that request pre-votes at
+// the same time, as all do after the loss of a leader, would all campaign in the same term, each
+// with only its own vote, and collide again after the next timeout, for as long as round trips take
+// as long as the spread of the timeouts.
 func (c *Core) stepPreVote(m Message) {
 	refusal := c.refusal(m, m.Term > c.hard.Term)
-	if refusal == RefusalNone && c.role == PreCandidate && c.goesBefore(m) {
+	if refusal == RefusalNone && c.role == PreCandidate && c.precedes(m) {
 		refusal = RefusalVoted
 	}
 	if refusal == RefusalNone {
-		c.yield(m.From)
-		c.balloted(BallotPreVoteGiven, m.Term, m.From, m.LogIndex, m.LogTerm, refusal)
+		c.deferCampaign(m.From)
+		c.recordElectionEvent(BallotPreVoteGiven, m.Term, m.From, m.LogIndex, m.LogTerm, refusal)
 		c.send(Message{Kind: PreVoteReply, To: m.From, ToIncarnation: m.FromIncarnation, Term: m.Term})
 		return
 	}
-	c.balloted(BallotPreVoteRefused, m.Term, m.From, m.LogIndex, m.LogTerm, refusal)
+	c.recordElectionEvent(BallotPreVoteRefused, m.Term, m.From, m.LogIndex, m.LogTerm, refusal)
 	c.send(Message{Kind: PreVoteReply, To: m.From, ToIncarnation: m.FromIncarnation, Rejected: true})
 }
 
-// yield puts this host's own campaign off for another voter's. One that the group has
-// removed can't win, and must not keep the others from it.
-func (c *Core) yield(to HostID) {
+// deferCampaign defers this host's own campaign in favor of another voter's. A host that has been
+// removed from the group can't win, and must not delay the others' campaigns.
+func (c *Core) deferCampaign(to HostID) {
 	other, ok := c.Configuration().Find(to)
 	if !ok || !other.Voter {
 		return
@@ -142,17 +140,16 @@
 	c.resetCampaign()
 }
 
-// goesBefore reports whether this host, which asks for pre-votes itself, goes on with it
-// before another one that does, whose log is no worse: of two with logs alike it is the
-// one with the lower number.
-func (c *Core) goesBefore(m Message) bool {
+// precedes reports whether this host, itself a pre-candidate, keeps its campaign in spite of
+// another pre-candidate with an equal log: the lower host ID takes precedence.
+func (c *Core) precedes(m Message) bool {
 	return m.LogTerm == c.log.lastTerm() && m.LogIndex == c.log.last() && c.settings.Self < m.From
 }
 
-// refusal returns why a candidate gets no vote, given whether the term allows one.
+// refusal returns why a candidate gets no vote; term is set if the candidate's term allows one.
 func (c *Core) refusal(m Message, term bool) Refusal {
 	switch {
-	case !m.Force && c.promised():
+	case !m.Force && c.withholdsVotes():
 		return RefusalPromised
 	case !term:
 		return RefusalTerm
@@ -163,12 +160,12 @@
 	}
 }
 
-// stepVote gives at most one vote in a term. The reply leaves after the vote is
-// on the disk: a host that forgot its vote in a crash could give a second one,
-// and two leaders of one term would overwrite each other's entries.
+// stepVote grants at most one vote in a term. The reply is sent after the vote is on the disk: a
+// host that forgot its vote in a crash could grant a second one, and two leaders of one term would
+// overwrite each other's entries.
 func (c *Core) stepVote(m Message) {
-	if !m.Force && c.promised() {
-		c.balloted(BallotVoteRefused, m.Term, m.From, m.LogIndex, m.LogTerm, RefusalPromised)
+	if !m.Force && c.withholdsVotes() {
+		c.recordElectionEvent(BallotVoteRefused, m.Term, m.From, m.LogIndex, m.LogTerm, RefusalPromised)
 		return
 	}
 	if m.Term > c.hard.Term {
@@ -185,11 +182,11 @@
 		c.hard.Vote = uint64(m.From)
 		c.resetCampaign()
 	}
-	c.balloted(step, m.Term, m.From, m.LogIndex, m.LogTerm, refusal)
+	c.recordElectionEvent(step, m.Term, m.From, m.LogIndex, m.LogTerm, refusal)
 	c.send(Message{Kind: VoteReply, To: m.From, ToIncarnation: m.FromIncarnation, Rejected: !granted})
 }
 
-// stepVoteReply counts an answer of a voter whose disk the group knows.
+// stepVoteReply counts a reply from a voter whose disk the configuration names.
 func (c *Core) stepVoteReply(m Message) {
 	from, ok := c.Configuration().Find(m.From)
 	if !ok || !from.Voter || from.Incarnation != m.FromIncarnation {
@@ -203,30 +200,30 @@
 		step = BallotPreVoteReceived
 	}
 	switch {
-	case m.Kind == VoteReply && m.Term == term && c.stands():
-		c.balloted(step, m.Term, m.From, 0, 0, refusal)
+	case m.Kind == VoteReply && m.Term == term && c.mayWinTerm():
+		c.recordElectionEvent(step, m.Term, m.From, 0, 0, refusal)
 		c.countVote(m.From, !m.Rejected)
 	case m.Kind == PreVoteReply && c.role == PreCandidate && (m.Rejected && m.Term == term || !m.Rejected && m.Term == term+1):
-		c.balloted(step, m.Term, m.From, 0, 0, refusal)
+		c.recordElectionEvent(step, m.Term, m.From, 0, 0, refusal)
 		c.countPreVote(m.From, !m.Rejected)
 	default:
-		c.balloted(step, m.Term, m.From, 0, 0, RefusalLate)
+		c.recordElectionEvent(step, m.Term, m.From, 0, 0, RefusalLate)
 	}
 }
 
-// stands reports whether votes of the present term make this host its leader: it has
-// asked for them, and nobody leads.
+// mayWinTerm reports whether votes of the current term can still make this host its leader: it has
+// requested them, and no leader is known.
 //
-// Where syncs take a good part of the election timeout, a vote arrives when the
-// candidate has begun to ask anew whether it would get one. Thrown away then, it is
-// the only one that its voter may give in the term, and no term has a leader: the group
-// accepts nothing for as long as its disks are slow. A vote is as good late as early,
-// since neither the term nor the candidate's log can have changed.
-func (c *Core) stands() bool {
-	return c.role != Leader && c.leader == 0 && c.votesOf == c.hard.Term
+// If syncs take a large part of the election timeout, a vote may arrive after the candidate has
+// already returned to requesting pre-votes. It is the only vote that its sender may grant in the
+// term: if it were discarded, no term would get a leader and the group would accept no proposals
+// for as long as its disks are slow. A late vote is as valid as an early one, since neither the
+// term nor the candidate's log can have changed.
+func (c *Core) mayWinTerm() bool {
+	return c.role != Leader && c.leader == 0 && c.votesTerm == c.hard.Term
 }
 
-// stepTimeoutNow campaigns at the leader's wish.
+// stepTimeoutNow campaigns on the leader's request.
 func (c *Core) stepTimeoutNow(m Message) {
 	if m.Term == c.hard.Term && c.role == Follower && m.From == c.leader && c.isVoter() {
 		c.campaign(true)
--- a/internal/coordination/replicator/entry.go
+++ b/internal/coordination/replicator/entry.go
@@ -6,11 +6,11 @@
 	"github.com/juju/errors"
 )
 
-// entryHeadSize is the size of term and kind in an encoded entry; the index is
-// the journal's.
+// entryHeadSize is the size in bytes of the term and kind in an encoded entry. The index is not
+// encoded; it is that of the journal record.
 const entryHeadSize = 8 + 1
 
-// entryOverhead is what an entry is counted for besides its data.
+// entryOverhead is the number of bytes that an entry counts for in addition to its data.
 const entryOverhead = 64
 
 // encodeEntry returns the entry's record for the journal.
@@ -21,10 +21,10 @@
 	return append(b, e.Data...)
 }
 
-// decodeEntry reads a record of the journal. The entry's data aliases it.
+// decodeEntry decodes a journal record. The entry's data aliases the record.
 func decodeEntry(index uint64, record []byte) (Entry, error) {
 	if len(record) < entryHeadSize {
-		return Entry{}, errors.Errorf("entry %d has only %d bytes", index, len(record))
+		return Entry{}, errors.Errorf("entry %d is too short: %d bytes", index, len(record))
 	}
 	return Entry{
 		Index: index,
@@ -34,5 +34,5 @@
 	}, nil
 }
 
-// entrySize returns what an entry counts for in bounds on bytes.
+// entrySize returns the number of bytes that an entry counts for in size limits.
 func entrySize(e Entry) int { return len(e.Data) + entryOverhead }
--- a/internal/coordination/replicator/event.go
+++ b/internal/coordination/replicator/event.go
@@ -2,7 +2,7 @@
 
 import "marigoldpoint.example/marigoldpoint/internal/state/snapshotter"
 
-// event is what the loop takes in.
+// event is an input of the replicator's loop.
 type event interface{ event() }
 
 type (
@@ -33,7 +33,7 @@
 func (transferRequest) event() {}
 func (snapshotTaken) event()   {}
 
-// outcome is what became of a proposal.
+// outcome is the result of a proposal.
 type outcome struct {
 	index  uint64
 	result any
--- a/internal/coordination/replicator/faults_test.go
+++ b/internal/coordination/replicator/faults_test.go
@@ -10,16 +10,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// quiet returns a simulation of three voters and a spare whose network loses
-// nothing by itself, with a leader.
-func quiet(seed uint64) *simulation {
+// newFaultFreeSimulation returns a simulation of three voters and a spare host on a reliable
+// network, after the election of a leader.
+func newFaultFreeSimulation(seed uint64) *simulation {
 	fail := func(format string, args ...any) { ginkgo.Fail(fmt.Sprintf(format, args...)) }
 	s := newSimulation(fail, rand.New(rand.NewPCG(seed, 0)), 3, 1, 200)
 	s.run(20, false)
 	return s
 }
 
-// leader returns the host that leads the highest term.
+// leader returns the host that leads in the highest term, nil if there is none.
 func (s *simulation) leader() *simulatedHost {
 	var found *simulatedHost
 	for _, h := range s.hosts {
@@ -31,33 +31,33 @@
 	return found
 }
 
-// others returns the voters besides h.
-func (s *simulation) others(h *simulatedHost) (a, b *simulatedHost) {
+// otherVoters returns the voters other than h.
+func (s *simulation) otherVoters(h *simulatedHost) (a, b *simulatedHost) {
 	i := int(h.id) % 3
 	return s.hosts[i], s.hosts[(i+1)%3]
 }
 
-// replace carries out what an operator does for a host that lost its disk.
+// replace performs the operator's procedure for a host that lost its disk.
 func (s *simulation) replace(h *simulatedHost) {
 	steps := []Change{RemoveMember{h.id}, AddLearner{Member{ID: h.id, Address: "new"}}, PromoteLearner{h.id}}
 	for _, c := range steps {
 		l := s.leader()
 		_, _, err := l.replica.core.ProposeChange(c)
 		Expect(err).NotTo(HaveOccurred())
-		s.finish(l, nil)
+		s.advanceHost(l, nil)
 		s.run(10, false)
 	}
 }
 
-var _ = ginkgo.Describe("lost and old disks", func() {
-	// Symptom: an accepted change is gone though only one disk was ever lost at
-	// a time. Events: a change is on hosts A and B while C is cut off; B loses
-	// its disk and comes back under its old number; A is cut off. Cause: the
-	// empty B votes for C, which never had the change.
-	ginkgo.It("gives an empty disk no vote under the old identity", func() {
-		s := quiet(1)
+var _ = ginkgo.Describe("lost and stale disks", func() {
+	// Guards against the loss of an accepted change although only one disk is lost at a time. The
+	// change is on hosts A and B while C is cut off. B loses its disk and returns under its old
+	// number; A is cut off. If the empty B could vote, it would elect C, which never received the
+	// change.
+	ginkgo.It("does not let an empty disk vote under the old identity", func() {
+		s := newFaultFreeSimulation(1)
 		a := s.leader()
-		b, c := s.others(a)
+		b, c := s.otherVoters(a)
 		s.isolate(c)
 		s.propose(a)
 		s.run(5, false)
@@ -65,19 +65,18 @@
 		s.cut = make(map[[2]HostID]bool)
 		s.isolate(a)
 		s.run(60, false)
-		Expect(s.leader()).To(BeNil(), "nobody may be elected")
+		Expect(s.leader()).To(BeNil(), "no host may be elected")
 		Expect(b.replica.core.isVoter()).To(BeFalse())
 		s.heal()
 	})
 
-	// Symptom: a change is lost right after a repair. Events: as before, but B
-	// is removed, added again and promoted; then A loses its disk. Cause: B was
-	// counted as a voter before it had caught up, or C is elected without the
-	// change.
-	ginkgo.It("survives the loss of a second host right after the repair", func() {
-		s := quiet(2)
+	// Guards against the loss of a change right after a repair. As above, but B is removed, added
+	// again and promoted, and then A loses its disk. The change would be lost if B counted as a
+	// voter before it has caught up, or if C were elected without the change.
+	ginkgo.It("survives the loss of a second host right after a repair", func() {
+		s := newFaultFreeSimulation(2)
 		a := s.leader()
-		b, c := s.others(a)
+		b, c := s.otherVoters(a)
 		s.isolate(c)
 		s.propose(a)
 		s.run(5, false)
@@ -94,13 +93,13 @@
 		s.heal()
 	})
 
-	// Symptom: a host acknowledges less than it did. Events: a copy of its
-	// folder is put back after more was acknowledged. Cause: the copy has the
-	// same identity, so that the leader would count what it no longer holds.
+	// Guards against a host that no longer holds what it acknowledged. Its folder is replaced by an
+	// older copy. The copy has the same identity, so that the leader would count entries that the
+	// host has lost.
 	ginkgo.It("stops a host whose folder is an old copy", func() {
-		s := quiet(3)
+		s := newFaultFreeSimulation(3)
 		a := s.leader()
-		b, _ := s.others(a)
+		b, _ := s.otherVoters(a)
 		old := b.disk.Copy()
 		s.propose(a)
 		s.run(5, false)
@@ -114,27 +113,26 @@
 		Expect(back.Acknowledged).To(BeNumerically(">", back.Last))
 	})
 
-	// Symptom: two groups of the same name. Events: the host that formed the
-	// group loses its disk and starts with its bootstrap list again. Cause: it
-	// can't know that a group exists, unless the others are asked.
+	// Guards against two groups of the same name. The host that formed the group loses its disk and
+	// starts again with its bootstrap list. It can't know that a group exists unless it asks the
+	// others.
 	ginkgo.It("forms no second group", func() {
-		s := quiet(4)
+		s := newFaultFreeSimulation(4)
 		h := s.hosts[0]
 		s.wipe(h)
 		s.run(30, false)
-		Expect(h.replica.founder).To(BeNil())
+		Expect(h.replica.bootstrapper).To(BeNil())
 		Expect(h.replica.identity.Formation).To(BeZero())
 		s.heal()
 	})
 })
 
 var _ = ginkgo.Describe("crashes", func() {
-	// Symptom: a host doesn't start, or its group loses a change, after a crash
-	// at one particular moment. Events: one disk crashes at its n-th durable
-	// step, for each n of a run with bootstrap, elections, truncations,
-	// snapshots and compactions, and the host restarts. Cause: two durable
-	// steps in the wrong order.
-	ginkgo.It("between every two durable steps lose nothing", func() {
+	// Guards against two durable steps in the wrong order: a host that does not start, or a group
+	// that loses a change, after a crash at one particular moment. One disk crashes at its n-th
+	// durable step, for each n of a run with bootstrap, elections, truncations, snapshots and
+	// compactions, and the host restarts.
+	ginkgo.It("between any two durable steps lose nothing", func() {
 		n := 1
 		for ; n < 1000; n++ {
 			s := newSimulation(func(format string, args ...any) {
@@ -146,7 +144,7 @@
 			h.disk.Wipe()
 			h.disk.CrashIn(n)
 			s.start(h)
-			s.story()
+			s.runScenario()
 			if s.faults == 0 {
 				break
 			}
@@ -157,8 +155,8 @@
 	})
 })
 
-// story lets a group be formed, change leaders and take snapshots.
-func (s *simulation) story() {
+// runScenario forms a group, changes its leader and takes snapshots.
+func (s *simulation) runScenario() {
 	for range 3 {
 		s.run(12, false)
 		for range 6 {
@@ -177,13 +175,13 @@
 }
 
 var _ = ginkgo.Describe("links and clocks", func() {
-	// Symptom: the group has no leader for most of the time. Events: one host
-	// doesn't hear the leader, but all others do. Cause: it campaigns with ever
-	// higher terms and deposes the leader each time.
-	ginkgo.It("keeps the leader when one host can't hear it", func() {
-		s := quiet(5)
+	// Guards against a group that has no leader most of the time. One host does not receive the
+	// leader's messages, all others do. Without pre-votes it would campaign with ever higher terms
+	// and depose the leader each time.
+	ginkgo.It("keeps the leader when one host does not receive its messages", func() {
+		s := newFaultFreeSimulation(5)
 		l := s.leader()
-		a, _ := s.others(l)
+		a, _ := s.otherVoters(l)
 		term := l.replica.core.hard.Term
 		s.cut[[2]HostID{l.id, a.id}] = true
 		s.run(100, false)
@@ -192,13 +190,12 @@
 		s.heal()
 	})
 
-	// Symptom: a leader goes on for ever though nothing is ever committed.
-	// Events: its heartbeats arrive, the answers don't. Cause: followers are
-	// content with heartbeats; only the leader can notice.
-	ginkgo.It("replaces a leader that doesn't hear its followers", func() {
-		s := quiet(6)
+	// Guards against a leader that stays although nothing is committed. Its heartbeats arrive, the
+	// replies don't. Heartbeats satisfy the followers, so that only the leader can detect this.
+	ginkgo.It("replaces a leader that does not receive replies", func() {
+		s := newFaultFreeSimulation(6)
 		l := s.leader()
-		a, b := s.others(l)
+		a, b := s.otherVoters(l)
 		s.cut[[2]HostID{a.id, l.id}], s.cut[[2]HostID{b.id, l.id}] = true, true
 		s.run(40, false)
 		Expect(s.leader()).NotTo(BeIdenticalTo(l))
@@ -206,16 +203,16 @@
 		s.heal()
 	})
 
-	// Symptom: a read under the lease misses an accepted change. Events: one
-	// follower doesn't hear the leader and campaigns; the other one has just
-	// answered it, restarts, and gives its vote; the leader is cut off. Cause:
-	// the restarted host has forgotten that the leader relies on its silence.
-	ginkgo.It("holds no lease that a restarted follower has forgotten", func() {
+	// Guards against a read under the lease that misses an accepted change. One follower does not
+	// receive the leader's messages and campaigns; the other one has just answered the leader,
+	// restarts and grants its vote; the leader is cut off. The restarted host must not forget that
+	// the lease depends on it granting no votes.
+	ginkgo.It("holds no lease that a restarted follower no longer respects", func() {
 		elections := 0
 		for seed := range uint64(40) {
-			s := quiet(seed)
+			s := newFaultFreeSimulation(seed)
 			l := s.leader()
-			a, b := s.others(l)
+			a, b := s.otherVoters(l)
 			s.cut[[2]HostID{l.id, a.id}] = true
 			s.run(10, false)
 			s.isolate(l)
@@ -229,23 +226,22 @@
 		Expect(elections).To(BeNumerically(">", 60))
 	})
 
-	// Symptom: as before. Events: the answers of the followers are held back on
-	// the way, the leader is muted, others elect a new one, the answers arrive.
-	// Cause: a lease counted from the arrival of answers, not from the round
-	// that they answer.
-	ginkgo.It("counts a lease from the round that was answered", func() {
+	// Guards against the same, with a lease counted from the arrival of replies instead of the
+	// start of the round that they answer. The followers' replies are delayed, the leader's
+	// messages are lost, the others elect a new leader, and then the replies arrive.
+	ginkgo.It("counts a lease from the start of the answered round", func() {
 		for seed := range uint64(40) {
-			s := quiet(seed)
+			s := newFaultFreeSimulation(seed)
 			l := s.leader()
-			s.act(heldBack)
+			s.act(repliesDelayed)
 			s.run(1, false)
-			s.act(muted)
+			s.act(leaderMuted)
 			for c := l.replica.core; c.LeaseUntil()-c.clock > 2*simulatedTick; {
 				s.tick()
 				s.deliver(false)
 			}
 			Expect(l.replica.core.role).To(Equal(Leader))
-			s.act(released)
+			s.act(repliesReleased)
 			s.tick()
 			s.deliver(false)
 			s.isolate(l)
@@ -255,9 +251,9 @@
 		}
 	})
 
-	// Symptom: a lease seems valid for hours. Events: the wall clock is set
-	// back. Cause: an end of the lease in that clock's time is far ahead.
-	ginkgo.It("goes on after a clock is set back", func() {
+	// Guards against a lease that stays valid for hours. The wall clock is set back; the end of a
+	// lease measured on that clock would be far in the future.
+	ginkgo.It("continues after a clock is set back", func() {
 		now := time.Unix(1000, 0)
 		c := newClock(func() time.Time { return now })
 		now = now.Add(time.Second)
@@ -270,13 +266,12 @@
 })
 
 var _ = ginkgo.Describe("snapshots and membership", func() {
-	// Symptom: a slow follower never catches up. Events: it needs a snapshot of
-	// many pieces, and restarts before the last one. Cause: each restart throws
-	// away the pieces that it has.
-	ginkgo.It("resume after a restart of the receiver", func() {
-		s := quiet(7)
+	// Guards against a slow follower that never catches up. It needs a snapshot of many pieces and
+	// restarts before the last one; the pieces received so far must survive the restart.
+	ginkgo.It("resumes a snapshot transfer after a restart of the receiver", func() {
+		s := newFaultFreeSimulation(7)
 		l := s.leader()
-		a, _ := s.others(l)
+		a, _ := s.otherVoters(l)
 		s.isolate(a)
 		for range 30 {
 			s.propose(l)
@@ -294,11 +289,11 @@
 		s.heal()
 	})
 
-	// Symptom: two leaders after a change of the membership. Events: two
-	// operators remove and add hosts at once. Cause: majorities of
-	// configurations that differ by two voters need not meet.
+	// Guards against two leaders after a change of the membership. Two operators remove and add
+	// hosts at the same time. Majorities of configurations that differ by two voters need not
+	// intersect.
 	ginkgo.It("refuses a second change while one is in progress", func() {
-		s := quiet(8)
+		s := newFaultFreeSimulation(8)
 		c := s.leader().replica.core
 		_, _, err := c.ProposeChange(AddLearner{Member{ID: 4, Address: "4"}})
 		Expect(err).NotTo(HaveOccurred())
@@ -311,14 +306,13 @@
 })
 
 var _ = ginkgo.Describe("slow followers", func() {
-	// Symptom: a leader runs out of memory. Events: its followers stop
-	// answering while callers go on proposing. Cause: messages or entries
-	// without bound wait for answers.
-	ginkgo.It("bound what goes out without an answer, and what waits for a commit", func() {
-		s := quiet(9)
+	// Guards against a leader that runs out of memory. Its followers stop answering while callers
+	// continue to propose; the messages and entries that wait for replies must be bounded.
+	ginkgo.It("leave a bounded amount of messages unanswered and of entries uncommitted", func() {
+		s := newFaultFreeSimulation(9)
 		l := s.leader()
 		c := l.replica.core
-		a, _ := s.others(l)
+		a, _ := s.otherVoters(l)
 		s.isolate(l)
 		var refused ErrNotAccepted
 		for err := error(nil); !errors.As(err, &refused); {
@@ -329,6 +323,6 @@
 		Expect(c.pendingBytes).To(BeNumerically("<=", DefaultPendingBytes))
 		Expect(c.pendingBytes).To(BeNumerically(">", DefaultPendingBytes/2))
 		Expect(len(c.peers[a.id].window)).To(BeNumerically("<=", DefaultWindowMessages))
-		Expect(len(c.out.Early)).To(BeNumerically("<=", 2*(DefaultWindowMessages+1)))
+		Expect(len(c.pending.Early)).To(BeNumerically("<=", 2*(DefaultWindowMessages+1)))
 	})
 })
--- a/internal/coordination/replicator/follower.go
+++ b/internal/coordination/replicator/follower.go
@@ -6,8 +6,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/snapshotter"
 )
 
-// Step takes in a message of the group that is meant for this disk. An error
-// means that the host must stop.
+// Step handles a message that is addressed to this group and disk. An error means that the host
+// must stop.
 func (c *Core) Step(m Message) error {
 	switch m.Kind {
 	case PreVoteRequest:
@@ -17,49 +17,49 @@
 	case AppendRequest, SnapshotRequest:
 		return c.stepFromLeader(m)
 	case PreVoteReply, VoteReply:
-		c.seeTerm(m)
+		c.observeTerm(m)
 		c.stepVoteReply(m)
 	case AppendReply, SnapshotReply:
-		c.seeTerm(m)
+		c.observeTerm(m)
 		c.stepToLeader(m)
 	case TimeoutNow:
-		c.seeTerm(m)
+		c.observeTerm(m)
 		c.stepTimeoutNow(m)
 	case FoundRequest, FoundReply:
-		// The owner answers them before there is a group.
+		// The owner handles these before the group is formed.
 	}
 	return nil
 }
 
-// seeTerm follows a newer term. A granted pre-vote names only the term that the
-// campaign would have.
-func (c *Core) seeTerm(m Message) {
+// observeTerm adopts a higher term. A granted pre-vote is excluded: it carries the term of the
+// campaign that is only being considered.
+func (c *Core) observeTerm(m Message) {
 	if m.Term > c.hard.Term && (m.Kind != PreVoteReply || m.Rejected) {
 		c.becomeFollower(m.Term, 0)
 	}
 }
 
-// stepFromLeader handles what only a leader sends.
+// stepFromLeader handles messages that only a leader sends.
 func (c *Core) stepFromLeader(m Message) error {
 	if m.Term < c.hard.Term {
-		// A leader of an older term learns of the newer one. Without this a
-		// host that has raised its term alone could never be reached again.
+		// The reply tells the leader of an older term about the newer one. Without it a host that
+		// alone has incremented its term could never be reached again.
 		c.send(Message{Kind: AppendReply, To: m.From, ToIncarnation: m.FromIncarnation, Rejected: true, LogIndex: m.LogIndex, Hint: c.log.last() + 1})
 		return nil
 	}
 	if c.role == Leader && m.Term == c.hard.Term {
-		return errors.Trace(ErrDiverged{Reason: "another host leads this host's own term"})
+		return errors.Trace(ErrDiverged{Reason: "another host leads in this leader's term"})
 	}
 	c.becomeFollower(m.Term, m.From)
-	c.heardAt, c.heardAge = c.clock, m.QuorumAge
-	c.promisedUntil = c.clock + c.settings.ElectionTimeout
+	c.leaderContactAt, c.leaderQuorumAge = c.clock, m.QuorumAge
+	c.votesWithheldUntil = c.clock + c.settings.ElectionTimeout
 	c.resetCampaign()
 	if c.log.last() < m.Counted {
 		return errors.Trace(ErrStaleDisk{Last: c.log.last(), Acknowledged: m.Counted})
 	}
 	if m.Kind == SnapshotRequest {
 		if m.Snapshot != nil && m.Snapshot.Index > c.commit {
-			c.out.Pieces = append(c.out.Pieces, m)
+			c.pending.Pieces = append(c.pending.Pieces, m)
 			return nil
 		}
 		c.acceptAppend(m, c.commit)
@@ -68,8 +68,8 @@
 	return c.appendEntries(m)
 }
 
-// appendEntries takes entries over where they fit the log. A message whose
-// entries have gaps is ignored.
+// appendEntries appends entries if they match the log. A message whose entries have gaps is
+// ignored.
 func (c *Core) appendEntries(m Message) error {
 	for i, e := range m.Entries {
 		if e.Index != m.LogIndex+1+uint64(i) {
@@ -77,7 +77,7 @@
 		}
 	}
 	if m.LogIndex < c.commit {
-		// Committed entries agree; what follows them is looked at.
+		// Committed entries agree by definition; only those after them are compared.
 		known := c.commit - m.LogIndex
 		if known >= uint64(len(m.Entries)) {
 			c.acceptAppend(m, c.commit)
@@ -114,14 +114,14 @@
 	return nil
 }
 
-// acceptAppend tells the leader up to where the disk will agree once all that
-// Ready asks for is persisted.
+// acceptAppend acknowledges the log up to agreed. The reply is sent after the output of Ready has
+// been persisted.
 func (c *Core) acceptAppend(m Message, agreed uint64) {
 	c.send(Message{Kind: AppendReply, To: m.From, ToIncarnation: m.FromIncarnation, LogIndex: agreed, Round: m.Round})
 }
 
-// conflictHint returns the first entry of the term that stands at index, or the
-// one after the log's end: whole terms are skipped in one exchange.
+// conflictHint returns the first index of the term at index, or the index after the end of the log.
+// The leader thereby skips a whole term in one round trip.
 func (c *Core) conflictHint(index uint64) uint64 {
 	if index > c.log.last() {
 		return c.log.last() + 1
@@ -133,25 +133,23 @@
 	return index
 }
 
-// truncate drops entries of an older leader, with the configurations in them.
+// truncate drops the entries from index on, with the configurations in them.
 func (c *Core) truncate(index uint64) {
 	c.log.truncate(index)
-	for c.changeIndex() >= index {
+	for c.configurationIndex() >= index {
 		c.configurations = c.configurations[:len(c.configurations)-1]
 	}
 }
 
-// PieceStored answers a piece that Ready handed out: next is the offset wanted
-// next.
+// PieceStored acknowledges a piece that Ready returned; next is the offset of the next piece.
 func (c *Core) PieceStored(m Message, next int64) {
 	p := *m.Snapshot
 	p.Offset, p.Data = next, nil
 	c.send(Message{Kind: SnapshotReply, To: m.From, ToIncarnation: m.FromIncarnation, Snapshot: &p, Round: m.Round})
 }
 
-// Install takes over a snapshot that has become complete on the disk, and
-// returns whether the disk's entries are to be dropped, so that the next one is
-// the one after the snapshot.
+// Install adopts a snapshot that has been stored completely. It returns whether the owner must drop
+// the entries on the disk, so that the next one follows the snapshot.
 func (c *Core) Install(m Message, snapshot snapshotter.Metadata, configuration Configuration) (dropEntries bool) {
 	if snapshot.Index <= c.commit {
 		return false
@@ -159,21 +157,21 @@
 	dropEntries = !c.log.holds(snapshot.Index, snapshot.Term) || c.log.persisted < snapshot.Index
 	if dropEntries {
 		c.log.reset(snapshot.Index, snapshot.Term)
-		c.configurations = []boundConfiguration{{index: snapshot.Index, Configuration: configuration}}
+		c.configurations = []indexedConfiguration{{index: snapshot.Index, Configuration: configuration}}
 	}
-	c.commit, c.handed = snapshot.Index, snapshot.Index
+	c.commit, c.emitted = snapshot.Index, snapshot.Index
 	c.snapshot = snapshot
 	c.acceptAppend(m, snapshot.Index)
 	return dropEntries
 }
 
-// Compact takes up a snapshot made by this host, and lets go of the entries up
-// to keepAfter, which is at most the snapshot's index.
+// Compact adopts a snapshot taken by this host, and drops the entries up to keepAfter, which must
+// not exceed the snapshot's index.
 func (c *Core) Compact(snapshot snapshotter.Metadata, keepAfter uint64) {
 	if snapshot.Index > c.snapshot.Index {
 		c.snapshot = snapshot
 	}
-	c.log.compact(min(keepAfter, c.handed))
+	c.log.compact(min(keepAfter, c.emitted))
 	for len(c.configurations) > 1 && c.configurations[1].index <= c.log.base {
 		c.configurations = c.configurations[1:]
 	}
--- a/internal/coordination/replicator/founder.go
+++ b/internal/coordination/replicator/founder.go
@@ -7,21 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// founder gathers, on the host with the lowest ID of the bootstrap list, the
-// word of all others that they are new. A host that lost its disk and starts
-// with its old settings would otherwise form a second group, beside the one
-// that the others still belong to; here one old host is enough to refuse it.
-type founder struct {
-	self      HostID
-	members   []Member
-	digest    uint64
-	answered  map[HostID]uint64
-	refusedBy HostID
-	askAt     time.Duration
+// bootstrapper asks all other hosts of the bootstrap list to confirm that they are new, and then
+// gives the group's first configuration. It runs on the host with the lowest ID of the list. A host
+// that lost its disk and starts with its old settings would otherwise form a second group beside
+// the existing one; here the refusal of a single member prevents it.
+type bootstrapper struct {
+	self          HostID
+	members       []Member
+	digest        uint64
+	incarnations  map[HostID]uint64
+	refusedBy     HostID
+	nextRequestAt time.Duration
 }
 
-// newFounder returns nil where this host forms no group.
-func newFounder(s Settings, incarnation uint64) *founder {
+// newBootstrapper returns nil if this host does not form a group.
+func newBootstrapper(s Settings, incarnation uint64) *bootstrapper {
 	for _, m := range s.Bootstrap {
 		if m.ID < s.Self.ID {
 			return nil
@@ -30,13 +30,13 @@
 	if len(s.Bootstrap) == 0 {
 		return nil
 	}
-	return &founder{
+	return &bootstrapper{
 		self: s.Self.ID, members: s.Bootstrap, digest: digestMembers(s.Bootstrap),
-		answered: map[HostID]uint64{s.Self.ID: incarnation},
+		incarnations: map[HostID]uint64{s.Self.ID: incarnation},
 	}
 }
 
-// digestMembers identifies a bootstrap list, whatever its order.
+// digestMembers returns a hash of a bootstrap list that does not depend on its order.
 func digestMembers(members []Member) uint64 {
 	sorted := Configuration{}
 	for _, m := range members {
@@ -49,41 +49,41 @@
 	return xxhash.Sum64(b)
 }
 
-// tick returns the questions to send now.
-func (f *founder) tick(now, interval time.Duration) []Message {
-	if now < f.askAt || f.refusedBy != 0 {
+// tick returns the requests to send now. Unanswered hosts are asked again after interval.
+func (b *bootstrapper) tick(now, interval time.Duration) []Message {
+	if now < b.nextRequestAt || b.refusedBy != 0 {
 		return nil
 	}
-	f.askAt = now + interval
+	b.nextRequestAt = now + interval
 	var out []Message
-	for _, m := range f.members {
-		if _, ok := f.answered[m.ID]; !ok {
-			out = append(out, Message{Kind: FoundRequest, To: m.ID, Digest: f.digest})
+	for _, m := range b.members {
+		if _, ok := b.incarnations[m.ID]; !ok {
+			out = append(out, Message{Kind: FoundRequest, To: m.ID, Digest: b.digest})
 		}
 	}
 	return out
 }
 
-// step takes in an answer.
-func (f *founder) step(m Message) {
-	if m.Digest != f.digest {
+// step handles a reply.
+func (b *bootstrapper) step(m Message) {
+	if m.Digest != b.digest {
 		return
 	}
 	if m.Rejected {
-		f.refusedBy = m.From
+		b.refusedBy = m.From
 		return
 	}
-	f.answered[m.From] = m.FromIncarnation
+	b.incarnations[m.From] = m.FromIncarnation
 }
 
-// done returns the first configuration once all have answered.
-func (f *founder) done() (Configuration, bool) {
+// initialConfiguration returns the first configuration, and false until all hosts have agreed.
+func (b *bootstrapper) initialConfiguration() (Configuration, bool) {
 	var c Configuration
-	if f.refusedBy != 0 {
+	if b.refusedBy != 0 {
 		return c, false
 	}
-	for _, m := range f.members {
-		incarnation, ok := f.answered[m.ID]
+	for _, m := range b.members {
+		incarnation, ok := b.incarnations[m.ID]
 		if !ok {
 			return c, false
 		}
--- a/internal/coordination/replicator/freezer_test.go
+++ b/internal/coordination/replicator/freezer_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// slowTally is a tally whose snapshots are written once the test lets them.
+// slowTally is a tally whose snapshots are written only once the test releases them.
 type slowTally struct {
 	tally
 	begun   chan uint64
@@ -25,10 +25,9 @@
 	}
 }
 
-// Symptom: accepted changes wait for most of a second, every SnapshotEvery
-// entries, on all hosts at about the same time. Events: a snapshot of a large
-// state is due; changes come while it is written. Cause: the goroutine that
-// applies changes wrote the snapshot.
+// Guards against accepted changes that are delayed for most of a second, every SnapshotEvery
+// entries, on all hosts at about the same time. A snapshot of a large state is due, and changes
+// arrive while it is written. They would wait if the applying goroutine wrote the snapshot.
 func TestChangesAreAppliedWhileASnapshotIsWritten(t *testing.T) {
 	RegisterTestingT(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -44,9 +43,9 @@
 		g.leader(0)
 		g.stop(1)
 		slow := &slowTally{begun: make(chan uint64, 1), release: make(chan struct{})}
-		r, err := NewReplicator(g.settings(1), slow, wireEnd{wire: g.wire, self: 1})
+		r, err := NewReplicator(g.settings(1), slow, testTransport{network: g.network, self: 1})
 		Expect(err).NotTo(HaveOccurred())
-		g.wire.hosts[1] = r
+		g.network.hosts[1] = r
 		g.leader(0)
 		propose := func(n int) {
 			for range n {
@@ -59,7 +58,7 @@
 		propose(20)
 		Expect(slow.get()).To(Equal(uint64(30)))
 		Expect(taken).To(BeEmpty())
-		Expect(slow.begun).To(BeEmpty(), "two snapshots at once")
+		Expect(slow.begun).To(BeEmpty(), "concurrent snapshots")
 
 		close(slow.release)
 		first := <-taken
@@ -68,7 +67,7 @@
 		g.stop(1)
 		g.start(1)
 		g.leader(0)
-		Expect(g.wire.hosts[1].ReadBarrier(context.Background())).To(Succeed())
+		Expect(g.network.hosts[1].ReadBarrier(context.Background())).To(Succeed())
 		Expect(g.machines[1].get()).To(Equal(uint64(30)))
 		g.close()
 	})
--- a/internal/coordination/replicator/leader.go
+++ b/internal/coordination/replicator/leader.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// leadership is the state of a leader; it is empty in all other roles.
+// leadership is the state of a leader; it is zero in all other roles.
 type leadership struct {
-	// peers holds the progress of all other members in force.
+	// peers holds the progress of all other members of the configuration in force.
 	peers map[HostID]*progress
-	// opened is the index of the blank entry that opened the term. Until it is
-	// committed neither reads nor changes of the membership are served.
-	opened uint64
-	// pendingBytes is the size of the entries after commit.
+	// termStart is the index of the blank entry that starts the term. Until it is committed, reads
+	// and changes of the membership are not served.
+	termStart uint64
+	// pendingBytes is the size of the uncommitted entries.
 	pendingBytes int
-	// round is the number of the latest heartbeat round; begun holds when each
-	// round from firstRound on was begun.
+	// round is the number of the latest heartbeat round; roundStarts holds the start times of the
+	// rounds from firstRound on.
 	round, firstRound uint64
-	begun             []time.Duration
-	// electedAt is when the leadership began.
+	roundStarts       []time.Duration
+	// electedAt is the time of the election.
 	electedAt time.Duration
-	// doubt is set while no majority has answered for as long as a lease lasts: another
-	// leader may exist. Nothing is accepted then, and the host may vote.
-	doubt bool
-	// heartbeatAt is when the next round is due.
+	// quorumLost is set if no majority has answered for the length of a lease: another leader may
+	// exist. The host then accepts no proposals or reads, and may vote.
+	quorumLost bool
+	// heartbeatAt is the time of the next round.
 	heartbeatAt time.Duration
-	// transferTo is the host that leadership goes to, 0 for none, and
-	// transferEnd when the attempt is given up. The lease is void meanwhile.
-	transferTo  HostID
-	transferEnd time.Duration
-	// transferAsked is set once the target was asked to campaign.
-	transferAsked bool
-	// reads are waiting to be answered.
+	// transferTo is the host to which leadership is being transferred, 0 if none, and
+	// transferDeadline the time at which the attempt ends. The lease is not valid during a
+	// transfer.
+	transferTo       HostID
+	transferDeadline time.Duration
+	// transferRequested is set once the target has been asked to campaign.
+	transferRequested bool
+	// reads are the unanswered reads.
 	reads []pendingRead
 }
 
-// becomeLeader opens the term with an entry of its own.
+// becomeLeader makes the host the leader and appends the blank entry that starts the term.
 func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leader = c.settings.Self
-	// A vote that arrives after it has stepped down again must not bring it back: its
-	// lease is void, and others may have been told so.
-	c.votes, c.votesOf = nil, 0
+	// A vote that arrives after this leader has stepped down must not reinstate it: its lease has
+	// ended, and others may have been told so.
+	c.votes, c.votesTerm = nil, 0
 	c.leadership = leadership{peers: make(map[HostID]*progress), electedAt: c.clock, firstRound: 1}
 	for _, e := range c.log.between(c.commit, c.log.last()) {
 		c.pendingBytes += entrySize(e)
 	}
 	c.syncPeers()
-	c.opened = c.appendOwn(EntryBlank, nil)
+	c.termStart = c.appendEntry(EntryBlank, nil)
 	c.beginRound()
 }
 
-// syncPeers makes peers match the configuration in force.
+// syncPeers adds and removes peers to match the configuration in force.
 func (c *Core) syncPeers() {
 	configuration := c.Configuration()
 	for id := range c.peers {
@@ -66,8 +67,8 @@
 	}
 }
 
-// appendOwn appends an entry of this leader and returns its index.
-func (c *Core) appendOwn(kind EntryKind, data []byte) uint64 {
+// appendEntry appends an entry of this leader's term and returns its index.
+func (c *Core) appendEntry(kind EntryKind, data []byte) uint64 {
 	e := Entry{Index: c.log.last() + 1, Term: c.hard.Term, Kind: kind, Data: data}
 	if err := c.push(e); err != nil {
 		panic("replicator: own entry can't be decoded")
@@ -76,22 +77,22 @@
 	return e.Index
 }
 
-// Propose appends a command and returns its index and term. It returns an
-// error, and has no effect, where this host can't accept it now.
+// Propose appends a command and returns its index and term. The errors ErrNotLeader and
+// ErrNotAccepted mean that it has no effect.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
-	if c.role != Leader || c.doubt {
+	if c.role != Leader || c.quorumLost {
 		return 0, 0, c.notLeader()
 	}
 	if c.transferTo != 0 {
-		return 0, 0, ErrNotAccepted{Reason: "leadership is being handed over"}
+		return 0, 0, ErrNotAccepted{Reason: "leadership is being transferred"}
 	}
 	if c.pendingBytes+len(data) > c.settings.PendingBytes {
-		return 0, 0, ErrNotAccepted{Reason: "too many bytes wait to be committed"}
+		return 0, 0, ErrNotAccepted{Reason: "too many uncommitted bytes"}
 	}
-	return c.appendOwn(EntryCommand, data), c.hard.Term, nil
+	return c.appendEntry(EntryCommand, data), c.hard.Term, nil
 }
 
-// notLeader names the leader that is known.
+// notLeader returns an ErrNotLeader with the known leader.
 func (c *Core) notLeader() ErrNotLeader {
 	m, ok := c.Configuration().Find(c.leader)
 	if !ok || c.leader == c.settings.Self {
@@ -100,36 +101,35 @@
 	return ErrNotLeader{Leader: m}
 }
 
-// Flush sends out what was proposed since the last one. Many proposals share
-// its messages.
+// Flush sends the entries proposed since the last call, many of them in one message.
 func (c *Core) Flush() {
 	for _, m := range c.Configuration().Members {
 		if c.peers[m.ID] != nil {
-			c.feed(m.ID)
+			c.sendEntries(m.ID)
 		}
 	}
 }
 
-// feed sends a member all entries that its window allows.
-func (c *Core) feed(id HostID) {
+// sendEntries sends a member all entries that its window allows.
+func (c *Core) sendEntries(id HostID) {
 	p := c.peers[id]
 	for !p.full(&c.settings) && (p.state == receiving || p.next <= c.log.last()) {
 		c.sendAppend(id, true)
 	}
 }
 
-// sendAppend sends one append, or a piece where the log no longer reaches back.
+// sendAppend sends one append, or a snapshot piece if the log no longer reaches back far enough.
 func (c *Core) sendAppend(id HostID, withEntries bool) {
 	p := c.peers[id]
 	previous := p.next - 1
 	term, ok := c.log.term(previous)
 	if !ok && p.state != receiving {
-		p.become(receiving)
+		p.setState(receiving)
 		p.snapshot, p.offset = c.snapshot.Index, 0
 	}
-	m := c.stamp(Message{
+	m := c.fillHeader(Message{
 		To: id, ToIncarnation: p.incarnation, Commit: c.commit, Round: c.round,
-		Counted: p.match, QuorumAge: c.clock - c.quorumAt(),
+		Counted: p.match, QuorumAge: c.clock - c.quorumConfirmedAt(),
 	})
 	if p.state == receiving {
 		c.sendPiece(p, m)
@@ -143,31 +143,30 @@
 			for _, e := range m.Entries {
 				sum += entrySize(e)
 			}
-			p.noteSent(m.Entries[n-1].Index, sum, c.clock)
+			p.recordSent(m.Entries[n-1].Index, sum, c.clock)
 		}
 	}
-	p.told = c.commit
-	c.out.Early = append(c.out.Early, m)
+	p.sentCommit = c.commit
+	c.pending.Early = append(c.pending.Early, m)
 }
 
-// spreadCommit tells members of a new commit index that no append has carried
-// to them, so that they needn't wait for the next heartbeat to apply it.
-func (c *Core) spreadCommit() {
+// propagateCommit sends a new commit index to members that no append has carried it to, so that
+// they apply the entries before the next heartbeat.
+func (c *Core) propagateCommit() {
 	for _, m := range c.Configuration().Members {
 		id, p := m.ID, c.peers[m.ID]
-		if p != nil && p.state == replicating && p.told < c.commit && p.match > p.told {
+		if p != nil && p.state == replicating && p.sentCommit < c.commit && p.match > p.sentCommit {
 			c.sendAppend(id, false)
 		}
 	}
 }
 
-// beginRound sends each member a heartbeat of a new round. Its answers renew
-// the lease and confirm reads.
+// beginRound starts a heartbeat round. Replies to it renew the lease and confirm reads.
 func (c *Core) beginRound() {
 	c.round++
-	c.begun = append(c.begun, c.clock)
-	if old := len(c.begun) - maximumRounds; old > 0 {
-		c.begun = c.begun[old:]
+	c.roundStarts = append(c.roundStarts, c.clock)
+	if old := len(c.roundStarts) - maxTrackedRounds; old > 0 {
+		c.roundStarts = c.roundStarts[old:]
 		c.firstRound += uint64(old)
 	}
 	c.heartbeatAt = c.clock + c.settings.HeartbeatInterval
@@ -176,34 +175,35 @@
 		if p == nil {
 			continue
 		}
-		if p.waiting && c.clock-p.sentAt >= c.settings.ElectionTimeout {
-			// The probe or piece, or its answer, was lost.
-			p.waiting = false
+		if p.awaitingReply && c.clock-p.sentAt >= c.settings.ElectionTimeout {
+			// The probe or piece, or its reply, was lost.
+			p.awaitingReply = false
 		}
 		if p.state != receiving {
 			c.sendAppend(id, false)
-		} else if p.waiting {
-			c.sendEmptyPiece(id)
+		} else if p.awaitingReply {
+			c.sendSnapshotHeartbeat(id)
 		}
-		c.feed(id)
+		c.sendEntries(id)
 	}
 }
 
-// maximumRounds bounds the rounds whose time is remembered; answers to older
-// ones renew nothing.
-const maximumRounds = 256
+// maxTrackedRounds is the number of rounds whose start times are kept; replies to older rounds do
+// not renew the lease.
+const maxTrackedRounds = 256
 
-// tickLeader keeps heartbeats going, and steps down without a quorum.
+// tickLeader starts heartbeat rounds, ends an expired transfer, and steps down if the quorum is
+// lost.
 func (c *Core) tickLeader() {
-	if c.reviewDoubt(); c.role != Leader {
+	if c.checkQuorum(); c.role != Leader {
 		return
 	}
-	if c.transferTo != 0 && c.clock >= c.transferEnd && !c.transferAsked {
+	if c.transferTo != 0 && c.clock >= c.transferDeadline && !c.transferRequested {
 		c.transferTo = 0
 	}
-	if c.transferTo != 0 && c.clock >= c.transferEnd {
-		// The other host may still campaign on the lost request. A new term
-		// makes that request void, and with it this leader's lease true.
+	if c.transferTo != 0 && c.clock >= c.transferDeadline {
+		// The target may still act on the delayed request. A new term invalidates that request, so
+		// that this leader's lease is sound again.
 		c.campaign(true)
 		return
 	}
@@ -212,55 +212,55 @@
 	}
 }
 
-// doubtTimeouts is the number of election timeouts without an answer of a majority after
-// which a leader steps down. Followers that don't hear it wait for no longer than that
-// before they look for another.
-const doubtTimeouts = 2
+// quorumLossTimeouts is the number of election timeouts without replies from a majority after which
+// a leader steps down. Followers that do not hear from it campaign within this time.
+const quorumLossTimeouts = 2
 
-// reviewDoubt has a leader that no majority answers accept nothing, and in the end step
-// down: it is cut off, silently perhaps, and another leader may exist.
+// checkQuorum stops a leader from accepting proposals and reads while no majority answers, and
+// makes it step down after quorumLossTimeouts: it may be cut off, and another leader may exist.
 //
-// Followers that stand still for a moment, all at a busy disk, answer when they go on.
-// Were it to step down at once, each such moment would cost the group an election, in
-// which it accepts nothing for a second or more; in doubt it goes on with the answer.
-func (c *Core) reviewDoubt() {
+// Followers that stall for a moment, for instance all on a busy disk, answer as soon as they
+// continue. Stepping down at once would cost an election for each such stall, in which the group
+// accepts nothing for a second or more; a leader that only lost its quorum resumes with the
+// replies.
+func (c *Core) checkQuorum() {
 	silence := time.Duration(0)
 	if !c.soleVoter() {
 		silence = c.clock - c.answeredAt()
 	}
-	if silence >= doubtTimeouts*c.settings.ElectionTimeout {
+	if silence >= quorumLossTimeouts*c.settings.ElectionTimeout {
 		c.becomeFollower(c.hard.Term, 0)
 		return
 	}
-	if c.doubt = silence >= c.settings.ElectionTimeout-c.settings.LeaseDrift; c.doubt {
+	if c.quorumLost = silence >= c.settings.ElectionTimeout-c.settings.LeaseDrift; c.quorumLost {
 		c.failReads()
 	}
 }
 
-// stepToLeader handles a member's answer.
+// stepToLeader handles a member's reply.
 func (c *Core) stepToLeader(m Message) {
 	p := c.peers[m.From]
-	if c.role != Leader || m.Term != c.hard.Term || p == nil || !c.knownDisk(p, m) {
+	if c.role != Leader || m.Term != c.hard.Term || p == nil || !c.matchesDisk(p, m) {
 		return
 	}
 	p.answeredAt = c.clock
 	if m.Round > p.round && m.Round >= c.firstRound && m.Round <= c.round {
-		p.round, p.roundAt = m.Round, c.begun[m.Round-c.firstRound]
+		p.round, p.roundAt = m.Round, c.roundStarts[m.Round-c.firstRound]
 	}
 	switch {
 	case m.Kind == SnapshotReply:
-		c.stepPieceReply(p, m)
+		c.stepSnapshotReply(p, m)
 	case m.Rejected:
 		p.reject(m.LogIndex, m.Hint)
 	default:
 		c.stepAccepted(p, m)
 	}
-	c.feed(m.From)
+	c.sendEntries(m.From)
 	c.advanceCommit()
 	c.continueTransfer()
 }
 
-// stepAccepted records what the member's disk holds.
+// stepAccepted records the entries acknowledged by a member's disk.
 func (c *Core) stepAccepted(p *progress, m Message) {
 	if m.LogIndex > c.log.last() {
 		return
@@ -268,15 +268,15 @@
 	p.accept(m.LogIndex)
 	switch {
 	case p.state == probing, p.state == receiving && p.match >= p.snapshot:
-		p.become(replicating)
+		p.setState(replicating)
 		p.next = p.match + 1
 	}
 }
 
-// knownDisk reports whether an answer comes from the disk that the progress
-// belongs to. A learner is known by the first disk that answers; if another
-// one answers later, it has nothing of what the first one acknowledged.
-func (c *Core) knownDisk(p *progress, m Message) bool {
+// matchesDisk reports whether a reply comes from the disk whose progress p tracks. The first disk
+// that replies identifies a learner; if another one replies later, the progress starts over, since
+// that disk holds none of the acknowledged entries.
+func (c *Core) matchesDisk(p *progress, m Message) bool {
 	if p.incarnation == m.FromIncarnation {
 		return true
 	}
@@ -291,9 +291,9 @@
 	return true
 }
 
-// advanceCommit commits what a majority of disks holds, but only up from an
-// entry of its own term: an entry of an older term on a majority of disks may
-// still be overwritten by a leader that a different majority elects.
+// advanceCommit commits the entries that a majority of disks holds, provided that the last of them
+// is of the current term: an entry of an older term may still be overwritten by a leader that a
+// different majority elects, even if a majority of disks holds it.
 func (c *Core) advanceCommit() {
 	if c.role != Leader {
 		return
--- a/internal/coordination/replicator/lease.go
+++ b/internal/coordination/replicator/lease.go
@@ -2,38 +2,36 @@
 
 import "time"
 
-// pendingRead is a read that waits for proof that the host leads.
+// pendingRead is a read that waits for confirmation that this host leads.
 type pendingRead struct {
 	id uint64
-	// index is the commit index when the read came, and round the heartbeat
-	// round that must be confirmed; both are 0 until the term has an entry
-	// committed.
+	// index is the commit index at the time of the read, and round the heartbeat round that must be
+	// confirmed; both are 0 until an entry of the term is committed.
 	index, round uint64
 }
 
-// quorumAt returns the latest time for which it is proved that a majority
-// followed this leader: the beginning of a round that a majority has answered.
-// Just after the election it is the election.
-func (c *Core) quorumAt() time.Duration {
+// quorumConfirmedAt returns the latest time at which a majority provably followed this leader: the
+// start of the latest round that a majority has answered, or the election if there is none.
+func (c *Core) quorumConfirmedAt() time.Duration {
 	if c.soleVoter() {
 		return c.clock
 	}
 	return c.majorityAt(func(p *progress) time.Duration { return p.roundAt })
 }
 
-// answeredAt returns the latest time at which a majority had sent this leader an answer
-// in its term, to whichever round. Just after the election it is the election.
+// answeredAt returns the latest time by which a majority had sent this leader a reply in its term,
+// to any round, or the time of the election if there is none.
 //
-// A leader whose followers answer late, as where disks or processors are busy, still has
-// them: it goes on without a lease. Were it to step down as its lease ends, a group
-// whose round trips near the election timeout would have one election after the other,
-// and accept nothing for as long as that lasts.
+// It is used to decide whether a leader steps down. A leader whose followers answer late, for
+// instance on busy disks or processors, still has them and continues without a lease. If it stepped
+// down when its lease ends, a group whose round trips approach the election timeout would hold one
+// election after another and accept nothing for that time.
 func (c *Core) answeredAt() time.Duration {
 	return c.majorityAt(func(p *progress) time.Duration { return p.answeredAt })
 }
 
-// majorityAt returns the latest time that a majority has reached, this host's own being
-// now; the election at the earliest.
+// majorityAt returns the latest time that a majority has reached, counting this host with the
+// current time, and at the earliest the time of the election.
 func (c *Core) majorityAt(of func(*progress) time.Duration) time.Duration {
 	at := quorumValue(c.Configuration(), func(id HostID) time.Duration {
 		if id == c.settings.Self {
@@ -47,35 +45,34 @@
 	return max(at, c.electedAt)
 }
 
-// LeaseUntil returns the time until which no other host can be elected, 0 for
-// none. Each host of the confirming majority votes for nobody during one
-// ElectionTimeout after it received the round, which is later than the round's
-// beginning; its clock may run ahead of this one's by LeaseDrift in that time.
+// LeaseUntil returns the time until which no other host can be elected, 0 if there is none. Each
+// host of the confirming majority grants no votes for one ElectionTimeout after it received the
+// round, which is after the start of the round. Its clock may advance by LeaseDrift more than this
+// host's in that time.
 func (c *Core) LeaseUntil() time.Duration {
-	if c.role != Leader || c.commit < c.opened || c.transferTo != 0 {
+	if c.role != Leader || c.commit < c.termStart || c.transferTo != 0 {
 		return 0
 	}
-	at := c.quorumAt()
+	at := c.quorumConfirmedAt()
 	if at == c.electedAt && !c.soleVoter() {
 		return 0
 	}
 	return at + c.settings.ElectionTimeout - c.settings.LeaseDrift
 }
 
-// Read asks for the index that a linearizable read has to wait for. Ready
-// answers it under the given id, at once where the lease holds, else after a
-// round of heartbeats that is begun now.
+// Read requests the index that a linearizable read has to wait for. Ready returns the answer with
+// the given ID: at once if the lease holds, otherwise after a round of heartbeats that starts now.
 func (c *Core) Read(id uint64) {
-	if c.role != Leader || c.doubt {
-		c.out.Reads = append(c.out.Reads, ReadState{ID: id, Failed: true})
+	if c.role != Leader || c.quorumLost {
+		c.pending.Reads = append(c.pending.Reads, ReadState{ID: id, Failed: true})
 		return
 	}
 	c.reads = append(c.reads, pendingRead{id: id})
 }
 
-// serveReads answers the reads that can be answered.
+// serveReads answers the reads that are confirmed by the lease or by a heartbeat round.
 func (c *Core) serveReads() {
-	if c.role != Leader || len(c.reads) == 0 || c.commit < c.opened {
+	if c.role != Leader || len(c.reads) == 0 || c.commit < c.termStart {
 		return
 	}
 	leased := c.clock < c.LeaseUntil()
@@ -93,7 +90,7 @@
 			begin = !leased
 		}
 		if leased || confirmed >= r.round {
-			c.out.Reads = append(c.out.Reads, ReadState{ID: r.id, Index: r.index})
+			c.pending.Reads = append(c.pending.Reads, ReadState{ID: r.id, Index: r.index})
 			continue
 		}
 		waiting = append(waiting, r)
@@ -104,22 +101,22 @@
 	}
 }
 
-// failReads tells all waiting reads that the host leads no longer.
+// failReads fails all pending reads, since this host may no longer be the leader.
 func (c *Core) failReads() {
 	for _, r := range c.reads {
-		c.out.Reads = append(c.out.Reads, ReadState{ID: r.id, Failed: true})
+		c.pending.Reads = append(c.pending.Reads, ReadState{ID: r.id, Failed: true})
 	}
 	c.reads = nil
 }
 
-// Contact returns how long ago it was last certain that a leader with a
-// majority existed; false where none was heard of since the start.
+// Contact returns the time since a leader with a majority last provably existed, and false if this
+// host has not received anything from a leader since its start.
 func (c *Core) Contact() (time.Duration, bool) {
 	if c.role == Leader {
-		return c.clock - c.quorumAt(), true
+		return c.clock - c.quorumConfirmedAt(), true
 	}
-	if c.heardAt == 0 {
+	if c.leaderContactAt == 0 {
 		return 0, false
 	}
-	return c.clock - c.heardAt + c.heardAge, true
+	return c.clock - c.leaderContactAt + c.leaderQuorumAge, true
 }
--- a/internal/coordination/replicator/ledger.go
+++ b/internal/coordination/replicator/ledger.go
@@ -2,49 +2,52 @@
 
 import "sync"
 
-// waiter waits for the entry of a proposal.
-type waiter struct {
+// proposalWaiter is a caller that waits for the entry of its proposal.
+type proposalWaiter struct {
 	term uint64
 	done chan outcome
 }
 
-// appliedWaiter waits until an entry is applied.
+// appliedWaiter is a caller that waits for an entry to be applied.
 type appliedWaiter struct {
 	index uint64
 	done  chan struct{}
 }
 
-// ledger connects the loop, the applier and the callers.
-type ledger struct {
+// pendingCalls holds the callers that wait for proposals and reads. The loop, the applier and the
+// callers share it.
+type pendingCalls struct {
 	lock sync.Mutex
-	// proposals are those in the log of this leader and not yet applied, by
-	// index. Guarded by lock.
-	proposals map[uint64]waiter
+	// proposals are the proposals of this leader that are not yet applied, by index. Guarded by
+	// lock.
+	proposals map[uint64]proposalWaiter
 	// readers wait for entries to be applied. Guarded by lock.
 	readers []appliedWaiter
-	// applied is the last entry applied; it never falls. Guarded by lock.
+	// applied is the index of the last applied entry; it never decreases. Guarded by lock.
 	applied uint64
 }
 
-func newLedger() *ledger { return &ledger{proposals: make(map[uint64]waiter)} }
+func newPendingCalls() *pendingCalls {
+	return &pendingCalls{proposals: make(map[uint64]proposalWaiter)}
+}
 
-// add registers a proposal before its entry can be applied.
-func (l *ledger) add(index uint64, w waiter) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	l.proposals[index] = w
+// add registers a proposal. It must be called before the entry can be applied.
+func (p *pendingCalls) add(index uint64, w proposalWaiter) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.proposals[index] = w
 }
 
-// applyDone notes that entry e is applied, and tells its proposer. A proposal
-// in whose place another entry was committed is certainly lost.
-func (l *ledger) applyDone(e Entry, result any) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	w, ok := l.proposals[e.Index]
+// complete reports the result of entry e to its proposer. If another entry was committed at the
+// proposal's index, the proposal is lost.
+func (p *pendingCalls) complete(e Entry, result any) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	w, ok := p.proposals[e.Index]
 	if !ok {
 		return
 	}
-	delete(l.proposals, e.Index)
+	delete(p.proposals, e.Index)
 	if w.term != e.Term {
 		w.done <- outcome{err: ErrNotLeader{}}
 		return
@@ -52,46 +55,46 @@
 	w.done <- outcome{index: e.Index, result: result}
 }
 
-// reached notes that all entries up to index are applied.
-func (l *ledger) reached(index uint64) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	l.applied = max(l.applied, index)
-	waiting := l.readers[:0]
-	for _, r := range l.readers {
-		if r.index <= l.applied {
+// advanceApplied records that all entries up to index are applied, and releases their readers.
+func (p *pendingCalls) advanceApplied(index uint64) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.applied = max(p.applied, index)
+	waiting := p.readers[:0]
+	for _, r := range p.readers {
+		if r.index <= p.applied {
 			close(r.done)
 		} else {
 			waiting = append(waiting, r)
 		}
 	}
-	l.readers = waiting
+	p.readers = waiting
 }
 
-// when returns a channel that is closed once entry index is applied.
-func (l *ledger) when(index uint64) <-chan struct{} {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+// whenApplied returns a channel that is closed once the entry at index is applied.
+func (p *pendingCalls) whenApplied(index uint64) <-chan struct{} {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	done := make(chan struct{})
-	if index <= l.applied {
+	if index <= p.applied {
 		close(done)
 		return done
 	}
-	l.readers = append(l.readers, appliedWaiter{index: index, done: done})
+	p.readers = append(p.readers, appliedWaiter{index: index, done: done})
 	return done
 }
 
-// failAfter tells the proposers of all entries after index commit that the
-// outcome can't be known here. Their entries stay in the log and may be
-// committed by another leader; the others will be applied here.
-func (l *ledger) failAfter(commit uint64, reason string) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	for i, w := range l.proposals {
+// failAfter fails all proposals after index commit with ErrOutcomeUnknown. Their entries stay in
+// the log and may be committed by another leader. Entries up to commit are still applied here, and
+// their proposers get the result.
+func (p *pendingCalls) failAfter(commit uint64, reason string) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	for i, w := range p.proposals {
 		if i <= commit {
 			continue
 		}
-		delete(l.proposals, i)
+		delete(p.proposals, i)
 		w.done <- outcome{err: ErrOutcomeUnknown{Reason: reason}}
 	}
 }
--- a/internal/coordination/replicator/loop.go
+++ b/internal/coordination/replicator/loop.go
@@ -6,71 +6,71 @@
 	"github.com/juju/errors"
 )
 
-// maximumTurn bounds the events handled in one turn of the loop, which share
-// one sync of the journal.
-const maximumTurn = 1024
+// maxEventBatch bounds the events handled in one iteration of the loop, which share one sync of the
+// journal.
+const maxEventBatch = 1024
 
-// loop is the goroutine that owns the replica. The disk is written to here, so
-// that a leader whose disk hangs sends no heartbeats and is replaced.
+// loop is the goroutine that owns the replica. It also writes to the disk, so that a leader whose
+// disk hangs sends no heartbeats and is replaced.
 func (r *Replicator) loop() {
 	defer r.workers.Done()
-	err := r.turns()
+	err := r.run()
 	r.stop(err)
-	r.queue.wait()
+	r.queue.waitStopped()
 	if err := r.replica.close(); err != nil {
-		r.settings.Log.Warn().Err(err).Msg("close files")
+		r.settings.Log.Warn().Err(err).Msg("failed to close files")
 	}
-	if err := r.locked.Close(); err != nil {
-		r.settings.Log.Warn().Err(err).Msg("release data folder")
+	if err := r.folderLock.Close(); err != nil {
+		r.settings.Log.Warn().Err(err).Msg("failed to release data folder")
 	}
 }
 
-// turns runs until Close or a failure.
-func (r *Replicator) turns() error {
+// run handles events until Close or a failure, which it returns.
+func (r *Replicator) run() error {
 	ticker := time.NewTicker(r.settings.TickInterval)
 	defer ticker.Stop()
 	last := r.clock.read()
-	events := make([]event, 0, maximumTurn)
+	events := make([]event, 0, maxEventBatch)
 	for {
 		events = events[:0]
 		select {
 		case e := <-r.inbox:
-			events = r.drain(append(events, e))
+			events = r.drainInbox(append(events, e))
 		case <-ticker.C:
-			events = r.drain(events)
+			events = r.drainInbox(events)
 		case <-r.closing:
 			return nil
 		case <-r.queue.failed:
 			return r.queue.cause
 		}
 		began := r.clock.read()
-		if err := r.turn(events); err != nil {
+		if err := r.processEvents(events); err != nil {
 			return err
 		}
 		ended := r.clock.read()
-		r.noteHeldUp(LoopDelayed{Late: max(0, began-last-r.settings.TickInterval), Disk: ended - began}, ended)
+		r.reportDelay(LoopDelayed{Late: max(0, began-last-r.settings.TickInterval), Disk: ended - began}, ended)
 		last = ended
 	}
 }
 
-// heldUpPause is the least time between two observations of a host that is held up.
-const heldUpPause = time.Second
+// delayReportInterval is the minimum time between two LoopDelayed observations.
+const delayReportInterval = time.Second
 
-// noteHeldUp has a host tell that it was held up for a third of the election timeout or
-// more: three such waits in a row cost an election.
-func (r *Replicator) noteHeldUp(h LoopDelayed, now time.Duration) {
-	if h.Late+h.Disk <= r.settings.ElectionTimeout/3 || r.heldUpAt > 0 && now-r.heldUpAt < heldUpPause {
+// reportDelay reports an iteration that was delayed by more than a third of the election timeout:
+// three such delays in a row cause an election.
+func (r *Replicator) reportDelay(d LoopDelayed, now time.Duration) {
+	if d.Late+d.Disk <= r.settings.ElectionTimeout/3 || r.delayReportedAt > 0 && now-r.delayReportedAt < delayReportInterval {
 		return
 	}
-	r.heldUpAt = now
-	r.settings.Observe(h)
+	r.delayReportedAt = now
+	r.settings.Observe(d)
 }
 
-// drain takes the events that wait already. The clock is read after it, so
-// that no message is taken for older than it is: a leader's lease rests on
-// what its followers believe they heard when.
-func (r *Replicator) drain(events []event) []event {
-	for len(events) < maximumTurn {
+// drainInbox adds the events that are already waiting. The clock is read after it, so that no
+// message is taken for older than it is: the leader's lease depends on the time at which followers
+// record its messages.
+func (r *Replicator) drainInbox(events []event) []event {
+	for len(events) < maxEventBatch {
 		select {
 		case e := <-r.inbox:
 			events = append(events, e)
@@ -81,8 +81,8 @@
 	return events
 }
 
-// turn handles some events and carries out what follows from them.
-func (r *Replicator) turn(events []event) error {
+// processEvents handles a batch of events and carries out the output of the core.
+func (r *Replicator) processEvents(events []event) error {
 	now := r.clock.read()
 	r.replica.core.SetClock(now)
 	for _, e := range events {
@@ -93,9 +93,9 @@
 		}
 	}
 	r.replica.core.Tick(now)
-	if f := r.replica.founder; f != nil {
+	if f := r.replica.bootstrapper; f != nil {
 		r.replica.emit(f.tick(now, r.settings.HeartbeatInterval))
-		if err := r.replica.tryFound(); err != nil {
+		if err := r.replica.tryFormGroup(); err != nil {
 			return err
 		}
 	}
@@ -104,17 +104,17 @@
 			return err
 		}
 	}
-	r.noteRole()
+	r.updateRole()
 	if err := r.replica.advance(); err != nil {
 		return err
 	}
-	r.noteRole()
+	r.updateRole()
 	r.publish()
 	return nil
 }
 
-// handle takes in one event other than a message. Messages come first, so that
-// a proposal meets a host that knows whether it still leads.
+// handle handles an event other than a message. Messages are handled first, so that a proposal is
+// checked against the current role.
 func (r *Replicator) handle(e event) error {
 	switch t := e.(type) {
 	case delivered:
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// propose puts a proposal into the log, or refuses it.
+// propose appends a proposal to the log, or refuses it.
 func (r *Replicator) propose(p proposal) {
 	var index, term uint64
 	var err error
@@ -140,10 +140,10 @@
 	case p.change != nil:
 		index, term, err = r.replica.core.ProposeChange(p.change)
 	case r.replica.journal.Bytes() > r.settings.JournalBytes/4*3:
-		// The last quarter is for what followers and leaders must write.
+		// The last quarter is reserved for entries that followers and leaders must write.
 		err = ErrNotAccepted{Reason: "the journal is nearly full"}
 	case r.queue.size() > r.settings.PendingBytes:
-		err = ErrNotAccepted{Reason: "too many bytes wait to be applied"}
+		err = ErrNotAccepted{Reason: "too many unapplied bytes"}
 	default:
 		index, term, err = r.replica.core.Propose(p.data)
 	}
@@ -151,53 +151,53 @@
 		p.done <- outcome{err: err}
 		return
 	}
-	r.ledger.add(index, waiter{term: term, done: p.done})
+	r.pendingCalls.add(index, proposalWaiter{term: term, done: p.done})
 }
 
-// answerRead passes an answer of the core to its caller.
-func (r *Replicator) answerRead(s ReadState) {
+// completeRead passes the core's answer to the caller of a read.
+func (r *Replicator) completeRead(s ReadState) {
 	if done, ok := r.reads[s.ID]; ok {
 		delete(r.reads, s.ID)
 		done <- s
 	}
 }
 
-// noteDoubt ends what waits for a majority that does not answer: callers are told in time
-// that the outcome is unknown, as of a leader that has stepped down.
-func (r *Replicator) noteDoubt(doubt bool) {
-	if doubt == r.doubted {
+// updateQuorumLost fails the proposals that wait for a majority which does not answer: callers
+// learn in time that the outcome is unknown, as if the leader had stepped down.
+func (r *Replicator) updateQuorumLost(lost bool) {
+	if lost == r.quorumLost {
 		return
 	}
-	r.doubted = doubt
-	if doubt {
-		r.ledger.failAfter(r.replica.core.commit, "no majority answers this leader")
+	r.quorumLost = lost
+	if lost {
+		r.pendingCalls.failAfter(r.replica.core.commit, "no majority responds to this leader")
 	}
-	if r.led != 0 {
-		r.settings.Log.Info().Uint64("Term", r.led).Bool("Doubt", doubt).Msg("leader in doubt")
+	if r.leadingTerm != 0 {
+		r.settings.Log.Info().Uint64("Term", r.leadingTerm).Bool("Doubt", lost).Msg("leader quorum changed")
 	}
 }
 
-// noteRole tells of a change of role. Proposals of a leader that no longer
-// leads may still be committed by the next one.
-func (r *Replicator) noteRole() {
+// updateRole reports a change of role or leader. Proposals of a leader that has stepped down may
+// still be committed by the next one, so that their outcome is unknown.
+func (r *Replicator) updateRole() {
 	c := r.replica.core
-	led := uint64(0)
+	leadingTerm := uint64(0)
 	if c.role == Leader {
-		led = c.hard.Term
+		leadingTerm = c.hard.Term
 	}
-	if r.led != 0 && r.led != led {
-		r.ledger.failAfter(c.commit, "this host no longer leads")
-		r.settings.Observe(SteppedDown{Term: r.led})
-		r.settings.Log.Info().Uint64("Term", r.led).Msg("stepped down")
+	if r.leadingTerm != 0 && r.leadingTerm != leadingTerm {
+		r.pendingCalls.failAfter(c.commit, "this host no longer leads")
+		r.settings.Observe(SteppedDown{Term: r.leadingTerm})
+		r.settings.Log.Info().Uint64("Term", r.leadingTerm).Msg("stepped down")
 	}
-	if led != 0 && r.led != led {
-		r.settings.Observe(Elected{Term: led})
-		r.settings.Log.Info().Uint64("Term", led).Msg("elected")
+	if leadingTerm != 0 && r.leadingTerm != leadingTerm {
+		r.settings.Observe(Elected{Term: leadingTerm})
+		r.settings.Log.Info().Uint64("Term", leadingTerm).Msg("elected")
 	}
-	r.led = led
-	r.noteDoubt(led != 0 && c.doubt)
-	if c.leader != r.followed {
-		r.followed = c.leader
+	r.leadingTerm = leadingTerm
+	r.updateQuorumLost(leadingTerm != 0 && c.quorumLost)
+	if c.leader != r.observedLeader {
+		r.observedLeader = c.leader
 		r.settings.Observe(LeaderChanged{Term: c.hard.Term, Leader: c.leader})
 	}
 }
--- a/internal/coordination/replicator/membership.go
+++ b/internal/coordination/replicator/membership.go
@@ -7,14 +7,13 @@
 	"github.com/juju/errors"
 )
 
-// AddMember adds a host. It becomes a learner first and, where m.Voter is set,
-// a voter by a second committed change once it has caught up, for which
-// AddMember waits. When ctx ends before, the host stays a learner and the call
-// can be repeated. It returns ErrChangeRefused while another change is in
-// progress.
+// AddMember adds a host. It is added as a learner first. If m.Voter is set, AddMember waits until
+// it has caught up and makes it a voter by a second committed change. If ctx ends before that, the
+// host stays a learner and the call can be repeated. It returns ErrChangeRefused while another
+// change is in progress.
 func (r *Replicator) AddMember(ctx context.Context, m Member) error {
 	if m.ID == 0 || m.Address == "" {
-		return errors.Trace(ErrChangeRefused{Reason: "the member has no number or no address"})
+		return errors.Trace(ErrChangeRefused{Reason: "the member has no ID or no address"})
 	}
 	old, found := Configuration{Members: r.Status().Members}.Find(m.ID)
 	if found && old.Voter && old.Address == m.Address && old.FailureDomain == m.FailureDomain {
@@ -23,8 +22,8 @@
 	if err := r.change(ctx, AddLearner{Member: m}); err != nil || !m.Voter || old.Voter {
 		return errors.Trace(err)
 	}
-	for !slices.Contains(r.shown().caughtUp, m.ID) {
-		if !r.pause(ctx, r.settings.HeartbeatInterval) {
+	for !slices.Contains(r.lastPublished().caughtUp, m.ID) {
+		if !r.sleep(ctx, r.settings.HeartbeatInterval) {
 			return errors.Trace(ErrOutcomeUnknown{Reason: "the new member has not caught up; it stays a learner"})
 		}
 		if r.Status().Role != Leader {
@@ -35,20 +34,20 @@
 	return errors.Trace(r.change(ctx, PromoteLearner{ID: m.ID}))
 }
 
-// confirmVoter answers a repeated call. A voter whose disk was lost is told from
-// one that works by its silence.
+// confirmVoter answers a repeated call for an existing voter. It returns ErrChangeRefused if the
+// voter does not follow the leader, as after the loss of its disk.
 func (r *Replicator) confirmVoter(ctx context.Context, id HostID) error {
 	if err := r.ReadBarrier(ctx); err != nil {
 		return err
 	}
-	if id != r.settings.Self.ID && !slices.Contains(r.shown().caughtUp, id) {
-		return errors.Trace(ErrChangeRefused{Reason: "the host is a voter that does not follow; if its disk was lost, remove it first"})
+	if id != r.settings.Self.ID && !slices.Contains(r.lastPublished().caughtUp, id) {
+		return errors.Trace(ErrChangeRefused{Reason: "the voter does not follow the leader; if its disk was lost, remove it first"})
 	}
 	return nil
 }
 
-// RemoveMember removes a host and returns when that is committed. A leader can't
-// remove itself: after TransferLeadership the next one can.
+// RemoveMember removes a host and returns once the change is committed. A leader can't remove
+// itself; after TransferLeadership the next leader can.
 func (r *Replicator) RemoveMember(ctx context.Context, id HostID) error {
 	return errors.Trace(r.change(ctx, RemoveMember{ID: id}))
 }
@@ -57,9 +56,8 @@
 	return r.submit(ctx, proposal{change: c, done: make(chan outcome, 1)}).err
 }
 
-// TransferLeadership hands leadership to the voter that holds most of the log,
-// and returns when this host no longer leads. On a host that doesn't lead it
-// returns nil at once.
+// TransferLeadership transfers leadership to the voter with the most complete log, and returns once
+// this host no longer leads. On a host that does not lead it returns nil at once.
 func (r *Replicator) TransferLeadership(ctx context.Context) error {
 	for r.Status().Role == Leader {
 		request := transferRequest{done: make(chan error, 1)}
@@ -82,8 +80,8 @@
 		case <-r.stopped:
 			return r.Err()
 		}
-		if !r.pause(ctx, r.settings.TickInterval) {
-			return errors.Trace(ErrOutcomeUnknown{Reason: "leadership was not handed over in time"})
+		if !r.sleep(ctx, r.settings.TickInterval) {
+			return errors.Trace(ErrOutcomeUnknown{Reason: "leadership was not transferred in time"})
 		}
 	}
 	return nil
--- a/internal/coordination/replicator/observation.go
+++ b/internal/coordination/replicator/observation.go
@@ -2,65 +2,64 @@
 
 import "time"
 
-// Observation is an event worth counting or noting.
+// Observation is an event for metrics or logs.
 type Observation interface{ observation() }
 
-// Elected tells that this host has become the leader of a term.
+// Elected reports that this host has become the leader of a term.
 type Elected struct{ Term uint64 }
 
-// SteppedDown tells that this host no longer leads the given term.
+// SteppedDown reports that this host no longer leads the given term.
 type SteppedDown struct{ Term uint64 }
 
-// LeaderChanged tells of the leader that this host follows, 0 for none.
+// LeaderChanged reports the leader that this host follows, 0 for none.
 type LeaderChanged struct {
 	Term   uint64
 	Leader HostID
 }
 
-// SnapshotTaken tells of a snapshot of this host's own state.
+// SnapshotTaken reports a snapshot of this host's own state.
 type SnapshotTaken struct {
 	Index uint64
 	Bytes int64
 	Took  time.Duration
 }
 
-// SnapshotInstalled tells of a snapshot received from the leader.
+// SnapshotInstalled reports a snapshot received from the leader.
 type SnapshotInstalled struct {
 	Index uint64
 	Bytes int64
 }
 
-// Synced tells how long a sync of the journal took.
+// Synced reports the duration of a journal sync.
 type Synced struct{ Took time.Duration }
 
-// MembershipChanged tells of a configuration that is committed.
+// MembershipChanged reports a committed configuration.
 type MembershipChanged struct {
 	Index         uint64
 	Configuration Configuration
 }
 
-// MessageRefused tells of a message which isn't meant for this member: one of
-// another group, or for or from another disk.
+// MessageRefused reports a message that is not addressed to this member: one of another group, or
+// to or from another disk.
 type MessageRefused struct {
 	From   HostID
 	Reason string
 }
 
-// BootstrapRefused tells that no group is formed, because another host belongs
-// to one or has another list.
+// BootstrapRefused reports that no group was formed, because another host belongs to one or has a
+// different bootstrap list.
 type BootstrapRefused struct{ By HostID }
 
-// ElectionEvent tells of one step of an election at this host.
+// ElectionEvent reports one step of an election at this host.
 type ElectionEvent struct {
 	Step BallotStep
-	// Term is the one that the vote is, or would be, for.
+	// Term is the term of the vote or of the prospective vote.
 	Term uint64
-	// Other is whom the host asked or answered, or who answered it.
+	// Other is the host that was asked or answered, or that answered.
 	Other HostID
-	// LogIndex and LogTerm are the candidate's last entry, OwnIndex and OwnTerm this
-	// host's.
+	// LogIndex and LogTerm are the candidate's last entry, OwnIndex and OwnTerm this host's.
 	LogIndex, LogTerm, OwnIndex, OwnTerm uint64
-	// Refusal is why a vote was refused, or an answer did not count.
+	// Refusal is the reason why a vote was refused or a reply was not counted.
 	Refusal Refusal
 }
 
@@ -69,7 +68,7 @@
 // BallotStep is a step of an election.
 type BallotStep int
 
-// The steps. Those of a pre-vote raise no term and promise nothing.
+// The steps. Those of a pre-vote raise no term and commit the host to nothing.
 const (
 	BallotPreVoteAsked BallotStep = iota
 	BallotPreVoteGiven
@@ -81,36 +80,36 @@
 	BallotVoteReceived
 )
 
-// Refusal is why a vote was refused, or an answer did not count.
+// Refusal is the reason why a vote was refused or a reply was not counted.
 type Refusal int
 
 // The refusals.
 const (
 	RefusalNone Refusal = iota
-	// RefusalPromised means that a leader may still rely on this host's silence.
+	// RefusalPromised means that a leader's lease may depend on this host granting no votes.
 	RefusalPromised
-	// RefusalTerm means that the term is no later than this host's.
+	// RefusalTerm means that the candidate's term is not later than this host's.
 	RefusalTerm
-	// RefusalLog means that the candidate's log lacks what this host's holds.
+	// RefusalLog means that the candidate's log lacks entries of this host's log.
 	RefusalLog
-	// RefusalVoted means that the host has voted for another one in the term, stands
+	// RefusalVoted means that the host has voted for another one in the term, is a candidate
 	// itself, or follows a leader.
 	RefusalVoted
-	// RefusalLate means that the answer is to a poll that is over.
+	// RefusalLate means that the reply belongs to an earlier round of votes.
 	RefusalLate
 	// RefusalOther means that the other host refused.
 	RefusalOther
 )
 
-// LoopDelayed tells that the host did nothing for a good part of the election timeout.
+// LoopDelayed reports that the loop was blocked for more than a third of the election timeout.
 type LoopDelayed struct {
-	// Late is by how much its timer fired late, as where the process was not run.
+	// Late is the delay of the loop's timer, for instance because the process was not scheduled.
 	Late time.Duration
-	// Disk is how long the turn took then, nearly all of it at the disk.
+	// Disk is the duration of the iteration after it, most of which is spent on the disk.
 	Disk time.Duration
 }
 
-// Stopped tells that the replicator has failed for good.
+// Stopped reports that the replicator has failed permanently.
 type Stopped struct{ Cause error }
 
 func (Elected) observation()           {}
--- a/internal/coordination/replicator/piecer.go
+++ b/internal/coordination/replicator/piecer.go
@@ -6,7 +6,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/snapshotter"
 )
 
-// sendPieces fills in and sends the pieces which the core asks for.
+// sendPieces reads the requested snapshot pieces and sends them.
 func (r *replica) sendPieces(ms []Message) error {
 	for _, m := range ms {
 		p, err := r.store.ReadPiece(m.Snapshot.Index, m.Snapshot.Offset, r.settings.PieceBytes)
@@ -16,7 +16,7 @@
 			continue
 		}
 		if err != nil {
-			return errors.Annotate(err, "read piece of snapshot")
+			return errors.Annotate(err, "read snapshot piece")
 		}
 		m.Snapshot = &p
 		r.emit([]Message{m})
@@ -24,11 +24,11 @@
 	return nil
 }
 
-// storePiece takes in a piece, and the snapshot where it was the last one.
+// storePiece stores a piece, and installs the snapshot if it is complete.
 func (r *replica) storePiece(m Message) error {
 	next, complete, err := r.store.Receive(*m.Snapshot)
 	if err != nil {
-		return errors.Annotate(err, "store piece of snapshot")
+		return errors.Annotate(err, "store snapshot piece")
 	}
 	if !complete {
 		r.core.PieceStored(m, next)
@@ -42,14 +42,14 @@
 	if latest.Index <= r.core.commit {
 		return nil
 	}
-	// The snapshot lasts already; a crash before the journal is emptied is
-	// mended by fit.
+	// The snapshot is already durable; after a crash before the journal is reset, reconcileJournal
+	// resets it.
 	if r.core.Install(m, latest, configuration) {
 		if err := r.journal.Reset(latest.Index + 1); err != nil {
 			return errors.Trace(err)
 		}
 	}
 	r.settings.Observe(SnapshotInstalled{Index: latest.Index, Bytes: latest.Size})
-	r.install(latest)
+	r.onInstall(latest)
 	return nil
 }
--- a/internal/coordination/replicator/progress.go
+++ b/internal/coordination/replicator/progress.go
@@ -2,72 +2,72 @@
 
 import "time"
 
-// sendState says how a leader sends to a member.
+// sendState is the way in which a leader sends to a member.
 type sendState int
 
 const (
 	// probing sends one append at a time until the logs are known to agree.
 	probing sendState = iota
-	// replicating sends without waiting, within a window.
+	// replicating sends appends without waiting for replies, within a window.
 	replicating
 	// receiving sends a snapshot piece by piece, one at a time.
 	receiving
 )
 
-// sent is an append that was not answered yet.
-type sent struct {
+// inFlightAppend is an unanswered append.
+type inFlightAppend struct {
 	last  uint64
 	bytes int
 }
 
-// progress is what a leader knows of another member.
+// progress is a leader's view of another member.
 type progress struct {
-	// match is the last entry known to be on the member's disk. It never falls.
+	// match is the index of the last entry known to be on the member's disk. It never decreases.
 	match uint64
-	// next is the first entry to send; next > match.
+	// next is the index of the next entry to send; next > match.
 	next  uint64
 	state sendState
-	// waiting is set while a probe or a piece is out; sentAt is when it went.
-	waiting bool
-	sentAt  time.Duration
-	// window holds the appends out while replicating; bytes is their sum.
-	window []sent
+	// awaitingReply is set while a probe or a piece is unanswered; sentAt is the time at which it
+	// was sent.
+	awaitingReply bool
+	sentAt        time.Duration
+	// window holds the unanswered appends while replicating; bytes is their total size.
+	window []inFlightAppend
 	bytes  int
-	// round is the latest heartbeat round that the member answered, and
-	// roundAt when that round was begun.
+	// round is the latest heartbeat round that the member answered, and roundAt the start time of
+	// that round.
 	round   uint64
 	roundAt time.Duration
-	// answeredAt is when the member last answered anything in the leader's term.
+	// answeredAt is the time of the member's last reply in the leader's term.
 	answeredAt time.Duration
-	// told is the commit index last sent to the member.
-	told uint64
-	// incarnation is the one that match belongs to; 0 until it has answered.
+	// sentCommit is the commit index last sent to the member.
+	sentCommit uint64
+	// incarnation identifies the disk that match belongs to; 0 until the member has replied.
 	incarnation uint64
-	// snapshot is the index of the snapshot being sent, offset the place of
-	// the next piece.
+	// snapshot is the index of the snapshot being sent, offset that of the next piece.
 	snapshot uint64
 	offset   int64
 }
 
-// full reports whether no further append may go out now.
+// full reports whether no further append may be sent now.
 func (p *progress) full(s *CoreSettings) bool {
 	switch p.state {
 	case replicating:
 		return len(p.window) >= s.WindowMessages || p.bytes >= s.WindowBytes
 	default:
-		return p.waiting
+		return p.awaitingReply
 	}
 }
 
-// noteSent records that entries up to last are out.
-func (p *progress) noteSent(last uint64, bytes int, now time.Duration) {
+// recordSent records that entries up to last were sent.
+func (p *progress) recordSent(last uint64, bytes int, now time.Duration) {
 	p.sentAt = now
 	if p.state == probing {
-		p.waiting = true
+		p.awaitingReply = true
 		return
 	}
 	p.next = last + 1
-	p.window = append(p.window, sent{last: last, bytes: bytes})
+	p.window = append(p.window, inFlightAppend{last: last, bytes: bytes})
 	p.bytes += bytes
 }
 
@@ -87,16 +87,16 @@
 	p.window = p.window[n:]
 }
 
-// become changes the state; the window starts empty.
-func (p *progress) become(s sendState) {
+// setState changes the state and clears the window.
+func (p *progress) setState(s sendState) {
 	p.state = s
-	p.waiting = false
+	p.awaitingReply = false
 	p.window = nil
 	p.bytes = 0
 }
 
-// reject handles an append that did not fit after entry refused. Answers that
-// come late are told by a refused entry that is known to agree.
+// reject handles an append that did not match after entry refused. A late reply is recognized by a
+// refused entry that is already known to agree, and ignored.
 func (p *progress) reject(refused, hint uint64) {
 	if refused <= p.match || p.state == receiving {
 		return
@@ -104,6 +104,6 @@
 	if p.state == probing && refused != p.next-1 {
 		return
 	}
-	p.become(probing)
+	p.setState(probing)
 	p.next = max(p.match+1, min(hint, refused))
 }
--- a/internal/coordination/replicator/property_test.go
+++ b/internal/coordination/replicator/property_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestPropertyThreeHosts and TestPropertyFiveHosts let random schedules of
-// faults run: messages lost, late, doubled and reordered; links cut one way or
-// both; crashes now or between any two durable steps; clocks that jump; lost
-// disks; proposals, membership changes and transfers at any host. In no step
-// may two hosts lead one term, a leader lack a committed entry, or two hosts
-// differ in what they applied; and when all faults end the group must go on.
+// TestPropertyThreeHosts and TestPropertyFiveHosts run random schedules of faults: messages lost,
+// delayed, duplicated and reordered; links cut in one or both directions; crashes at once or
+// between any two durable steps; clock jumps; lost disks; proposals, membership changes and
+// transfers at any host. At no step may two hosts lead in one term, a leader lack a committed
+// entry, or two hosts differ in what they applied. Once all faults end, the group must make
+// progress.
 func TestPropertyThreeHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runSchedule(t, 3) })
 }
@@ -27,15 +27,14 @@
 	messageBytes := rapid.SampledFrom([]int{1, 200}).Draw(t, "MessageBytes")
 	s := newSimulation(t.Fatalf, rand.New(rand.NewPCG(seed, 0)), voters, 1, messageBytes)
 	s.run(20, false)
-	// The second kind of schedule is all about leaders that are cut off just
-	// after, or just before, they could tell the others something; the third
-	// one about leases, and those whose promise they rest on.
+	// The second kind of schedule concentrates on leaders that are cut off just before or after
+	// they could send something; the third one on leases and the followers that they depend on.
 	action := rapid.IntRange(0, 99)
 	switch rapid.IntRange(0, 2).Draw(t, "Kind") {
 	case 1:
-		action = rapid.SampledFrom([]int{longRun, longRun, delivery, delivery, delivery, proposals, leadersCut, leadersCut})
+		action = rapid.SampledFrom([]int{longRun, longRun, delivery, delivery, delivery, proposals, leadersIsolated, leadersIsolated})
 	case 2:
-		action = rapid.SampledFrom([]int{shortRun, shortRun, shortRun, proposals, leadersCut, bounce, unheard, muted, heldBack, released, allHealed})
+		action = rapid.SampledFrom([]int{shortRun, shortRun, shortRun, proposals, leadersIsolated, followersRestarted, followerCut, leaderMuted, repliesDelayed, repliesReleased, allHealed})
 	}
 	actions := rapid.SliceOfN(action, 20, 120).Draw(t, "Actions")
 	for _, a := range actions {
@@ -44,22 +43,22 @@
 	s.heal()
 }
 
-// Some of the actions, see act.
+// Named actions; see act.
 const (
-	shortRun   = 21
-	longRun    = 31
-	delivery   = 43
-	proposals  = 55
-	leadersCut = 89
-	allHealed  = 91
-	bounce     = 100
-	unheard    = 101
-	heldBack   = 102
-	released   = 103
-	muted      = 104
+	shortRun           = 21
+	longRun            = 31
+	delivery           = 43
+	proposals          = 55
+	leadersIsolated    = 89
+	allHealed          = 91
+	followersRestarted = 100
+	followerCut        = 101
+	repliesDelayed     = 102
+	repliesReleased    = 103
+	leaderMuted        = 104
 )
 
-// act carries out one action of a schedule on a random host.
+// act performs one action of a schedule on a random host.
 func (s *simulation) act(action int) {
 	h := s.hosts[s.random.IntN(len(s.hosts))]
 	o := s.hosts[s.random.IntN(len(s.hosts))]
@@ -88,7 +87,7 @@
 		s.cut[[2]HostID{h.id, o.id}] = true
 	case action < 82:
 		s.isolate(h)
-	case action <= leadersCut:
+	case action <= leadersIsolated:
 		s.cut = make(map[[2]HostID]bool)
 		for _, h := range s.hosts {
 			if h.replica != nil && h.replica.core.role == Leader {
@@ -98,7 +97,7 @@
 	case action <= allHealed:
 		s.cut = make(map[[2]HostID]bool)
 	case action < 94:
-		s.jumped = true
+		s.clockJumped = true
 		h.offset += time.Duration(s.random.IntN(4)) * simulatedTimeout
 	case action < 97:
 		for _, h := range s.hosts {
@@ -106,7 +105,7 @@
 		}
 	case action < 99:
 		if h.replica != nil && h.replica.core.Transfer() == nil {
-			s.finish(h, nil)
+			s.advanceHost(h, nil)
 		}
 	case action == 99:
 		s.wipe(h)
@@ -115,25 +114,25 @@
 	}
 }
 
-// actOnLeases carries out the actions on leaders and their followers.
+// actOnLeases performs the actions on leaders and their followers.
 func (s *simulation) actOnLeases(action int, o *simulatedHost) {
-	if action == released {
-		s.held = make(map[[2]HostID]bool)
+	if action == repliesReleased {
+		s.delayedLinks = make(map[[2]HostID]bool)
 	}
 	for _, h := range s.hosts {
 		leads := h.replica != nil && h.replica.core.role == Leader
 		switch {
-		case action == bounce && h.replica != nil && !leads:
+		case action == followersRestarted && h.replica != nil && !leads:
 			h.disk.Crash()
 			h.replica, h.applier = nil, nil
 			s.restart(h)
-		case action == unheard && leads:
+		case action == followerCut && leads:
 			s.cut[[2]HostID{h.id, o.id}] = true
-		case action == heldBack && leads:
+		case action == repliesDelayed && leads:
 			for _, o := range s.hosts {
-				s.held[[2]HostID{o.id, h.id}] = true
+				s.delayedLinks[[2]HostID{o.id, h.id}] = true
 			}
-		case action == muted && leads:
+		case action == leaderMuted && leads:
 			for _, o := range s.hosts {
 				s.cut[[2]HostID{h.id, o.id}] = true
 			}
@@ -141,7 +140,7 @@
 	}
 }
 
-// isolate cuts a host off from all others, both ways.
+// isolate cuts a host off from all others in both directions.
 func (s *simulation) isolate(h *simulatedHost) {
 	for _, o := range s.hosts {
 		s.cut[[2]HostID{h.id, o.id}], s.cut[[2]HostID{o.id, h.id}] = true, true
--- a/internal/coordination/replicator/queue.go
+++ b/internal/coordination/replicator/queue.go
@@ -8,34 +8,34 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/snapshotter"
 )
 
-// metadata shortens a name.
+// metadata is short for snapshotter.Metadata.
 type metadata = snapshotter.Metadata
 
 // applyQueue passes committed entries from the loop to the applier.
 type applyQueue struct {
 	lock sync.Mutex
 	wake *sync.Cond
-	// entries wait to be applied, bytes is their size. Guarded by lock.
+	// entries wait to be applied; bytes is their total size, until done is called for them. Guarded
+	// by lock.
 	entries []Entry
 	bytes   int
-	// installs says that a newer snapshot is to be restored first. Guarded by
-	// lock.
-	installs bool
-	// closed ends the applier. Guarded by lock.
+	// restoreDue is set if a newer snapshot must be restored first. Guarded by lock.
+	restoreDue bool
+	// closed stops the applier. Guarded by lock.
 	closed bool
 
-	// failed is closed, after cause is set, when the applier has failed or a
-	// snapshot could not be written.
+	// failed is closed, after cause is set, when the applier has failed or a snapshot could not be
+	// written.
 	failed chan struct{}
 	cause  error
-	// failing has the first failure count.
-	failing sync.Once
-	// ended is closed when the applier has ended.
-	ended chan struct{}
+	// failOnce keeps only the first failure.
+	failOnce sync.Once
+	// stopped is closed when the applier has stopped.
+	stopped chan struct{}
 }
 
 func newApplyQueue() *applyQueue {
-	q := &applyQueue{failed: make(chan struct{}), ended: make(chan struct{})}
+	q := &applyQueue{failed: make(chan struct{}), stopped: make(chan struct{})}
 	q.wake = sync.NewCond(&q.lock)
 	return q
 }
@@ -53,7 +53,7 @@
 func (q *applyQueue) pushInstall() {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	q.installs = true
+	q.restoreDue = true
 	q.wake.Signal()
 }
 
@@ -61,18 +61,18 @@
 func (q *applyQueue) pop() (es []Entry, install, ok bool) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	for len(q.entries) == 0 && !q.installs && !q.closed {
+	for len(q.entries) == 0 && !q.restoreDue && !q.closed {
 		q.wake.Wait()
 	}
 	if q.closed {
 		return nil, false, false
 	}
-	es, install = q.entries, q.installs
-	q.entries, q.installs = nil, false
+	es, install = q.entries, q.restoreDue
+	q.entries, q.restoreDue = nil, false
 	return es, install, true
 }
 
-// done tells that popped entries are applied.
+// done records that popped entries are applied.
 func (q *applyQueue) done(es []Entry) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// size returns the bytes not yet applied.
+// size returns the size in bytes of the entries that are not yet applied.
 func (q *applyQueue) size() int {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -95,20 +95,20 @@
 	q.wake.Broadcast()
 }
 
-// fail tells the loop to stop the replicator.
+// fail makes the loop stop the replicator. Only the first cause is kept.
 func (q *applyQueue) fail(cause error) {
-	q.failing.Do(func() {
+	q.failOnce.Do(func() {
 		q.cause = cause
 		close(q.failed)
 	})
 }
 
-func (q *applyQueue) wait() { <-q.ended }
+func (q *applyQueue) waitStopped() { <-q.stopped }
 
 // applyLoop is the goroutine that owns the applier and the state machine.
 func (r *Replicator) applyLoop() {
 	defer r.workers.Done()
-	defer close(r.queue.ended)
+	defer close(r.queue.stopped)
 	defer r.saving.Wait()
 	for {
 		es, install, ok := r.queue.pop()
@@ -122,34 +122,33 @@
 	}
 }
 
-// applyBatch restores, applies, and takes a snapshot when it is time. Entries
-// that were committed before a snapshot was installed are skipped by it.
+// applyBatch restores a newer snapshot, applies entries, and takes a snapshot when one is due.
+// Entries that the restored snapshot covers are skipped.
 func (r *Replicator) applyBatch(es []Entry, install bool) error {
 	if install {
 		if err := r.applier.restore(); err != nil {
 			return errors.Trace(err)
 		}
-		r.ledger.reached(r.applier.applied)
+		r.pendingCalls.advanceApplied(r.applier.applied)
 	}
 	for _, e := range es {
 		result, err := r.applier.apply(e)
 		if err != nil {
 			return errors.Annotate(err, "apply")
 		}
-		r.ledger.reached(r.applier.applied)
-		r.ledger.applyDone(e, result)
+		r.pendingCalls.advanceApplied(r.applier.applied)
+		r.pendingCalls.complete(e, result)
 	}
 	r.queue.done(es)
-	if !r.applier.due(r.settings) || !r.applier.saving.TryLock() {
+	if !r.applier.snapshotDue(r.settings) || !r.applier.saving.TryLock() {
 		return nil
 	}
 	f := r.applier.freeze()
-	if !f.apart {
+	if !f.concurrent {
 		return r.saveSnapshot(f)
 	}
-	// At the planned size a snapshot takes the better part of a second to write.
-	// Written here, it would hold up all accepted changes for as long, on all
-	// hosts at about the same position of the log.
+	// At the planned size a snapshot takes most of a second to write. Writing it in this goroutine
+	// would delay all accepted changes for that time, on all hosts at about the same index.
 	r.saving.Go(func() {
 		if err := r.saveSnapshot(f); err != nil {
 			r.queue.fail(err)
@@ -158,14 +157,13 @@
 	return nil
 }
 
-// saveSnapshot writes a snapshot and tells the loop of it. It releases the
-// applier's saving.
-func (r *Replicator) saveSnapshot(f frozen) error {
+// saveSnapshot writes a snapshot and passes its metadata to the loop. It unlocks applier.saving.
+func (r *Replicator) saveSnapshot(f frozenState) error {
 	defer r.applier.saving.Unlock()
 	m, err := r.applier.save(f, r.settings.Now)
 	var outdated snapshotter.ErrOutdated
 	if errors.As(err, &outdated) {
-		// The loop has received a newer one, which the next batch restores.
+		// The loop has received a newer snapshot, which the next batch restores.
 		return nil
 	}
 	if err != nil {
--- a/internal/coordination/replicator/quorum_bench_test.go
+++ b/internal/coordination/replicator/quorum_bench_test.go
@@ -12,14 +12,13 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/journaler"
 )
 
-// BenchmarkFastTrackEmulated weighs the fast track of Fast Raft: it measures
-// the syncs of one entry of 300 bytes on each of M journals at once, and works
-// out when the entry would be committed with links of a constant delay.
+// BenchmarkFastTrackEmulated evaluates the fast track of Fast Raft. It measures the syncs of one
+// entry of 300 bytes on each of M journals in parallel, and computes when the entry would be
+// committed over links with a constant delay.
 //
-// Classic: the proposer sends to the leader, it to all, and a majority's disks
-// count. Fast: the proposer sends to all, they vote to the leader, and the
-// disks of three quarters count. AtLeader is a proposer on the leader, Away one
-// on another host.
+// Classic: the proposer sends to the leader, the leader to all, and the disks of a majority count.
+// Fast: the proposer sends to all, they vote to the leader, and the disks of three quarters count.
+// AtLeader is a proposer on the leader's host, Away one on another host.
 func BenchmarkFastTrackEmulated(b *testing.B) {
 	for _, hosts := range []int{3, 5} {
 		for _, delay := range []time.Duration{900 * time.Microsecond, 1500 * time.Microsecond} {
@@ -28,35 +27,35 @@
 	}
 }
 
-// track is one way to commit, with the latencies that it gave.
-type track struct {
-	name string
-	took *hdrhistogram.Histogram
-	of   func(syncs []time.Duration, delay time.Duration) time.Duration
+// commitPath is one way to commit, with its measured latencies.
+type commitPath struct {
+	name       string
+	took       *hdrhistogram.Histogram
+	commitTime func(syncs []time.Duration, delay time.Duration) time.Duration
 }
 
-func newTracks() []track {
+func newCommitPaths() []commitPath {
 	hist := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute), 3) }
-	return []track{
+	return []commitPath{
 		{"classic-atleader", hist(), func(f []time.Duration, d time.Duration) time.Duration {
-			return committed(f, len(f)/2+1, 0, 2*d, 2*d)
+			return quorumTime(f, len(f)/2+1, 0, 2*d, 2*d)
 		}},
 		{"fast-atleader", hist(), func(f []time.Duration, d time.Duration) time.Duration {
-			return committed(f, (3*len(f)+3)/4, 0, 2*d, 2*d)
+			return quorumTime(f, (3*len(f)+3)/4, 0, 2*d, 2*d)
 		}},
 		{"classic-away", hist(), func(f []time.Duration, d time.Duration) time.Duration {
-			return 2*d + committed(f, len(f)/2+1, 0, 2*d, 2*d)
+			return 2*d + quorumTime(f, len(f)/2+1, 0, 2*d, 2*d)
 		}},
 		{"fast-away", hist(), func(f []time.Duration, d time.Duration) time.Duration {
-			return d + committed(f, (3*len(f)+3)/4, d, d, 2*d)
+			return d + quorumTime(f, (3*len(f)+3)/4, d, d, 2*d)
 		}},
 	}
 }
 
-// committed returns when the leader knows of a quorum's disks. Host 0 leads,
-// host 1 proposes where the proposer is away; toLeader, toProposer and toOther
-// are the delays on the ways to and from the disks of host 0, 1 and the others.
-func committed(syncs []time.Duration, quorum int, toLeader, toProposer, toOther time.Duration) time.Duration {
+// quorumTime returns the time at which the leader knows that a quorum has synced. Host 0 leads;
+// host 1 proposes if the proposer is away. toLeader, toProposer and toOther are the delays to and
+// from the disks of host 0, of host 1 and of the others.
+func quorumTime(syncs []time.Duration, quorum int, toLeader, toProposer, toOther time.Duration) time.Duration {
 	known := make([]time.Duration, len(syncs))
 	for i, f := range syncs {
 		known[i] = f + []time.Duration{toLeader, toProposer, toOther}[min(i, 2)]
@@ -74,7 +73,7 @@
 			b.Fatal(err)
 		}
 	}
-	tracks := newTracks()
+	tracks := newCommitPaths()
 	syncs := make([]time.Duration, hosts)
 	for b.Loop() {
 		var all sync.WaitGroup
@@ -89,7 +88,7 @@
 		}
 		all.Wait()
 		for _, t := range tracks {
-			_ = t.took.RecordValue(int64(t.of(syncs, delay)))
+			_ = t.took.RecordValue(int64(t.commitTime(syncs, delay)))
 		}
 	}
 	for _, t := range tracks {
--- a/internal/coordination/replicator/replica.go
+++ b/internal/coordination/replicator/replica.go
@@ -17,30 +17,30 @@
 	lockName      = "lock"
 )
 
-// replica joins a Core with its files. It is synchronous and used by one
-// goroutine: its methods return when all they had to persist lasts. An error
-// means that the process must stop.
+// replica connects a Core with its files. It is synchronous and used by one goroutine: its methods
+// return once everything that must be persisted is durable. An error means that the process must
+// stop.
 type replica struct {
 	settings Settings
 	core     *Core
 	journal  *journaler.Journal
 	store    *snapshotter.Store
 	identity snapshotter.Identity
-	// founder is set while this host tries to form a group.
-	founder *founder
+	// bootstrapper is set while this host tries to form a group.
+	bootstrapper *bootstrapper
 
 	// send passes messages to the transport.
 	send func([]Message)
-	// commit passes committed entries to the applier.
-	commit func([]Entry)
-	// install tells the applier of a new latest snapshot.
-	install func(snapshotter.Metadata)
-	// answer passes on answers to reads.
-	answer func(ReadState)
+	// onCommit receives committed entries for the applier.
+	onCommit func([]Entry)
+	// onInstall receives the metadata of a newly installed snapshot.
+	onInstall func(snapshotter.Metadata)
+	// onRead receives the answers to reads.
+	onRead func(ReadState)
 }
 
-// openReplica opens the files, and returns a replica whose functions the caller
-// sets before its first use.
+// openReplica opens the files. The caller sets the returned replica's functions before its first
+// use.
 func openReplica(s Settings) (*replica, error) {
 	r := &replica{settings: s}
 	var err error
@@ -52,7 +52,7 @@
 		return nil, errors.Trace(err)
 	}
 	for _, d := range damaged {
-		s.Log.Error().Err(d).Msg("snapshot put aside; the one before it is used")
+		s.Log.Error().Err(d).Msg("snapshot is damaged; using the previous one")
 	}
 	var entries []Entry
 	r.journal, err = journaler.Open(r.journalSettings(), func(index uint64, record []byte) error {
@@ -79,7 +79,7 @@
 	}
 }
 
-// recover makes the core from what the files hold.
+// recover creates the core from the contents of the files.
 func (r *replica) recover(entries []Entry) error {
 	if err := r.loadIdentity(len(entries) > 0); err != nil {
 		return err
@@ -90,14 +90,14 @@
 	}
 	snapshot, _ := r.store.Latest()
 	if r.identity.Formation == 0 {
-		// A crash while the group was formed may have left its first entry.
+		// A crash during the formation of the group may have left its first entry.
 		if err := r.journal.Reset(1); err != nil {
 			return errors.Trace(err)
 		}
 		hard, entries = snapshotter.HardState{}, nil
-		r.founder = newFounder(r.settings, r.identity.Incarnation)
+		r.bootstrapper = newBootstrapper(r.settings, r.identity.Incarnation)
 	}
-	if entries, err = r.fit(entries, snapshot); err != nil {
+	if entries, err = r.reconcileJournal(entries, snapshot); err != nil {
 		return err
 	}
 	base := Configuration{}
@@ -110,7 +110,7 @@
 	return errors.Trace(err)
 }
 
-// loadIdentity reads the identity, or draws a new one in an empty folder.
+// loadIdentity reads the identity, or creates one in an empty folder.
 func (r *replica) loadIdentity(hasEntries bool) error {
 	id, found, err := r.store.Identity()
 	if err != nil {
@@ -134,9 +134,9 @@
 	return errors.Trace(r.store.SaveIdentity(r.identity))
 }
 
-// fit returns the entries that follow the snapshot, and drops the journal's
-// contents where they end before it or are of another history.
-func (r *replica) fit(entries []Entry, snapshot snapshotter.Metadata) ([]Entry, error) {
+// reconcileJournal returns the entries that follow the snapshot. It resets the journal if it ends
+// before the snapshot or disagrees with it.
+func (r *replica) reconcileJournal(entries []Entry, snapshot snapshotter.Metadata) ([]Entry, error) {
 	if snapshot.Index == 0 && r.journal.First() == 1 {
 		return entries, nil
 	}
@@ -157,7 +157,7 @@
 	return nil, errors.Trace(r.journal.Reset(snapshot.Index + 1))
 }
 
-// close closes the files.
+// close closes the store and the journal.
 func (r *replica) close() error {
 	if err := r.store.Close(); err != nil {
 		_ = r.journal.Close()
@@ -166,7 +166,7 @@
 	return errors.Trace(r.journal.Close())
 }
 
-// emit stamps messages with the group and sends them.
+// emit fills in the group and the sender, and sends the messages.
 func (r *replica) emit(ms []Message) {
 	if len(ms) == 0 {
 		return
@@ -178,7 +178,7 @@
 	r.send(ms)
 }
 
-// advance carries out what the core wants until it wants nothing more.
+// advance carries out the core's output until there is none left.
 func (r *replica) advance() error {
 	r.core.Flush()
 	for {
@@ -206,10 +206,10 @@
 			return err
 		}
 		if len(rd.Committed) > 0 {
-			r.commit(rd.Committed)
+			r.onCommit(rd.Committed)
 		}
 		for _, s := range rd.Reads {
-			r.answer(s)
+			r.onRead(s)
 		}
 		r.core.Advance(rd)
 		for _, m := range rd.Pieces {
@@ -221,7 +221,7 @@
 	}
 }
 
-// persist makes last what the messages of rd promise.
+// persist makes the state and entries of rd durable, which its messages depend on.
 func (r *replica) persist(rd Ready) error {
 	if rd.HardState != nil {
 		if err := r.store.SaveHardState(*rd.HardState); err != nil {
@@ -245,13 +245,13 @@
 		return errors.Annotate(err, "append to journal")
 	}
 	if first != rd.Entries[0].Index {
-		return errors.Errorf("journal put entry %d at %d", rd.Entries[0].Index, first)
+		return errors.Errorf("journal wrote entry %d at index %d", rd.Entries[0].Index, first)
 	}
 	return nil
 }
 
-// compact lets go of what the two latest snapshots make superfluous. Until
-// there are two the whole log stays, for a damaged snapshot to be replaced.
+// compact drops the entries that the two latest snapshots make unnecessary. Until there are two,
+// the whole log is kept, so that a damaged snapshot can be replaced.
 func (r *replica) compact(taken snapshotter.Metadata) error {
 	oldest, _ := r.store.Oldest()
 	if oldest.Index >= taken.Index {
--- a/internal/coordination/replicator/replicator.go
+++ b/internal/coordination/replicator/replicator.go
@@ -10,67 +10,64 @@
 	"github.com/juju/errors"
 )
 
-// inboxSize is the number of events that wait for the loop. Messages beyond it
-// are dropped, proposals wait.
+// inboxSize is the capacity of the loop's queue of events. If it is full, messages are dropped and
+// proposals wait.
 const inboxSize = 4096
 
-// Replicator is a host of a group. Its methods may be called from several
-// goroutines.
+// Replicator is one host of a group. Its methods are safe for concurrent use.
 type Replicator struct {
-	settings  Settings
-	replica   *replica
-	applier   *applier
-	transport Transport
-	clock     *clock
-	ledger    *ledger
-	queue     *applyQueue
-	locked    io.Closer
+	settings     Settings
+	replica      *replica
+	applier      *applier
+	transport    Transport
+	clock        *clock
+	pendingCalls *pendingCalls
+	queue        *applyQueue
+	folderLock   io.Closer
 
 	inbox chan event
-	// closing is closed by Close, stopped when the replicator no longer works.
+	// closing is closed by Close; stopped is closed once the replicator has stopped.
 	closing chan struct{}
 	stopped chan struct{}
 	workers sync.WaitGroup
-	// saving counts the goroutines that write a snapshot; the applier waits for
-	// them at its end.
+	// saving counts the goroutines that write a snapshot; the applier waits for them before it
+	// stops.
 	saving   sync.WaitGroup
 	stopOnce sync.Once
-	// observing keeps calls of Observe apart.
-	observing sync.Mutex
+	// observeLock serializes the calls of Observe.
+	observeLock sync.Mutex
 
-	// reads are the callers that wait for the core, by the id given to it.
-	// Only the loop uses them.
+	// reads are the callers that wait for the core, by read ID. Used only by the loop.
 	reads  map[uint64]chan ReadState
 	readID uint64
-	// led is the term in which this host led after the last turn, 0 for none;
-	// followed is the leader after it. Only the loop uses them.
-	led      uint64
-	followed HostID
-	// doubted tells that this host led in doubt after the last turn. Only the loop uses
-	// it.
-	doubted bool
-	// heldUpAt is when this host last told that it was held up, 0 for never. Only the
-	// loop uses it.
-	heldUpAt time.Duration
+	// leadingTerm is the term in which this host led after the last iteration, 0 if none;
+	// observedLeader is the leader at that time. Used only by the loop.
+	leadingTerm    uint64
+	observedLeader HostID
+	// quorumLost is set if this host led without a quorum after the last iteration. Used only by
+	// the loop.
+	quorumLost bool
+	// delayReportedAt is the time of the last LoopDelayed observation, 0 if none. Used only by the
+	// loop.
+	delayReportedAt time.Duration
 
 	lock sync.Mutex
-	// published is what callers see. Guarded by lock.
+	// published is the state shown to callers. Guarded by lock.
 	published published
 	// cause is the error that stopped the replicator. Guarded by lock.
 	cause error
 }
 
-// NewReplicator opens the data folder, restores the state machine from the
-// latest snapshot and starts. Commands after the snapshot are applied once the
-// group's leader has said that they are committed. It returns
-// journaler.ErrDamaged where the disk has lost what it held.
+// NewReplicator opens the data folder, restores the state machine from the latest snapshot and
+// starts. Commands after the snapshot are applied once the leader has reported them as committed.
+// It returns journaler.ErrDamaged if durable data is missing from the disk.
 func NewReplicator(s Settings, sm StateMachine, t Transport) (*Replicator, error) {
 	s = s.withDefaults()
 	if err := s.check(); err != nil {
-		return nil, errors.Annotate(err, "settings of the replicator")
+		return nil, errors.Annotate(err, "replicator settings")
 	}
 	r := &Replicator{
-		settings: s, transport: t, clock: newClock(s.Now), ledger: newLedger(), queue: newApplyQueue(),
+		settings: s, transport: t, clock: newClock(s.Now), pendingCalls: newPendingCalls(), queue: newApplyQueue(),
 		inbox: make(chan event, inboxSize), closing: make(chan struct{}), stopped: make(chan struct{}),
 		reads: make(map[uint64]chan ReadState),
 	}
@@ -85,19 +82,19 @@
 	return r, nil
 }
 
-// observe keeps calls from the loop and the applier apart.
+// observe serializes the observations of the loop and the applier.
 func (r *Replicator) observe(to func(Observation)) func(Observation) {
 	return func(o Observation) {
-		r.observing.Lock()
-		defer r.observing.Unlock()
+		r.observeLock.Lock()
+		defer r.observeLock.Unlock()
 		r.logElection(o)
 		to(o)
 	}
 }
 
-// logElection logs what decides whether and when there is a leader. A group without one
-// for seconds is explained by these lines alone: who asked whom, what was refused and
-// why, and which host was held up by its disk or not run at all.
+// logElection logs the events that decide whether and when there is a leader. These lines alone
+// must explain a group without a leader for seconds: which host asked which, what was refused and
+// why, and which host was delayed by its disk or not scheduled.
 func (r *Replicator) logElection(o Observation) {
 	switch t := o.(type) {
 	case ElectionEvent:
@@ -105,43 +102,43 @@
 			Uint64("LogIndex", t.LogIndex).Uint64("LogTerm", t.LogTerm).Uint64("OwnIndex", t.OwnIndex).Uint64("OwnTerm", t.OwnTerm).
 			Stringer("Refusal", t.Refusal).Msg("election")
 	case LoopDelayed:
-		r.settings.Log.Info().Dur("Late", t.Late).Dur("Disk", t.Disk).Msg("held up")
+		r.settings.Log.Info().Dur("Late", t.Late).Dur("Disk", t.Disk).Msg("replication loop delayed")
 	}
 }
 
-// open opens the files and connects the parts.
+// open locks the data folder, opens the files and connects the parts.
 func (r *Replicator) open(sm StateMachine) error {
 	files := r.settings.FileSystem
 	if err := files.MakeFolder(r.settings.DataFolder); err != nil {
-		return errors.Annotate(err, "make data folder")
+		return errors.Annotate(err, "create data folder")
 	}
-	locked, err := files.Lock(filepath.Join(r.settings.DataFolder, lockName))
+	folderLock, err := files.Lock(filepath.Join(r.settings.DataFolder, lockName))
 	if err != nil {
 		return errors.Annotate(err, "lock data folder")
 	}
 	if r.replica, err = openReplica(r.settings); err != nil {
-		_ = locked.Close()
+		_ = folderLock.Close()
 		return errors.Annotate(err, "open replica")
 	}
-	r.locked = locked
+	r.folderLock = folderLock
 	r.applier = &applier{machine: sm, store: r.replica.store, observe: r.settings.Observe}
 	if err := r.applier.restore(); err != nil {
 		_ = r.replica.close()
-		_ = locked.Close()
+		_ = folderLock.Close()
 		return err
 	}
-	r.ledger.applied = r.applier.applied
+	r.pendingCalls.applied = r.applier.applied
 	r.replica.send = r.send
-	r.replica.commit = func(es []Entry) {
+	r.replica.onCommit = func(es []Entry) {
 		r.publish()
 		r.queue.pushEntries(es)
 	}
-	r.replica.install = func(m metadata) { r.queue.pushInstall() }
-	r.replica.answer = r.answerRead
+	r.replica.onInstall = func(m metadata) { r.queue.pushInstall() }
+	r.replica.onRead = r.completeRead
 	return nil
 }
 
-// send groups messages by receiver.
+// send passes messages to the transport, grouped by receiver.
 func (r *Replicator) send(ms []Message) {
 	for len(ms) > 0 {
 		n := 1
@@ -153,8 +150,8 @@
 	}
 }
 
-// Deliver takes in a message from the network. It never blocks: messages that
-// find the inbox full are dropped, as the network might.
+// Deliver passes a message from the network to the loop. It never blocks: if the inbox is full, the
+// message is dropped, as it could be on the network.
 func (r *Replicator) Deliver(m Message) {
 	select {
 	case r.inbox <- delivered{message: m}:
@@ -162,11 +159,10 @@
 	}
 }
 
-// Propose puts a command into the log and returns its index and the state
-// machine's result once it is synced on a majority of hosts and applied on this
-// one. data must not be changed afterwards. Errors are ErrNotLeader,
-// ErrNotAccepted and ErrStopped, which prove that the command has no effect
-// (see CertainlyNotAccepted), and ErrOutcomeUnknown, which doesn't.
+// Propose appends a command to the log. Once the command is synced on a majority of hosts and
+// applied on this one, it returns the index and the state machine's result. data must not be
+// changed afterwards. The errors ErrNotLeader, ErrNotAccepted and ErrStopped prove that the command
+// has no effect (see CertainlyNotAccepted); ErrOutcomeUnknown does not.
 func (r *Replicator) Propose(ctx context.Context, data []byte) (index uint64, result any, err error) {
 	if len(data) > r.settings.EntryBytes {
 		return 0, nil, errors.Trace(ErrNotAccepted{Reason: "the command is too large"})
@@ -175,7 +171,7 @@
 	return o.index, o.result, errors.Trace(o.err)
 }
 
-// submit hands a proposal to the loop and waits for its outcome.
+// submit passes a proposal to the loop and waits for its outcome.
 func (r *Replicator) submit(ctx context.Context, p proposal) outcome {
 	if err := r.Err(); err != nil {
 		return outcome{err: err}
@@ -193,12 +189,12 @@
 	case <-ctx.Done():
 		return outcome{err: ErrOutcomeUnknown{Reason: ctx.Err().Error()}}
 	case <-r.stopped:
-		return r.lateOutcome(p)
+		return r.outcomeAtStop(p)
 	}
 }
 
-// lateOutcome looks for an outcome that came together with the stop.
-func (r *Replicator) lateOutcome(p proposal) outcome {
+// outcomeAtStop returns the outcome if it arrived together with the stop.
+func (r *Replicator) outcomeAtStop(p proposal) outcome {
 	select {
 	case o := <-p.done:
 		return o
@@ -207,12 +203,11 @@
 	}
 }
 
-// ReadBarrier returns once this host's state machine holds all commands that
-// were accepted before the call, so that a read from it is linearizable. It
-// needs no message while the leader's lease holds, else a round of heartbeats.
-// On any other host it returns ErrNotLeader.
+// ReadBarrier returns once this host's state machine holds all commands that were accepted before
+// the call, so that a read from it is linearizable. It needs no messages while the leader's lease
+// holds, and a round of heartbeats otherwise. On a host that does not lead it returns ErrNotLeader.
 func (r *Replicator) ReadBarrier(ctx context.Context) error {
-	if p := r.shown(); r.clock.read() < p.leaseUntil {
+	if p := r.lastPublished(); r.clock.read() < p.leaseUntil {
 		return r.waitApplied(ctx, p.status.Commit)
 	}
 	request := readRequest{done: make(chan ReadState, 1)}
@@ -239,7 +234,7 @@
 
 func (r *Replicator) waitApplied(ctx context.Context, index uint64) error {
 	select {
-	case <-r.ledger.when(index):
+	case <-r.pendingCalls.whenApplied(index):
 		return nil
 	case <-ctx.Done():
 		return errors.Trace(ctx.Err())
@@ -248,11 +243,11 @@
 	}
 }
 
-// Done returns a channel that is closed when the replicator has stopped, by
-// Close or by a failure after which its process has to stop.
+// Done returns a channel that is closed once the replicator has stopped, by Close or by a failure.
+// After a failure the process must stop.
 func (r *Replicator) Done() <-chan struct{} { return r.stopped }
 
-// Err returns nil while the replicator works, else ErrStopped.
+// Err returns nil while the replicator runs, and ErrStopped afterwards.
 func (r *Replicator) Err() error {
 	select {
 	case <-r.stopped:
@@ -264,7 +259,7 @@
 	}
 }
 
-// stop records the first cause and ends all waiting.
+// stop records the first cause and fails all pending calls.
 func (r *Replicator) stop(cause error) {
 	r.stopOnce.Do(func() {
 		r.lock.Lock()
@@ -275,17 +270,17 @@
 		r.lock.Unlock()
 		close(r.stopped)
 		r.queue.close()
-		r.ledger.failAfter(0, "the replicator has stopped")
+		r.pendingCalls.failAfter(0, "the replicator has stopped")
 		if cause != nil {
-			r.settings.Log.Error().Err(cause).Msg("replicator has stopped for good")
+			r.settings.Log.Error().Err(cause).Msg("replicator has failed")
 			r.settings.Observe(Stopped{Cause: cause})
 		}
 	})
 }
 
-// Close stops the replicator and waits for its goroutines and files. Proposals
-// in progress end with ErrOutcomeUnknown; TransferLeadership before it leaves
-// none. It returns the failure that stopped the replicator before, if any.
+// Close stops the replicator and waits until its goroutines have ended and its files are closed.
+// Pending proposals fail with ErrOutcomeUnknown; a call of TransferLeadership before Close avoids
+// that. It returns the failure that stopped the replicator before, if any.
 func (r *Replicator) Close() error {
 	r.lock.Lock()
 	select {
@@ -300,8 +295,8 @@
 	return errors.Trace(r.cause)
 }
 
-// pause waits for a while, and reports false when ctx or the replicator ended.
-func (r *Replicator) pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if ctx ended or the replicator stopped before that.
+func (r *Replicator) sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/coordination/replicator/replicator_bench_test.go
+++ b/internal/coordination/replicator/replicator_bench_test.go
@@ -13,12 +13,11 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/journaler"
 )
 
-// commandBytes is the size of the commands of the benchmarks.
+// commandBytes is the size in bytes of the benchmarks' commands.
 const commandBytes = 300
 
-// BenchmarkCommitHosts measures commands of 300 bytes over hosts in one process
-// on an in-process transport, with real syncs on one disk, by the number of
-// callers that wait for their commands.
+// BenchmarkCommitHosts measures commands of 300 bytes on hosts in one process, with an in-process
+// transport and real syncs on one disk, by the number of callers that wait for their commands.
 func BenchmarkCommitHosts(b *testing.B) {
 	for _, hosts := range []int{1, 3, 5} {
 		for _, callers := range []int{1, 16, 256} {
@@ -27,8 +26,7 @@
 	}
 }
 
-// BenchmarkCommitFarHosts is the same with links of 50 ms one way, as between
-// regions.
+// BenchmarkCommitFarHosts measures the same with a one-way link delay of 50 ms, as between regions.
 func BenchmarkCommitFarHosts(b *testing.B) {
 	for _, callers := range []int{1, 256} {
 		b.Run(fmt.Sprintf("Hosts5Callers%dDelay50ms", callers), func(b *testing.B) {
@@ -42,8 +40,8 @@
 	RegisterTestingT(b)
 	g := newGroup(b, hosts, nil)
 	defer g.close()
-	g.wire.delay = delay
-	l := g.wire.hosts[g.leader(0)]
+	g.network.delay = delay
+	l := g.network.hosts[g.leader(0)]
 	took := hdrhistogram.New(1, int64(time.Minute), 3)
 	var lock sync.Mutex
 	var all sync.WaitGroup
@@ -69,8 +67,8 @@
 	b.ReportMetric(float64(took.ValueAtQuantile(99))/1e6, "p99-ms")
 }
 
-// BenchmarkElectionAfterLossHosts measures the time from the loss of the
-// leader until another one has committed a command, with the default times.
+// BenchmarkElectionAfterLossHosts measures the time from the loss of the leader until another one
+// has committed a command, with the default timeouts.
 func BenchmarkElectionAfterLossHosts(b *testing.B) {
 	for _, hosts := range []int{3, 5} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
@@ -83,7 +81,7 @@
 				g.stop(l)
 				start := time.Now()
 				for committed := false; !committed; {
-					for _, r := range g.wire.hosts {
+					for _, r := range g.network.hosts {
 						if _, _, err := r.Propose(context.Background(), []byte("x")); err == nil {
 							committed = true
 						}
@@ -98,8 +96,8 @@
 	}
 }
 
-// BenchmarkRecoveryEntries measures the time from the start of a host until it
-// has applied a log of commands of 300 bytes without a snapshot.
+// BenchmarkRecoveryEntries measures the time from the start of a host until it has applied a log of
+// 300-byte commands without a snapshot.
 func BenchmarkRecoveryEntries(b *testing.B) {
 	for _, entries := range []int{100_000, 200_000, 400_000} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
@@ -121,7 +119,7 @@
 	}
 }
 
-// fillJournal appends commands to the journal of a host that is stopped.
+// fillJournal appends commands to the journal of a stopped host.
 func fillJournal(folder string, entries int) {
 	j, err := journaler.Open(journaler.Settings{Folder: folder + "/" + journalFolder}, func(uint64, []byte) error { return nil })
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/coordination/replicator/replicator_test.go
+++ b/internal/coordination/replicator/replicator_test.go
@@ -18,7 +18,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/journaler"
 )
 
-// tally is a state machine that counts its commands and keeps their sum.
+// tally is a state machine that counts its commands and keeps a checksum of them.
 type tally struct {
 	lock       sync.Mutex
 	count, sum uint64
@@ -55,31 +55,31 @@
 	return t.count
 }
 
-// wire connects replicators in one process; cut links lose their messages.
-type wire struct {
+// network connects replicators in one process. Messages on cut links are lost.
+type network struct {
 	lock  sync.Mutex
 	hosts map[HostID]*Replicator
 	cut   map[[2]HostID]bool
 	// delay is the one-way delay of all links.
 	delay time.Duration
-	// slow tells what a message takes more; nil means nothing.
-	slow *slowness
+	// delays gives the additional delay of each message; nil means none.
+	delays *injectedDelays
 }
 
-type wireEnd struct {
-	wire *wire
-	self HostID
+type testTransport struct {
+	network *network
+	self    HostID
 }
 
-func (e wireEnd) Send(to HostID, ms []Message) {
-	e.wire.lock.Lock()
-	host, cut := e.wire.hosts[to], e.wire.cut[[2]HostID{e.self, to}]
-	delay := e.wire.delay
-	if e.wire.slow != nil {
-		_, hop := e.wire.slow.draw()
+func (e testTransport) Send(to HostID, ms []Message) {
+	e.network.lock.Lock()
+	host, cut := e.network.hosts[to], e.network.cut[[2]HostID{e.self, to}]
+	delay := e.network.delay
+	if e.network.delays != nil {
+		_, hop := e.network.delays.draw()
 		delay += hop
 	}
-	e.wire.lock.Unlock()
+	e.network.lock.Unlock()
 	if host == nil || cut {
 		return
 	}
@@ -95,22 +95,22 @@
 	deliver()
 }
 
-func (w *wire) setCut(from, to HostID, cut bool) {
+func (w *network) setCut(from, to HostID, cut bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.cut[[2]HostID{from, to}] = cut
 }
 
-// group is a few replicators on a wire.
-type group struct {
-	wire     *wire
+// testGroup is a group of replicators on a network.
+type testGroup struct {
+	network  *network
 	machines map[HostID]*tally
 	settings func(HostID) Settings
 }
 
-func newGroup(tb testing.TB, hosts int, adjust func(*Settings)) *group {
+func newGroup(tb testing.TB, hosts int, adjust func(*Settings)) *testGroup {
 	tb.Helper()
-	g := &group{wire: &wire{hosts: make(map[HostID]*Replicator), cut: make(map[[2]HostID]bool)}, machines: make(map[HostID]*tally)}
+	g := &testGroup{network: &network{hosts: make(map[HostID]*Replicator), cut: make(map[[2]HostID]bool)}, machines: make(map[HostID]*tally)}
 	folder := tb.TempDir()
 	var list []Member
 	for i := 1; i <= hosts; i++ {
@@ -137,35 +137,35 @@
 	return g
 }
 
-func (g *group) start(id HostID) *Replicator {
+func (g *testGroup) start(id HostID) *Replicator {
 	g.machines[id] = &tally{}
-	r, err := NewReplicator(g.settings(id), g.machines[id], wireEnd{wire: g.wire, self: id})
+	r, err := NewReplicator(g.settings(id), g.machines[id], testTransport{network: g.network, self: id})
 	Expect(err).NotTo(HaveOccurred())
-	g.wire.lock.Lock()
-	g.wire.hosts[id] = r
-	g.wire.lock.Unlock()
+	g.network.lock.Lock()
+	g.network.hosts[id] = r
+	g.network.lock.Unlock()
 	return r
 }
 
-func (g *group) stop(id HostID) {
-	g.wire.lock.Lock()
-	r := g.wire.hosts[id]
-	delete(g.wire.hosts, id)
-	g.wire.lock.Unlock()
+func (g *testGroup) stop(id HostID) {
+	g.network.lock.Lock()
+	r := g.network.hosts[id]
+	delete(g.network.hosts, id)
+	g.network.lock.Unlock()
 	Expect(r.Close()).To(Succeed())
 }
 
-func (g *group) close() {
-	for id := range g.wire.hosts {
+func (g *testGroup) close() {
+	for id := range g.network.hosts {
 		g.stop(id)
 	}
 }
 
-// leader waits for a leader whose lease holds, other than the one given.
-func (g *group) leader(but HostID) HostID {
+// leader waits for a leader other than but whose lease holds, and returns it.
+func (g *testGroup) leader(but HostID) HostID {
 	var found HostID
 	Eventually(func() bool {
-		for id, r := range g.wire.hosts {
+		for id, r := range g.network.hosts {
 			if id != but && r.LeaseValid() {
 				found = id
 				return true
@@ -182,14 +182,14 @@
 		g := newGroup(t, 1, nil)
 		for i := range 10 {
 			Eventually(func() error {
-				_, _, err := g.wire.hosts[1].Propose(context.Background(), []byte{byte(i)})
+				_, _, err := g.network.hosts[1].Propose(context.Background(), []byte{byte(i)})
 				return err
 			}).Should(Succeed())
 		}
 		g.stop(1)
 		g.start(1)
 		g.leader(0)
-		Expect(g.wire.hosts[1].ReadBarrier(context.Background())).To(Succeed())
+		Expect(g.network.hosts[1].ReadBarrier(context.Background())).To(Succeed())
 		Expect(g.machines[1].get()).To(Equal(uint64(10)))
 		g.close()
 	})
@@ -202,40 +202,40 @@
 		ctx := context.Background()
 		l := g.leader(0)
 		for i := range 100 {
-			index, result, err := g.wire.hosts[l].Propose(ctx, []byte{byte(i)})
+			index, result, err := g.network.hosts[l].Propose(ctx, []byte{byte(i)})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(result).To(Equal(uint64(i + 1)))
 			Expect(index).To(BeNumerically(">", i))
 		}
 		g.start(4)
-		Expect(g.wire.hosts[l].AddMember(ctx, Member{ID: 4, Address: "10.0.0.4:7", Voter: true})).To(Succeed())
-		Expect(g.wire.hosts[l].TransferLeadership(ctx)).To(Succeed())
+		Expect(g.network.hosts[l].AddMember(ctx, Member{ID: 4, Address: "10.0.0.4:7", Voter: true})).To(Succeed())
+		Expect(g.network.hosts[l].TransferLeadership(ctx)).To(Succeed())
 		n := g.leader(l)
-		Expect(g.wire.hosts[n].ReadBarrier(ctx)).To(Succeed())
-		Expect(g.wire.hosts[n].RemoveMember(ctx, l)).To(Succeed())
+		Expect(g.network.hosts[n].ReadBarrier(ctx)).To(Succeed())
+		Expect(g.network.hosts[n].RemoveMember(ctx, l)).To(Succeed())
 		Eventually(func() uint64 { return g.machines[4].get() }).Should(Equal(uint64(100)))
 		g.close()
 	})
 }
 
-// Symptom: a caller is told that its change failed, resends it, and it takes
-// effect twice; or a leader answers reads from the past. Events: the leader is
-// cut off silently, both ways or only from the answers, while a proposal is
-// under way, and others come later. Cause: a leader that doesn't notice keeps
-// its lease, and calls "not accepted" what may still be committed.
-func TestLeaderCutOffStepsDownWithinItsLeaseAndSaysTheTruth(t *testing.T) {
+// Guards against a change that takes effect twice because its caller was told that it failed and
+// sent it again, and against stale reads from a leader. The leader is cut off without an error, in
+// both directions or only from the replies, while one proposal is in progress and others follow. A
+// leader that does not detect this would keep its lease, and report a proposal as not accepted that
+// may still be committed.
+func TestLeaderCutOffStepsDownWithinItsLeaseAndReportsUnknownOutcome(t *testing.T) {
 	for _, oneWay := range []bool{false, true} {
 		RegisterTestingT(t)
 		synctest.Test(t, func(t *testing.T) {
 			g := newGroup(t, 3, nil)
 			ctx := context.Background()
 			l := g.leader(0)
-			old := g.wire.hosts[l]
+			old := g.network.hosts[l]
 			_, _, err := old.Propose(ctx, []byte("before"))
 			Expect(err).NotTo(HaveOccurred())
-			for id := range g.wire.hosts {
-				g.wire.setCut(id, l, true)
-				g.wire.setCut(l, id, !oneWay)
+			for id := range g.network.hosts {
+				g.network.setCut(id, l, true)
+				g.network.setCut(l, id, !oneWay)
 			}
 			start := time.Now()
 			_, _, err = old.Propose(ctx, []byte("during"))
@@ -250,11 +250,11 @@
 			Expect(CertainlyNotAccepted(err)).To(BeTrue())
 
 			n := g.leader(l)
-			_, _, err = g.wire.hosts[n].Propose(ctx, []byte("elsewhere"))
+			_, _, err = g.network.hosts[n].Propose(ctx, []byte("elsewhere"))
 			Expect(err).NotTo(HaveOccurred())
-			for id := range g.wire.hosts {
-				g.wire.setCut(id, l, false)
-				g.wire.setCut(l, id, false)
+			for id := range g.network.hosts {
+				g.network.setCut(id, l, false)
+				g.network.setCut(l, id, false)
 			}
 			Eventually(func() uint64 { return g.machines[l].get() }).WithTimeout(5 * time.Second).Should(Equal(g.machines[n].get()))
 			g.close()
@@ -262,16 +262,16 @@
 	}
 }
 
-// Symptom: an accepted change is gone after a power cut. Events: a sync of the
-// journal fails, the next one succeeds. Cause: the system drops the pages whose
-// write-back failed, so that the second success says nothing about them.
+// Guards against the loss of an accepted change in a power failure. A sync of the journal fails and
+// the next one succeeds. The operating system drops pages whose write-back failed, so that the
+// later success proves nothing about them.
 func TestFailedSyncStopsTheReplicator(t *testing.T) {
 	RegisterTestingT(t)
 	synctest.Test(t, func(t *testing.T) {
 		disk := disker.NewDisk(rand.New(rand.NewPCG(1, 1)))
 		g := newGroup(t, 1, func(s *Settings) { s.FileSystem = disk })
 		g.leader(0)
-		r := g.wire.hosts[1]
+		r := g.network.hosts[1]
 		_, _, err := r.Propose(context.Background(), []byte("one"))
 		Expect(err).NotTo(HaveOccurred())
 		disk.FailSyncIn(1)
--- a/internal/coordination/replicator/settings.go
+++ b/internal/coordination/replicator/settings.go
@@ -29,30 +29,29 @@
 
 // Transport sends messages to the other hosts of the group.
 type Transport interface {
-	// Send is best effort: it may lose, double and reorder messages. It never
-	// blocks for long, and doesn't change the messages.
+	// Send is best effort: it may lose, duplicate and reorder messages. It must not block for long,
+	// and must not change the messages.
 	Send(to HostID, ms []Message)
 }
 
-// StateMachine is what the log's commands are applied to. Its methods are
-// called from one goroutine.
+// StateMachine is the state machine to which the commands are applied. Its methods are called from
+// one goroutine.
 type StateMachine interface {
-	// Apply carries out a committed command, in the order of the log, without
-	// gaps. Its result must depend on nothing but the commands so far. It goes
-	// to the caller of Propose.
+	// Apply applies a committed command, in the order of the log and without gaps. Its result is
+	// returned by Propose, and must depend only on the commands applied so far.
 	Apply(index uint64, data []byte) any
-	// Snapshot writes the state after all commands so far.
+	// Snapshot writes the state after all commands applied so far.
 	Snapshot(w io.Writer) error
 	// Restore replaces the state by one that Snapshot wrote at index.
 	Restore(r io.Reader, index uint64) error
 }
 
-// Freezer is a StateMachine that goes on applying commands while a snapshot is
-// written. With any other, all changes wait for as long as that takes.
+// Freezer is a StateMachine that can apply commands while a snapshot is written. With any other,
+// all changes wait until the snapshot is written.
 type Freezer interface {
 	StateMachine
-	// Freeze returns a function that writes the state as it is now, as Snapshot
-	// would. That function is called from another goroutine.
+	// Freeze returns a function that writes the state at the time of the call, as Snapshot would.
+	// The function is called from another goroutine.
 	Freeze() func(w io.Writer) error
 }
 
@@ -60,70 +59,65 @@
 type Settings struct {
 	// Group is the name of the group. It must be the same on all hosts.
 	Group string
-	// Self describes this host.
+	// Self describes this host. Its ID must not be 0.
 	Self Member
-	// DataFolder holds all of the host's durable state.
+	// DataFolder is the path of the folder with all durable state of the host.
 	DataFolder string
-	// Bootstrap lists the first voters, the same on all of them, Self among
-	// them. It is used only while the host belongs to no group. The host with
-	// the lowest ID forms the group, once all others have told it that they
-	// are new; after that all but it could be lost without a second group
-	// coming up.
+	// Bootstrap lists the initial voters, including Self. It must be the same on all of them. It is
+	// used only while the host belongs to no group. The host with the lowest ID forms the group
+	// once all others have confirmed that they are new. After that, as long as one host keeps its
+	// disk, no second group can be formed.
 	Bootstrap []Member
-	// Join says that the host waits to be added to a group.
+	// Join makes the host wait until it is added to a group.
 	Join bool
 
-	// TickInterval is the resolution of all times; 0 means
-	// DefaultTickInterval.
+	// TickInterval is the resolution of all timeouts; 0 means DefaultTickInterval.
 	TickInterval time.Duration
-	// ElectionTimeout is how long a leader may be silent; 0 means
-	// DefaultElectionTimeout.
+	// ElectionTimeout is the time without contact from the leader after which followers may elect
+	// another one; 0 means DefaultElectionTimeout.
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the time between heartbeat rounds; 0 means
 	// DefaultHeartbeatInterval.
 	HeartbeatInterval time.Duration
-	// LeaseDrift bounds how much two hosts' clocks may drift apart during one
-	// ElectionTimeout; 0 means a fifth of it. Reads under the lease are
-	// linearizable only while this holds; writes don't depend on clocks.
+	// LeaseDrift bounds how far two hosts' clocks may drift apart during one ElectionTimeout; 0
+	// means a fifth of it. Reads under the lease are linearizable only within this bound; writes do
+	// not depend on clocks.
 	LeaseDrift time.Duration
 
-	// SnapshotEvery is the number of entries and SnapshotBytes the size of
-	// entries after which a snapshot is taken; 0 means DefaultSnapshotEvery
-	// and DefaultSnapshotBytes. Up to three times as much stays in the journal
-	// and twice as much in memory.
+	// SnapshotEvery is the number of entries, and SnapshotBytes the size of entries, after which a
+	// snapshot is taken; 0 means DefaultSnapshotEvery and DefaultSnapshotBytes. The journal keeps
+	// up to three times as much, and memory up to twice as much.
 	SnapshotEvery uint64
 	SnapshotBytes int64
-	// JournalBytes bounds the journal's use of the disk; 0 means
+	// JournalBytes bounds the size of the journal on the disk; 0 means
 	// journaler.DefaultMaximumBytes.
 	JournalBytes int64
-	// PieceBytes is the size of the pieces in which snapshots travel; 0 means
-	// DefaultPieceBytes.
+	// PieceBytes is the size of the pieces in which snapshots are sent; 0 means DefaultPieceBytes.
 	PieceBytes int
 	// EntryBytes bounds the data of one proposal; 0 means DefaultEntryBytes.
 	EntryBytes int
-	// PendingBytes bounds the entries not committed, and those not applied;
-	// 0 means DefaultPendingBytes.
+	// PendingBytes bounds the size of the uncommitted entries, and that of the unapplied ones; 0
+	// means DefaultPendingBytes.
 	PendingBytes int
-	// MessageBytes, WindowMessages and WindowBytes bound what goes to one
-	// member without an answer; 0 means their defaults.
+	// MessageBytes, WindowMessages and WindowBytes bound the unanswered appends to one member; 0
+	// means their defaults.
 	MessageBytes   int
 	WindowMessages int
 	WindowBytes    int
-	// CatchUpEntries is how far behind a learner may be to become a voter; 0
+	// CatchUpEntries is the number of entries that a learner may lack when it becomes a voter; 0
 	// means DefaultCatchUpEntries.
 	CatchUpEntries uint64
 
-	// Now reads the clock; nil means time.Now, whose readings are monotonic.
+	// Now returns the current time; nil means time.Now, whose readings are monotonic.
 	Now func() time.Time
-	// Random draws election timeouts and incarnations; nil means a random
-	// seed.
+	// Random draws election timeouts and incarnations; nil means a randomly seeded source.
 	Random *rand.Rand
 	// FileSystem is used for all files; nil means journaler.Disk.
 	FileSystem journaler.FileSystem
-	// Log gets what operators should read.
+	// Log receives messages for operators.
 	Log zerolog.Logger
-	// Observe gets typed events, from one goroutine at a time; it must not
-	// block, nor call the Replicator. It may be nil.
+	// Observe receives events, from one goroutine at a time. It must not block or call the
+	// Replicator. It may be nil.
 	Observe func(Observation)
 }
 
@@ -164,19 +158,19 @@
 	}
 }
 
-// check returns an error for settings that can't work.
+// check returns an error if the settings are invalid.
 func (s Settings) check() error {
 	switch {
 	case s.Group == "":
-		return errors.New("the group has no name")
+		return errors.New("group name is empty")
 	case s.Self.ID == 0:
-		return errors.New("the host has no number")
+		return errors.New("host ID is 0")
 	case s.DataFolder == "":
-		return errors.New("there is no data folder")
+		return errors.New("data folder is not set")
 	case s.HeartbeatInterval*2 > s.ElectionTimeout:
-		return errors.Errorf("heartbeat interval %s is over half of the election timeout %s", s.HeartbeatInterval, s.ElectionTimeout)
+		return errors.Errorf("heartbeat interval %s exceeds half of the election timeout %s", s.HeartbeatInterval, s.ElectionTimeout)
 	case s.LeaseDrift >= s.ElectionTimeout:
-		return errors.Errorf("lease drift %s is not under the election timeout %s", s.LeaseDrift, s.ElectionTimeout)
+		return errors.Errorf("lease drift %s is not below the election timeout %s", s.LeaseDrift, s.ElectionTimeout)
 	case s.Join && len(s.Bootstrap) > 0:
 		return errors.New("a host can't both bootstrap and join")
 	case len(s.Bootstrap) > 0 && !containsMember(s.Bootstrap, s.Self.ID):
@@ -190,7 +184,7 @@
 	return ok
 }
 
-// core returns the options of the Core.
+// core returns the settings of the Core.
 func (s Settings) core(incarnation uint64) CoreSettings {
 	return CoreSettings{
 		Self: s.Self.ID, Incarnation: incarnation,
--- a/internal/coordination/replicator/simulation_test.go
+++ b/internal/coordination/replicator/simulation_test.go
@@ -12,15 +12,15 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/snapshotter"
 )
 
-// Times of the simulation: a step is a heartbeat interval of several ticks, so
-// that an election fits into the life of a lease.
+// Times of the simulation. A step is a heartbeat interval of several ticks, so that an election can
+// take place within the duration of a lease.
 const (
 	simulatedTick    = 10 * time.Millisecond
 	simulatedStep    = 4 * simulatedTick
 	simulatedTimeout = 4 * simulatedStep
 )
 
-// chain is a state machine whose state is a hash over all commands so far.
+// chain is a state machine whose state is a hash of all commands so far.
 type chain struct{ index, hash uint64 }
 
 func (c *chain) Apply(index uint64, data []byte) any {
@@ -42,20 +42,20 @@
 	return err
 }
 
-// simulatedHost is a host with a fake disk; replica is nil while it is down.
+// simulatedHost is a host with a simulated disk; replica is nil while it is down.
 type simulatedHost struct {
 	id      HostID
 	disk    *disker.Disk
 	replica *replica
 	applier *applier
-	// offset is what clock jumps have added to the host's clock.
+	// offset is the sum of the jumps of the host's clock.
 	offset time.Duration
-	// startedAt is the host's clock at its start.
+	// startedAt is the time on the host's clock at its start.
 	startedAt time.Duration
 }
 
-// simulation runs hosts on fake networks, clocks and disks, and checks after
-// each step what must always hold.
+// simulation runs hosts on simulated networks, clocks and disks, and checks the invariants after
+// each step.
 type simulation struct {
 	fail    func(format string, args ...any)
 	random  *rand.Rand
@@ -63,32 +63,32 @@
 	voters  []Member
 	now     time.Duration
 	network []Message
-	// messageBytes is CoreSettings.MessageBytes; 1 sends each entry alone.
+	// messageBytes is CoreSettings.MessageBytes; 1 sends each entry in a message of its own.
 	messageBytes int
 	cut          map[[2]HostID]bool
-	// held are the links whose messages wait.
-	held map[[2]HostID]bool
-	// leaders holds who led each term, committed what was committed where, and
-	// hashes the state after each entry.
-	leaders   map[uint64]HostID
-	committed []Entry
-	hashes    map[uint64]uint64
-	proposed  uint64
-	seen      map[string]bool
-	// reads holds how much was committed when each read began; jumped says
-	// that a clock has jumped, so that leases prove nothing.
-	reads  []int
-	jumped bool
-	// elections and faults count what the run has met.
+	// delayedLinks are the links whose messages are held back.
+	delayedLinks map[[2]HostID]bool
+	// leaders holds the leader of each term, committed the committed entries, and hashes the state
+	// after each entry.
+	leaders         map[uint64]HostID
+	committed       []Entry
+	hashes          map[uint64]uint64
+	proposed        uint64
+	appliedCommands map[string]bool
+	// reads holds the number of committed entries at the start of each read. clockJumped is set
+	// once a clock has jumped, so that leases are no longer sound.
+	reads       []int
+	clockJumped bool
+	// elections and faults count the events of the run.
 	elections, faults int
 }
 
-// newSimulation starts the given number of voters and as many spare hosts.
+// newSimulation starts the given numbers of voters and spare hosts.
 func newSimulation(fail func(string, ...any), random *rand.Rand, voters, spares, messageBytes int) *simulation {
 	s := &simulation{
-		fail: fail, random: random, cut: make(map[[2]HostID]bool), held: make(map[[2]HostID]bool), leaders: make(map[uint64]HostID),
+		fail: fail, random: random, cut: make(map[[2]HostID]bool), delayedLinks: make(map[[2]HostID]bool), leaders: make(map[uint64]HostID),
 		messageBytes: messageBytes,
-		hashes:       make(map[uint64]uint64), seen: make(map[string]bool),
+		hashes:       make(map[uint64]uint64), appliedCommands: make(map[string]bool),
 	}
 	for i := 1; i <= voters; i++ {
 		s.voters = append(s.voters, Member{ID: HostID(i), Address: fmt.Sprint(i)})
@@ -101,13 +101,13 @@
 	return s
 }
 
-// start opens a host on its disk. A fault armed on the disk may end it at once.
+// start opens a host on its disk. A fault armed on the disk may crash it immediately.
 func (s *simulation) start(h *simulatedHost) {
 	settings := Settings{
 		Group: "simulated", Self: Member{ID: h.id, Address: fmt.Sprint(h.id)}, DataFolder: "/data",
 		ElectionTimeout: simulatedTimeout, HeartbeatInterval: simulatedStep, LeaseDrift: simulatedTick, PieceBytes: 64,
 		SnapshotEvery: 8, CatchUpEntries: 4, MessageBytes: s.messageBytes, Random: s.random, FileSystem: h.disk,
-		// The disks take no time.
+		// The simulated disks take no time.
 		Now: func() time.Time { return time.Time{} },
 	}.withDefaults()
 	if int(h.id) <= len(s.voters) {
@@ -115,21 +115,21 @@
 	}
 	r, err := openReplica(settings)
 	if err != nil {
-		s.crashOr(h, err)
+		s.crashOrFail(h, err)
 		return
 	}
 	a := &applier{machine: &chain{}, store: r.store, observe: settings.Observe}
 	r.send = func(ms []Message) { s.network = append(s.network, ms...) }
-	r.commit = func(es []Entry) { s.apply(h, es) }
-	r.install = func(snapshotter.Metadata) { s.restore(h) }
-	r.answer = func(a ReadState) { s.checkRead(h, a) }
+	r.onCommit = func(es []Entry) { s.apply(h, es) }
+	r.onInstall = func(snapshotter.Metadata) { s.restore(h) }
+	r.onRead = func(a ReadState) { s.checkRead(h, a) }
 	h.replica, h.applier = r, a
 	h.startedAt = s.now + h.offset
 	s.restore(h)
 }
 
-// crashOr takes the host down after a crash of its disk; other errors fail.
-func (s *simulation) crashOr(h *simulatedHost, err error) {
+// crashOrFail takes the host down if its disk has crashed; any other error fails the test.
+func (s *simulation) crashOrFail(h *simulatedHost, err error) {
 	if !h.crashed() {
 		s.fail("host %d: %v", h.id, err)
 	}
@@ -149,21 +149,21 @@
 	s.checkState(h)
 }
 
-// apply checks that all hosts apply the same entries, and each command once.
+// apply checks that all hosts apply the same entries, and each command only once.
 func (s *simulation) apply(h *simulatedHost, es []Entry) {
 	for _, e := range es {
 		known := uint64(len(s.committed))
 		switch {
 		case e.Index > known+1:
-			s.fail("host %d applies entry %d before entry %d was committed", h.id, e.Index, known+1)
+			s.fail("host %d applied entry %d before entry %d was committed", h.id, e.Index, known+1)
 		case e.Index == known+1:
-			if e.Kind == EntryCommand && s.seen[string(e.Data)] {
-				s.fail("command %x is applied twice", e.Data)
+			if e.Kind == EntryCommand && s.appliedCommands[string(e.Data)] {
+				s.fail("command %x was applied twice", e.Data)
 			}
-			s.seen[string(e.Data)] = e.Kind == EntryCommand
+			s.appliedCommands[string(e.Data)] = e.Kind == EntryCommand
 			s.committed = append(s.committed, e)
 		case s.committed[e.Index-1].Term != e.Term:
-			s.fail("host %d applies entry %d of term %d, which was committed with term %d", h.id, e.Index, e.Term, s.committed[e.Index-1].Term)
+			s.fail("host %d applied entry %d of term %d, which was committed with term %d", h.id, e.Index, e.Term, s.committed[e.Index-1].Term)
 		}
 		if _, err := h.applier.apply(e); err != nil {
 			s.fail("host %d: %v", h.id, err)
@@ -176,24 +176,24 @@
 func (s *simulation) checkState(h *simulatedHost) {
 	at, hash := h.applier.applied, h.applier.machine.(*chain).hash
 	if old, ok := s.hashes[at]; ok && old != hash {
-		s.fail("host %d has another state after entry %d", h.id, at)
+		s.fail("state of host %d differs after entry %d", h.id, at)
 	}
 	s.hashes[at] = hash
 }
 
-// finish carries out what the host wants, then checks its leadership.
-func (s *simulation) finish(h *simulatedHost, err error) {
+// advanceHost carries out the output of a host, and then checks its leadership.
+func (s *simulation) advanceHost(h *simulatedHost, err error) {
 	if err == nil {
 		err = h.replica.advance()
 	}
-	if err == nil && h.applier.due(h.replica.settings) {
+	if err == nil && h.applier.snapshotDue(h.replica.settings) {
 		var m snapshotter.Metadata
 		if m, err = h.applier.save(h.applier.freeze(), time.Now); err == nil {
 			err = h.replica.compact(m)
 		}
 	}
 	if err != nil {
-		s.crashOr(h, err)
+		s.crashOrFail(h, err)
 		return
 	}
 	c := h.replica.core
@@ -201,7 +201,7 @@
 		return
 	}
 	if old, ok := s.leaders[c.hard.Term]; ok && old != h.id {
-		s.fail("hosts %d and %d both lead term %d", old, h.id, c.hard.Term)
+		s.fail("hosts %d and %d both lead in term %d", old, h.id, c.hard.Term)
 	}
 	if _, ok := s.leaders[c.hard.Term]; ok {
 		return
@@ -210,12 +210,12 @@
 	s.elections++
 	for _, e := range s.committed {
 		if e.Index > c.log.base && !c.log.holds(e.Index, e.Term) {
-			s.fail("host %d leads term %d without the committed entry %d", h.id, c.hard.Term, e.Index)
+			s.fail("host %d leads in term %d without committed entry %d", h.id, c.hard.Term, e.Index)
 		}
 	}
 }
 
-// tick advances the time on all hosts.
+// tick advances the time on all hosts by one tick.
 func (s *simulation) tick() {
 	s.now += simulatedTick
 	for _, h := range s.hosts {
@@ -224,15 +224,15 @@
 		}
 		now := s.now + h.offset - h.startedAt
 		h.replica.core.Tick(now)
-		if f := h.replica.founder; f != nil {
+		if f := h.replica.bootstrapper; f != nil {
 			h.replica.emit(f.tick(now, simulatedStep))
 		}
-		s.finish(h, nil)
+		s.advanceHost(h, nil)
 	}
 }
 
-// deliver passes on the messages in flight, some of them lost, doubled, or
-// left for later, in any order.
+// deliver delivers the messages in flight. If faulty, some are lost, duplicated or delayed, in
+// random order.
 func (s *simulation) deliver(faulty bool) {
 	batch := s.network
 	s.network = nil
@@ -240,7 +240,7 @@
 		s.random.Shuffle(len(batch), func(i, j int) { batch[i], batch[j] = batch[j], batch[i] })
 	}
 	for _, m := range batch {
-		if s.held[[2]HostID{m.From, m.To}] {
+		if s.delayedLinks[[2]HostID{m.From, m.To}] {
 			s.network = append(s.network, m)
 			continue
 		}
@@ -255,52 +255,52 @@
 				continue
 			}
 		}
-		s.pass(m)
+		s.deliverOne(m)
 		s.checkLeases()
 	}
 }
 
-// checkLeases checks that a host whose lease holds knows all that is committed:
-// reads under the lease are answered from its state.
+// checkLeases checks that a host whose lease holds has all committed entries, because reads under
+// the lease are answered from its state.
 func (s *simulation) checkLeases() {
 	for _, h := range s.hosts {
-		if h.replica == nil || s.jumped {
+		if h.replica == nil || s.clockJumped {
 			continue
 		}
 		c := h.replica.core
 		if c.clock < c.LeaseUntil() && c.commit < uint64(len(s.committed)) {
-			s.fail("host %d has a lease in term %d but knows of only %d of %d committed entries", h.id, c.hard.Term, c.commit, len(s.committed))
+			s.fail("host %d has a lease in term %d but only %d of %d committed entries", h.id, c.hard.Term, c.commit, len(s.committed))
 		}
 	}
 }
 
-// read begins a read on a host.
+// read starts a read on a host.
 func (s *simulation) read(h *simulatedHost) {
 	if h.replica == nil {
 		return
 	}
 	s.reads = append(s.reads, len(s.committed))
 	h.replica.core.Read(uint64(len(s.reads) - 1))
-	s.finish(h, nil)
+	s.advanceHost(h, nil)
 }
 
-// checkRead checks that a read sees all that was committed when it began.
+// checkRead checks that a read sees all entries committed before it started.
 func (s *simulation) checkRead(h *simulatedHost, a ReadState) {
-	if !a.Failed && !s.jumped && a.Index < uint64(s.reads[a.ID]) {
-		s.fail("a read on host %d sees %d entries, but %d were committed when it began", h.id, a.Index, s.reads[a.ID])
+	if !a.Failed && !s.clockJumped && a.Index < uint64(s.reads[a.ID]) {
+		s.fail("read on host %d sees %d entries, but %d were committed when it started", h.id, a.Index, s.reads[a.ID])
 	}
 }
 
-// pass delivers one message where the link works.
-func (s *simulation) pass(m Message) {
+// deliverOne delivers one message unless its link is cut.
+func (s *simulation) deliverOne(m Message) {
 	h := s.hosts[m.To-1]
 	if h.replica == nil || s.cut[[2]HostID{m.From, m.To}] {
 		return
 	}
-	s.finish(h, h.replica.step(m))
+	s.advanceHost(h, h.replica.step(m))
 }
 
-// run lets some steps go by.
+// run advances the simulation by some steps.
 func (s *simulation) run(steps int, faulty bool) {
 	for range steps * int(simulatedStep/simulatedTick) {
 		s.tick()
@@ -308,7 +308,7 @@
 	}
 }
 
-// propose puts a new command to a host.
+// propose proposes a new command on a host.
 func (s *simulation) propose(h *simulatedHost) {
 	if h.replica == nil {
 		return
@@ -316,11 +316,11 @@
 	s.proposed++
 	data := binary.LittleEndian.AppendUint64(nil, s.proposed)
 	if _, _, err := h.replica.core.Propose(data); err == nil {
-		s.finish(h, nil)
+		s.advanceHost(h, nil)
 	}
 }
 
-// change puts a random change of the membership to a host.
+// change proposes a random change of the membership on a host.
 func (s *simulation) change(h *simulatedHost) {
 	if h.replica == nil {
 		return
@@ -328,12 +328,12 @@
 	id := HostID(s.random.IntN(len(s.hosts)) + 1)
 	changes := []Change{AddLearner{Member{ID: id, Address: fmt.Sprint(id)}}, PromoteLearner{id}, PromoteLearner{id}, RemoveMember{id}}
 	if _, _, err := h.replica.core.ProposeChange(changes[s.random.IntN(len(changes))]); err == nil {
-		s.finish(h, nil)
+		s.advanceHost(h, nil)
 	}
 }
 
-// wipe loses a host's disk, where every configuration that is or may come in
-// force keeps a majority of the disks it names.
+// wipe loses a host's disk, provided that every configuration that is or may come into force keeps
+// a majority of the disks that it names.
 func (s *simulation) wipe(h *simulatedHost) {
 	if slices.ContainsFunc(s.hosts, func(o *simulatedHost) bool { return o.replica == nil }) {
 		return
@@ -360,12 +360,12 @@
 	h.disk.Wipe()
 	s.faults++
 	s.start(h)
-	// A change of the membership in the moment of the loss is a second loss;
-	// after an election timeout the leader refuses it.
+	// A change of the membership at the moment of the loss would be a second loss; after an
+	// election timeout the leader refuses it.
 	s.run(int(simulatedTimeout/simulatedStep)+1, true)
 }
 
-// restart starts a host that is down.
+// restart starts a host if it is down.
 func (s *simulation) restart(h *simulatedHost) {
 	if h.replica == nil {
 		h.disk.Restart()
@@ -373,9 +373,9 @@
 	}
 }
 
-// heal ends all faults and checks that the group works and agrees again.
+// heal ends all faults, and checks that the group commits a proposal and that its hosts agree.
 func (s *simulation) heal() {
-	s.cut, s.held = make(map[[2]HostID]bool), make(map[[2]HostID]bool)
+	s.cut, s.delayedLinks = make(map[[2]HostID]bool), make(map[[2]HostID]bool)
 	for _, h := range s.hosts {
 		h.disk.CrashIn(0)
 		s.restart(h)
@@ -387,17 +387,17 @@
 	}
 	s.run(60, false)
 	if len(s.committed) == before {
-		s.fail("no leader commits after all faults have ended")
+		s.fail("no proposal was committed after all faults had ended")
 	}
 	for _, h := range s.hosts {
 		m, ok := Configuration{Members: s.lastConfiguration()}.Find(h.id)
 		if ok && m.Incarnation == h.replica.identity.Incarnation && h.applier.applied != uint64(len(s.committed)) {
-			s.fail("host %d has applied %d of %d entries", h.id, h.applier.applied, len(s.committed))
+			s.fail("host %d applied only %d of %d entries", h.id, h.applier.applied, len(s.committed))
 		}
 	}
 }
 
-// lastConfiguration returns the members as last committed.
+// lastConfiguration returns the members of the last committed configuration.
 func (s *simulation) lastConfiguration() []Member {
 	if at := s.lastChange(); at > 0 {
 		c, _ := decodeConfiguration(s.committed[at-1].Data)
@@ -406,7 +406,7 @@
 	return nil
 }
 
-// lastChange returns the index of the last committed configuration.
+// lastChange returns the index of the last committed configuration, 0 if there is none.
 func (s *simulation) lastChange() uint64 {
 	for _, e := range slices.Backward(s.committed) {
 		if e.Kind == EntryMembership {
