--- a/internal/coordination/bucketer/ledger.go
+++ b/internal/coordination/bucketer/ledger.go
@@ -7,64 +7,65 @@
 )
 
 const (
-	// rateWindow is the time over which a rate of use is averaged.
+	// rateWindow is the time constant for averaging a rate.
 	rateWindow = time.Second
-	// idleAfter is the time without a report after which a full bucket is dropped, since
-	// one that is made anew is full too, and a control host counts no more.
+	// idleAfter is the time without a report after which a full bucket is dropped, since a new one
+	// would be full too, and a control host's entries are no longer counted.
 	idleAfter = 10 * time.Second
 	// sweepInterval is the time between two sweeps for idle buckets.
 	sweepInterval = time.Second
-	// youngFor is the time after a ledger's begin in which the lowest level that an entry
-	// knows of a former ledger counts.
-	youngFor = time.Second
+	// startupPeriod is the time after the creation of a ledger in which the lowest level that an
+	// entry knows from a previous ledger applies.
+	startupPeriod = time.Second
 )
 
-// Ledger is the leader's list of buckets. Only the leader has one, and makes a new one
-// each time it is elected. It is not safe for use by several goroutines.
+// Ledger holds the buckets at the leader, which creates a new Ledger after each election. It is not
+// safe for concurrent use.
 type Ledger struct {
-	number  uint64
-	began   time.Time
-	buckets map[string]*bucket
+	number    uint64
+	startedAt time.Time
+	buckets   map[string]*bucket
 	// hosts holds the number of entries by control host.
 	hosts map[string]hostEntries
-	// counted holds what was counted of each entry, by workspace.
+	// counted holds the totals counted for each entry, by workspace.
 	counted map[string]*countedEntry
-	swept   time.Time
+	sweptAt time.Time
 }
 
-// countedEntry is what was counted of one entry.
+// countedEntry holds the totals counted for one entry.
 type countedEntry struct {
 	totals map[string]countedTotal
 	at     time.Time
 }
 
-// countedTotal is the total of an entry's account that was counted last.
+// countedTotal is the last total counted for one account of an entry.
 type countedTotal struct {
 	account uint64
 	total   float64
 	at      time.Time
 }
 
-// hostEntries is what a control host reported last of its entries.
+// hostEntries is the last number of entries reported by a control host.
 type hostEntries struct {
 	entries int
 	at      time.Time
 }
 
-// bucket is one workspace's.
+// bucket is the token bucket of one workspace.
 type bucket struct {
 	limit Limit
-	// level is what the bucket holds at the time at, in units.
+	// level is the level of the bucket at the time at, in units.
 	level float64
 	at    time.Time
-	// spent is what was reported since the ledger began, in units.
+	// spent is the number of units reported since the ledger was created.
 	spent float64
 	rate  rate
 }
 
-// NewLedger returns the ledger of a leader elected at now. Numbers rise with each leader.
+// NewLedger returns the ledger of a leader elected at now. number must be higher than that of the
+// previous leader's ledger.
 func NewLedger(now time.Time, number uint64) *Ledger {
-	return &Ledger{number: number, began: now, buckets: make(map[string]*bucket), hosts: make(map[string]hostEntries), counted: make(map[string]*countedEntry), swept: now}
+	return &Ledger{number: number, startedAt: now, buckets: make(map[string]*bucket), hosts: make(map[string]hostEntries), counted: make(map[string]*countedEntry), sweptAt: now}
 }
 
 // Len returns the number of buckets.
@@ -82,8 +83,7 @@
 	return sum
 }
 
-// Report takes in what entries have admitted, and returns the levels of their
-// workspaces.
+// Report counts what entries have admitted, and returns the levels of their workspaces.
 func (l *Ledger) Report(now time.Time, b Batch) []Level {
 	l.sweep(now)
 	l.hosts[b.Host] = hostEntries{entries: b.Entries, at: now}
@@ -92,7 +92,7 @@
 	for i := range b.Reports {
 		r := &b.Reports[i]
 		for j := range r.Uses {
-			level := l.take(now, r.Entry, &r.Uses[j])
+			level := l.applyUse(now, r.Entry, &r.Uses[j])
 			if k, is := at[level.Workspace]; is {
 				levels[k] = level
 				continue
@@ -104,8 +104,8 @@
 	return levels
 }
 
-// count returns what a use adds to what was counted. A use that this ledger has not heard of
-// before adds what no leader has answered for.
+// count returns the units that a use adds to those already counted. For an account that is new to
+// this ledger, these are the units that no leader has acknowledged.
 func (l *Ledger) count(now time.Time, entry string, u *Use) float64 {
 	e := l.counted[entry]
 	if e == nil {
@@ -121,31 +121,31 @@
 	return u.Total - before.total
 }
 
-func (l *Ledger) take(now time.Time, entry string, u *Use) Level {
+func (l *Ledger) applyUse(now time.Time, entry string, u *Use) Level {
 	b := l.buckets[u.Workspace]
-	young := now.Sub(l.began) < youngFor
-	most := u.Burst
-	if young {
-		// Not all that was spent without a leader has been reported.
-		most += u.Rate * youngFor.Seconds()
+	starting := now.Sub(l.startedAt) < startupPeriod
+	maxLevel := u.Burst
+	if starting {
+		// Not everything spent without a leader has been reported yet.
+		maxLevel += u.Rate * startupPeriod.Seconds()
 	}
-	former := u.Known && u.Ledger != l.number && young
+	fromPrevious := u.Known && u.Ledger != l.number && starting
 	switch {
 	case b == nil:
-		// The ledger has heard of all use since it began; before that the bucket may have
-		// been drained.
-		b = &bucket{limit: u.Limit, at: l.began}
+		// All use since the creation of the ledger is reported to it; before that the bucket may
+		// have been drained.
+		b = &bucket{limit: u.Limit, at: l.startedAt}
 		l.buckets[u.Workspace] = b
-		b.fill(now, most)
-		if former {
-			b.level = min(most, u.Level)
+		b.fill(now, maxLevel)
+		if fromPrevious {
+			b.level = min(maxLevel, u.Level)
 		}
-	case former:
-		// An entry's level knows nothing of what the others have reported since.
-		b.fill(now, most)
+	case fromPrevious:
+		// The entry's level does not include what other entries have reported since.
+		b.fill(now, maxLevel)
 		b.level = min(b.level, u.Level-b.spent)
 	}
-	b.fill(now, most)
+	b.fill(now, maxLevel)
 	b.level = b.limit.replace(u.Limit, b.level)
 	spent := l.count(now, entry, u)
 	b.level -= spent
@@ -154,19 +154,19 @@
 	return Level{Workspace: u.Workspace, Tokens: math.Round(min(b.level, b.limit.Burst)), Rate: math.Round(b.rate.at(now))}
 }
 
-// fill brings the level to now, up to the most that it may be.
-func (b *bucket) fill(now time.Time, most float64) {
+// fill adds the units accrued until now, up to maxLevel.
+func (b *bucket) fill(now time.Time, maxLevel float64) {
 	passed := max(0, now.Sub(b.at).Seconds())
-	b.level = min(most, b.level+b.limit.Rate*passed)
+	b.level = min(maxLevel, b.level+b.limit.Rate*passed)
 	b.at = now
 }
 
-// sweep drops the buckets that are idle and full.
+// sweep drops the buckets that are idle and full, and the totals and hosts that are idle.
 func (l *Ledger) sweep(now time.Time) {
-	if now.Sub(l.swept) < sweepInterval {
+	if now.Sub(l.sweptAt) < sweepInterval {
 		return
 	}
-	l.swept = now
+	l.sweptAt = now
 	maps.DeleteFunc(l.counted, func(_ string, e *countedEntry) bool {
 		maps.DeleteFunc(e.totals, func(_ string, t countedTotal) bool { return now.Sub(t.at) > idleAfter })
 		return now.Sub(e.at) > idleAfter
@@ -178,8 +178,8 @@
 	})
 }
 
-// rate averages what is spent, in units a second, over rateWindow. The weight of what was
-// spent falls with the time since.
+// rate is the exponentially weighted average of the units spent per second, with the time constant
+// rateWindow.
 type rate struct {
 	value float64
 	last  time.Time
--- a/internal/coordination/bucketer/limit.go
+++ b/internal/coordination/bucketer/limit.go
@@ -1,18 +1,18 @@
 package bucketer
 
-// Limit is a workspace's quota. A call costs a number of units: its tokens, or one.
+// Limit is a workspace's quota. The cost of a call in units is its number of tokens, or one.
 type Limit struct {
-	// Rate is what flows in, in units a second; 0 means no limit.
+	// Rate is the refill rate in units per second; 0 means no limit.
 	Rate float64
-	// Burst is what the bucket holds at most, in units.
+	// Burst is the capacity of the bucket in units.
 	Burst float64
-	// Number is that of the configuration which the limit is from: the higher is in
-	// force.
+	// Number is the number of the configuration that defines the limit. The limit with the highest
+	// number applies.
 	Number uint64
 }
 
-// replace takes a newer limit, and returns what a bucket with a level holds under it. A
-// larger burst is there at once.
+// replace adopts a newer limit and returns the level of a bucket under it. An increase of the burst
+// is added at once.
 func (l *Limit) replace(n Limit, level float64) float64 {
 	if n.Number <= l.Number {
 		return level
--- a/internal/coordination/bucketer/model_test.go
+++ b/internal/coordination/bucketer/model_test.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// step is the model's time step, and window that over which a quota is judged.
+	// step is the model's time step, and window the time over which a quota is evaluated.
 	step   = 10 * time.Millisecond
 	window = 8 * time.Second
-	// overage and slack are what a window may hold beyond the quota, as a share and in
+	// overage and slack are the permitted excess over the quota in a window, as a share and in
 	// units.
 	overage = 0.1
 	slack   = 110_000
-	// call is the mean cost of a call, in units.
+	// call is the mean cost of a call in units.
 	call = 5_000.0
 )
 
-// way holds entries to one workspace's quota.
-type way interface {
-	// spend asks entry i for a call. A call whose answer is to wait asks again.
+// strategy enforces one workspace's quota over several entries.
+type strategy interface {
+	// spend asks entry i to admit a call. If wait is set, the call asks again later.
 	spend(now time.Time, i int, cost float64) (admitted, wait bool)
-	// tick runs what recurs; reach tells whether entry i reaches the leader.
+	// tick performs the periodic work; reach reports whether entry i can reach the leader.
 	tick(now time.Time, reach func(i int) bool)
-	// restart begins entry i anew, and elect the leader.
+	// restart restarts entry i, and elect elects a new leader.
 	restart(i int)
 	elect(now time.Time)
 	messages() int
 }
 
-// reconciled is the way of this package: entries admit by their estimate of the whole.
+// reconciled is the strategy of this package: entries admit by their estimate of the shared bucket.
 type reconciled struct {
 	ledger   *bucketer.Ledger
 	accounts []*bucketer.Accounts
@@ -45,11 +45,11 @@
 	term     uint64
 	started  uint64
 	sent     int
-	// deaf has answers lost; nil means that none are.
-	deaf func(now time.Time) bool
+	// dropAnswers reports whether answers are lost at a time; nil means never.
+	dropAnswers func(now time.Time) bool
 }
 
-func newReconciled(now time.Time, entries int, l bucketer.Limit) way {
+func newReconciled(now time.Time, entries int, l bucketer.Limit) strategy {
 	w := &reconciled{quota: l, accounts: make([]*bucketer.Accounts, entries), due: make([]time.Time, entries)}
 	w.elect(now.Add(-time.Minute))
 	for i := range entries {
@@ -87,7 +87,7 @@
 		}
 		r.Entry = strconv.Itoa(i)
 		levels := w.ledger.Report(now, bucketer.Batch{Host: "h", Entries: len(w.accounts), Reports: []bucketer.Report{r}})
-		if w.deaf != nil && w.deaf(now) {
+		if w.dropAnswers != nil && w.dropAnswers(now) {
 			a.ReportFailed()
 			continue
 		}
@@ -96,7 +96,7 @@
 }
 
 func (w *reconciled) restart(i int) {
-	// No two processes draw the same.
+	// Each process draws a different sequence.
 	w.started++
 	w.accounts[i] = bucketer.NewAccounts(rand.New(rand.NewPCG(uint64(i), w.started)))
 }
@@ -108,9 +108,9 @@
 
 func (w *reconciled) messages() int { return w.sent }
 
-// leased is the way that was weighed against it: each entry has a bucket of its own, fed
-// with a share of the rate that follows what is asked of it. A share is leased: an entry
-// that is cut off keeps it for a lease, in which nobody else gets it.
+// leased is the alternative that reconciled is compared with. Each entry has a bucket of its own,
+// refilled with a share of the rate that follows its demand. A share is leased: an entry that is
+// cut off keeps it until the lease ends, and no other entry gets it before that.
 type leased struct {
 	quota   bucketer.Limit
 	level   []float64
@@ -126,7 +126,7 @@
 
 const leasedFor = 3 * time.Second
 
-func newLeased(now time.Time, entries int, l bucketer.Limit) way {
+func newLeased(now time.Time, entries int, l bucketer.Limit) strategy {
 	w := &leased{quota: l, entries: entries, nextAt: now}
 	for range entries {
 		even := 1 / float64(entries)
@@ -168,7 +168,7 @@
 			}
 			continue
 		}
-		// A floor keeps a part for an entry that was not asked lately.
+		// A floor reserves a share for an entry without recent demand.
 		w.demand[i] = 0.7*w.demand[i] + 0.3*w.asked[i]
 		w.asked[i] = 0
 		sum += w.demand[i] + call/4
@@ -190,57 +190,56 @@
 
 func (w *leased) messages() int { return w.sent }
 
-// scene is what happens in a run of the model.
-type scene struct {
+// scenario is the load and the faults in a run of the model.
+type scenario struct {
 	name string
-	// usual is what is asked, as a share of the rate, and hot the factor on it from 5 s to
-	// 15 s.
-	usual, hot float64
-	// one sends all through one entry.
-	one bool
-	// faults changes the run; nil means none.
+	// load is the demand as a share of the rate, and peak the factor on it from 5 s to 15 s.
+	load, peak float64
+	// singleEntry sends all calls through one entry.
+	singleEntry bool
+	// faults injects faults into the run; nil means none.
 	faults func(m *run, now time.Duration)
 }
 
-// run is one run of the model.
+// run is the state of one run of the model.
 type run struct {
-	way     way
-	start   time.Time
-	down    map[int]bool
-	leader  bool
-	entries int
+	strategy strategy
+	start    time.Time
+	down     map[int]bool
+	leader   bool
+	entries  int
 }
 
-// outcome is what a run is judged by.
+// outcome is the result of a run.
 type outcome struct {
-	// over is what the worst window holds beyond what it may, in units; negative where
-	// none does.
+	// over is the excess of the worst window over the permitted amount, in units; negative if there
+	// is none.
 	over float64
-	// lost is the part of what one bucket would have admitted that was refused.
+	// lost is the share of what a single bucket would have admitted that was refused.
 	lost     float64
 	messages float64
 }
 
-// play plays a scene for 25 s.
-func play(s scene, entries int, quota bucketer.Limit, begin func(time.Time, int, bucketer.Limit) way, seed uint64) outcome {
+// simulate simulates a scenario for 25 s.
+func simulate(s scenario, entries int, quota bucketer.Limit, begin func(time.Time, int, bucketer.Limit) strategy, seed uint64) outcome {
 	random := rand.New(rand.NewPCG(seed, 7))
 	start := time.Unix(1000, 0)
 	m := &run{start: start, down: map[int]bool{}, leader: true, entries: entries}
-	m.way = begin(start, entries, quota)
+	m.strategy = begin(start, entries, quota)
 	const length = 25 * time.Second
 	admitted := make([]float64, length/step)
 	var total, exact float64
 	level := quota.Burst
-	var waiting []waiter
+	var waiting []waitingCall
 	for at := time.Duration(0); at < length; at += step {
 		now := start.Add(at)
 		if s.faults != nil {
 			s.faults(m, at)
 		}
 		level = math.Min(quota.Burst, level+quota.Rate*step.Seconds())
-		m.way.tick(now, func(i int) bool { return m.leader && !m.down[i] })
-		ask := func(w waiter) bool {
-			got, wait := m.way.spend(now, w.entry, w.cost)
+		m.strategy.tick(now, func(i int) bool { return m.leader && !m.down[i] })
+		ask := func(w waitingCall) bool {
+			got, wait := m.strategy.spend(now, w.entry, w.cost)
 			if got {
 				admitted[at/step] += w.cost
 				total += w.cost
@@ -249,22 +248,22 @@
 		}
 		still := waiting[:0]
 		for _, w := range waiting {
-			if at-w.since <= holds && !m.down[w.entry] && ask(w) {
+			if at-w.since <= maxCallWait && !m.down[w.entry] && ask(w) {
 				still = append(still, w)
 			}
 		}
 		waiting = still
-		rate := s.usual * quota.Rate / call
+		rate := s.load * quota.Rate / call
 		if at >= 5*time.Second && at < 15*time.Second {
-			rate *= s.hot
+			rate *= s.peak
 		}
 		for calls := rate * step.Seconds(); calls > 0; calls-- {
 			if calls < 1 && random.Float64() > calls {
 				break
 			}
 			i := 0
-			if !s.one {
-				// Callers are hashed unevenly.
+			if !s.singleEntry {
+				// Callers are distributed unevenly.
 				i = int(float64(entries) * math.Pow(random.Float64(), 1.5))
 			}
 			cost := call * (0.1 + random.ExpFloat64()*0.9)
@@ -275,25 +274,25 @@
 				level -= cost
 				exact += cost
 			}
-			if w := (waiter{entry: i, cost: cost, since: at}); ask(w) {
+			if w := (waitingCall{entry: i, cost: cost, since: at}); ask(w) {
 				waiting = append(waiting, w)
 			}
 		}
 	}
-	return outcome{over: worst(admitted, quota), lost: math.Max(0, 1-total/exact), messages: float64(m.way.messages()) / length.Seconds()}
+	return outcome{over: worstWindow(admitted, quota), lost: math.Max(0, 1-total/exact), messages: float64(m.strategy.messages()) / length.Seconds()}
 }
 
-// waiter is a call that waits for a report; holds is how long it does.
-type waiter struct {
+// waitingCall is a call that waits for a report, for at most maxCallWait.
+type waitingCall struct {
 	entry int
 	cost  float64
 	since time.Duration
 }
 
-const holds = 300 * time.Millisecond
+const maxCallWait = 300 * time.Millisecond
 
-// worst returns what the worst window holds beyond what it may.
-func worst(admitted []float64, quota bucketer.Limit) float64 {
+// worstWindow returns the excess of the worst window over the permitted amount, in units.
+func worstWindow(admitted []float64, quota bucketer.Limit) float64 {
 	span := int(window / step)
 	sum, most := 0.0, 0.0
 	for i, a := range admitted {
@@ -306,67 +305,67 @@
 	return most - (quota.Rate*window.Seconds()+quota.Burst)*(1+overage) - slack
 }
 
-// between reports whether at lies in a span of seconds.
+// between reports whether at is within a range given in seconds.
 func between(at time.Duration, from, to float64) bool {
 	return at.Seconds() >= from && at.Seconds() < to
 }
 
-var scenes = []scene{
-	{name: "usual", usual: 0.8, hot: 1},
-	{name: "six times", usual: 0.8, hot: 6},
-	{name: "7.5 times through one entry", usual: 0.8, hot: 7.5, one: true},
-	{name: "leader lost", usual: 0.8, hot: 6, faults: func(m *run, at time.Duration) {
+var scenarios = []scenario{
+	{name: "base load", load: 0.8, peak: 1},
+	{name: "peak of 6 times", load: 0.8, peak: 6},
+	{name: "peak of 7.5 times through one entry", load: 0.8, peak: 7.5, singleEntry: true},
+	{name: "leader lost", load: 0.8, peak: 6, faults: func(m *run, at time.Duration) {
 		if m.leader && between(at, 6, 7.5) {
-			m.way.elect(m.start.Add(at))
+			m.strategy.elect(m.start.Add(at))
 		}
 		m.leader = !between(at, 6, 7.5)
 	}},
-	{name: "leader lost as it begins", usual: 0.8, hot: 6, faults: func(m *run, at time.Duration) {
+	{name: "leader lost at the start of the peak", load: 0.8, peak: 6, faults: func(m *run, at time.Duration) {
 		if m.leader && between(at, 4.9, 6.4) {
-			m.way.elect(m.start.Add(at))
+			m.strategy.elect(m.start.Add(at))
 		}
 		m.leader = !between(at, 4.9, 6.4)
 	}},
-	{name: "leader lost twice at the usual", usual: 0.8, hot: 1, faults: func(m *run, at time.Duration) {
+	{name: "leader lost twice at base load", load: 0.8, peak: 1, faults: func(m *run, at time.Duration) {
 		lost := between(at, 6, 7.2) || between(at, 9, 9.7)
 		if !m.leader && !lost {
-			m.way.elect(m.start.Add(at))
+			m.strategy.elect(m.start.Add(at))
 		}
 		m.leader = !lost
 	}},
-	{name: "answers lost at the usual", usual: 0.8, hot: 1, faults: func(m *run, at time.Duration) {
-		if w, is := m.way.(*reconciled); is {
-			w.deaf = func(time.Time) bool { return between(at, 6, 7.5) }
+	{name: "answers lost at base load", load: 0.8, peak: 1, faults: func(m *run, at time.Duration) {
+		if w, is := m.strategy.(*reconciled); is {
+			w.dropAnswers = func(time.Time) bool { return between(at, 6, 7.5) }
 		}
 	}},
-	{name: "a third of the entries killed", usual: 0.8, hot: 6, faults: func(m *run, at time.Duration) {
+	{name: "a third of the entries killed", load: 0.8, peak: 6, faults: func(m *run, at time.Duration) {
 		for i := 0; i < m.entries; i += 3 {
 			if m.down[i] && !between(at, 7, 8) {
-				m.way.restart(i)
+				m.strategy.restart(i)
 			}
 			m.down[i] = between(at, 7, 8)
 		}
 	}},
-	{name: "all lost", usual: 0.8, hot: 6, faults: func(m *run, at time.Duration) {
+	{name: "leader and all entries lost", load: 0.8, peak: 6, faults: func(m *run, at time.Duration) {
 		if m.leader && between(at, 9, 10) {
-			m.way.elect(m.start.Add(10 * time.Second))
+			m.strategy.elect(m.start.Add(10 * time.Second))
 		}
 		m.leader = !between(at, 9, 10)
 		for i := range m.entries {
 			if m.down[i] && m.leader {
-				m.way.restart(i)
+				m.strategy.restart(i)
 			}
 			m.down[i] = !m.leader
 		}
 	}},
 }
 
-// leaderless is the part of a run's time in which no leader answers, at most, in scenes
-// whose workspace stays below its quota.
-const leaderless = 1.9 / 25
+// maxLeaderlessShare is the largest share of a run's time without a leader, in scenarios whose
+// workspace stays below its quota.
+const maxLeaderlessShare = 1.9 / 25
 
-// TestQuotasHoldOverAllEntries guards against calls of a workspace that all entries
-// together admit beyond its quota, and against refusals below it.
+// TestQuotasHoldOverAllEntries guards against calls of a workspace that the entries together admit
+// beyond its quota, and against refusals below it.
 func TestQuotasHoldOverAllEntries(t *testing.T) {
 	table := os.Getenv("MODEL_TABLE") != ""
 	sizes, seeds := []int{28, 300}, 2
@@ -375,24 +374,24 @@
 	}
 	for _, entries := range sizes {
 		for _, rate := range []float64{30_000, 270_000} {
-			for _, s := range scenes {
-				for name, way := range map[string]func(time.Time, int, bucketer.Limit) way{"reconciled": newReconciled, "leased": newLeased} {
+			for _, s := range scenarios {
+				for name, strategy := range map[string]func(time.Time, int, bucketer.Limit) strategy{"reconciled": newReconciled, "leased": newLeased} {
 					if name == "leased" && !table {
 						continue
 					}
 					o := outcome{over: math.Inf(-1)}
 					for seed := range uint64(seeds) {
-						p := play(s, entries, bucketer.Limit{Rate: rate, Burst: rate, Number: 1}, way, seed)
+						p := simulate(s, entries, bucketer.Limit{Rate: rate, Burst: rate, Number: 1}, strategy, seed)
 						o.over, o.lost, o.messages = math.Max(o.over, p.over), o.lost+p.lost/float64(seeds), o.messages+p.messages/float64(seeds)
 					}
 					if table {
 						fmt.Printf("| %d | %.0f | %s | %s | %.0f | %.3f | %.0f |\n", entries, rate, s.name, name, o.over, o.lost, o.messages)
 					}
-					if name == "reconciled" && s.hot == 1 && o.lost > leaderless {
-						t.Errorf("%d entries, %.0f a second, %s: %.3f refused below the quota", entries, rate, s.name, o.lost)
+					if name == "reconciled" && s.peak == 1 && o.lost > maxLeaderlessShare {
+						t.Errorf("%d entries, %.0f units/s, %s: %.3f refused below the quota", entries, rate, s.name, o.lost)
 					}
 					if name == "reconciled" && o.over > 0 {
-						t.Errorf("%d entries, %.0f a second, %s: %.0f units beyond the quota", entries, rate, s.name, o.over)
+						t.Errorf("%d entries, %.0f units/s, %s: %.0f units beyond the quota", entries, rate, s.name, o.over)
 					}
 				}
 			}
--- a/internal/coordination/bucketer/property_test.go
+++ b/internal/coordination/bucketer/property_test.go
@@ -12,14 +12,14 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/bucketer"
 )
 
-// batch returns the report of one entry as its control host passes it on.
+// batch returns an entry's report as its control host forwards it.
 func batch(entry string, r bucketer.Report) bucketer.Batch {
 	r.Entry = entry
 	return bucketer.Batch{Host: "h", Entries: 1, Reports: []bucketer.Report{r}}
 }
 
-// TestPropertyOneEntryKeepsItsQuota guards against calls beyond the quota at an entry
-// whose reports are answered, fail, or stop.
+// TestPropertyOneEntryKeepsItsQuota guards against calls beyond the quota at an entry whose reports
+// are answered, fail, or stop.
 func TestPropertyOneEntryKeepsItsQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
@@ -44,7 +44,7 @@
 				d := a.Spend(now, "w", limit, cost)
 				if !d.Admitted {
 					if !d.Unknown && d.RetryAfter <= 0 {
-						t.Fatalf("refused without a time to come back: %+v", d)
+						t.Fatalf("refused without RetryAfter: %+v", d)
 					}
 					break
 				}
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestPropertyANewLeaderGivesNoBurstTwice guards against a bucket that is full again with
-// each leader.
+// TestPropertyANewLeaderGivesNoBurstTwice guards against buckets that are refilled by each change
+// of the leader.
 func TestPropertyANewLeaderGivesNoBurstTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
@@ -92,8 +92,9 @@
 					total += 40
 				}
 			}
-			// Between two reports each entry admits by what it knows, 6 calls of 40 in all, and
-			// again where the leader is lost before the others' reports reach it.
+			// Between two reports the entries together admit 6 calls of 40 units beyond the
+			// reported level, and again if the leader is lost before the reports of the others
+			// reach it.
 			if most := limit.Burst + limit.Rate*now.Sub(start).Seconds() + 2*6*40; total > most {
 				t.Fatalf("%v admitted, %v allowed", total, most)
 			}
@@ -101,8 +102,8 @@
 	})
 }
 
-// TestANewLeaderCountsWhatAllEntriesSpent guards against use that is lost with the leader:
-// an entry's level knows nothing of what another has spent and not reported.
+// TestANewLeaderCountsWhatAllEntriesSpent guards against use that is lost with the leader: an
+// entry's level does not include what another entry has spent and not yet reported.
 func TestANewLeaderCountsWhatAllEntriesSpent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limit := bucketer.Limit{Rate: 1e-9, Burst: 100, Number: 1}
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestAReportThatArrivesTwiceCountsOnce guards against buckets that are drained by reports
-// whose answers are lost, each of which repeats the one before.
+// TestAReportThatArrivesTwiceCountsOnce guards against buckets that are drained by repeated
+// reports. A report whose answer is lost is repeated in the next one.
 func TestAReportThatArrivesTwiceCountsOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limit := bucketer.Limit{Rate: 1, Burst: 100, Number: 1}
@@ -139,7 +140,7 @@
 	}
 }
 
-// TestALowerLimitCounts guards against a burst that outlasts its limit.
+// TestALowerLimitCounts guards against a burst that persists after its limit was lowered.
 func TestALowerLimitCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger := bucketer.NewLedger(now.Add(-time.Hour), 1)
@@ -161,7 +162,7 @@
 	}
 }
 
-// BenchmarkSpend measures one call's decision beside other workspaces in use.
+// BenchmarkSpend measures the decision on one call.
 func BenchmarkSpend(b *testing.B) {
 	now := time.Unix(1000, 0)
 	ledger := bucketer.NewLedger(now.Add(-time.Hour), 1)
--- a/internal/coordination/bucketer/report.go
+++ b/internal/coordination/bucketer/report.go
@@ -1,54 +1,53 @@
 package bucketer
 
-// Use is what an entry reports of one workspace.
+// Use is an entry's report on one workspace.
 type Use struct {
 	Workspace string `json:"W"`
 	Limit     `json:"Q"`
-	// Account numbers the entry's account of the workspace, and Total is what that has
-	// admitted in all, less what it gave back, in units. A report that arrives twice counts
-	// once by them.
+	// Account is the number of the entry's account of the workspace. Total is what the account has
+	// admitted in all, less refunds, in units. They let a report that arrives twice count once.
 	Account uint64  `json:"A"`
 	Total   float64 `json:"T,omitempty"`
-	// Spent is the part of Total that no leader has answered for.
+	// Spent is the part of Total that no leader has acknowledged, in units.
 	Spent float64 `json:"S,omitempty"`
-	// Level is what the bucket held before Spent, in units, and Known tells that it rests on
-	// a leader's recent answer.
+	// Level is the level of the bucket before Spent, in units. Known is set if it is based on a
+	// recent answer of a leader.
 	Level float64 `json:"L,omitempty"`
 	Known bool    `json:"K,omitempty"`
 	// Ledger is the number of the ledger that Level is from.
 	Ledger uint64 `json:"G,omitempty"`
 }
 
-// Report tells the leader what an entry has admitted.
+// Report reports to the leader what an entry has admitted.
 type Report struct {
 	Entry string
 	Uses  []Use
 }
 
-// Batch carries the reports that a control host has gathered.
+// Batch holds the reports that a control host has collected.
 type Batch struct {
-	// Host is the control host, and Entries the number of entries connected to it.
+	// Host is the name of the control host, and Entries the number of entries connected to it.
 	Host    string
 	Entries int
 	Reports []Report
 }
 
-// Level is a workspace's bucket as the leader has it.
+// Level is the state of a workspace's bucket at the leader.
 type Level struct {
 	Workspace string `json:"W"`
-	// Tokens is what the bucket holds, in units; it may be negative.
+	// Tokens is the level of the bucket in units; it may be negative.
 	Tokens float64 `json:"T"`
-	// Rate is what all entries together admit, in units a second.
+	// Rate is the rate that all entries together admit, in units per second.
 	Rate float64 `json:"R,omitempty"`
 }
 
-// Answer answers reports.
+// Answer is the answer to a Batch or a Report.
 type Answer struct {
 	// Ledger is the number of the leader's ledger.
 	Ledger uint64 `json:",omitempty"`
-	// Revision covers all changes that were accepted before the answer.
+	// Revision is a revision that includes all changes accepted before the answer.
 	Revision uint64
-	// Entries is the number of entries of all control hosts.
+	// Entries is the total number of entries over all control hosts.
 	Entries int
 	Levels  []Level
 }
