--- a/internal/coordination/registrar/board.go
+++ b/internal/coordination/registrar/board.go
@@ -6,18 +6,17 @@
 	"slices"
 )
 
-// Board holds the state of backend servers, and what of it subscribers have
-// been told.
+// Board holds the state of backend servers, and the state that was last published to subscribers.
 type Board struct {
 	// servers holds the latest state of each backend server.
 	servers map[string]ServerState
-	// published holds the state that Collect gave out last. It is never newer
-	// than servers, and each change that Collect returns builds on it.
+	// published holds the state that Collect last returned. It is never newer than servers, and
+	// each change that Collect returns is based on it.
 	published map[string]ServerState
-	// dirty names the servers that changed since they were last published, with
-	// the round of Collect in which they began to differ.
+	// dirty names the servers that changed since they were last published, with the number of the
+	// Collect call after which they first differed.
 	dirty map[string]uint64
-	// round counts the calls of Collect.
+	// round is the number of calls of Collect.
 	round uint64
 	// gone names the published servers dropped since the last Collect.
 	gone map[string]struct{}
@@ -36,20 +35,20 @@
 // Len returns the number of backend servers.
 func (b *Board) Len() int { return len(b.servers) }
 
-// State returns what is known of one backend server.
+// State returns the latest state of a backend server, and false if it is not known.
 func (b *Board) State(name string) (ServerState, bool) {
 	s, ok := b.servers[name]
 	return s, ok
 }
 
-// Apply takes a change in. It returns false where the change builds on a state
-// that the board does not have; the sender must then send the whole. A change
-// that is not newer is ignored, and true is returned.
+// Apply applies a change. It returns false if the change is based on a state that the board does
+// not have; the sender must then send the complete state. A change that is not newer is ignored,
+// and true is returned.
 func (b *Board) Apply(c ServerChange) bool {
-	former := b.servers[c.Name]
-	next, ok := former.Apply(c)
+	previous := b.servers[c.Name]
+	next, ok := previous.Apply(c)
 	if !ok {
-		newer := c.Epoch > former.Epoch || c.Epoch == former.Epoch && c.Sequence > former.Sequence
+		newer := c.Epoch > previous.Epoch || c.Epoch == previous.Epoch && c.Sequence > previous.Sequence
 		return !newer
 	}
 	b.servers[c.Name] = next
@@ -59,14 +58,13 @@
 	return true
 }
 
-// Drop forgets a backend server whose membership ended at epoch. A later
-// membership is left alone.
+// Drop removes a backend server whose membership ended at epoch. A later membership is kept.
 func (b *Board) Drop(name string, epoch uint64) {
 	s, ok := b.servers[name]
 	if !ok || s.Epoch > epoch {
 		return
 	}
-	if _, told := b.published[name]; told {
+	if _, wasPublished := b.published[name]; wasPublished {
 		b.gone[name] = struct{}{}
 	}
 	delete(b.servers, name)
@@ -74,32 +72,31 @@
 	delete(b.dirty, name)
 }
 
-// MaxLoadChanges is the number of changes of load alone that Collect gives out at
-// once. Load travels with each answer too; these are for the backend servers
-// that an entry has not heard from. Without a limit each entry would be told of
-// each change of every backend server's load.
+// MaxLoadChanges is the maximum number of changes of load alone that one Collect returns. Each
+// answer carries the load too, so that these changes matter only for backend servers that an entry
+// has no answers from. Without a limit each entry would receive every change of every backend
+// server's load.
 const MaxLoadChanges = 4
 
-// Collect returns the changes since the last call, sorted by name. It leaves out
-// what is not worth a message (see ServerState.Equivalent), and puts off changes of
-// load alone beyond MaxLoadChanges: those of two levels or more come first, then the
-// oldest.
+// Collect returns the changes since the last call, sorted by name. It omits insignificant changes
+// (see ServerState.Equivalent), and defers changes of load alone beyond MaxLoadChanges: those of
+// two levels or more come first, then the oldest.
 func (b *Board) Collect() DigestBatch {
 	var batch DigestBatch
-	var loads []string
+	var loadChanges []string
 	for name := range b.dirty {
-		former, now := b.published[name], b.servers[name]
+		previous, now := b.published[name], b.servers[name]
 		switch {
-		case former.Sequence != 0 && now.Equivalent(former):
+		case previous.Sequence != 0 && now.Equivalent(previous):
 			delete(b.dirty, name)
-		case now.sameResidency(former):
-			loads = append(loads, name)
+		case now.sameResidency(previous):
+			loadChanges = append(loadChanges, name)
 		default:
 			batch.Changes = append(batch.Changes, b.publish(name))
 		}
 	}
-	slices.SortFunc(loads, b.compareLoads)
-	for _, name := range loads[:min(len(loads), MaxLoadChanges)] {
+	slices.SortFunc(loadChanges, b.compareLoadChanges)
+	for _, name := range loadChanges[:min(len(loadChanges), MaxLoadChanges)] {
 		batch.Changes = append(batch.Changes, b.publish(name))
 	}
 	slices.SortFunc(batch.Changes, func(x, y ServerChange) int { return cmp.Compare(x.Name, y.Name) })
@@ -109,7 +106,8 @@
 	return batch
 }
 
-// publish returns the change from the published state of a server.
+// publish marks the latest state of a server as published, and returns the change from the
+// previously published one.
 func (b *Board) publish(name string) ServerChange {
 	now := b.servers[name]
 	c := now.ChangeFrom(b.published[name])
@@ -118,17 +116,17 @@
 	return c
 }
 
-// compareLoads orders changes of load alone.
-func (b *Board) compareLoads(x, y string) int {
+// compareLoadChanges orders changes of load alone by urgency, age and name.
+func (b *Board) compareLoadChanges(x, y string) int {
 	return cmp.Or(
-		cmp.Compare(b.steepness(y), b.steepness(x)),
+		cmp.Compare(b.loadUrgency(y), b.loadUrgency(x)),
 		cmp.Compare(b.dirty[x], b.dirty[y]),
 		cmp.Compare(x, y),
 	)
 }
 
-// steepness is 1 for a change of load by two levels or more, else 0.
-func (b *Board) steepness(name string) int {
+// loadUrgency returns 1 for a change of load by two levels or more, and 0 otherwise.
+func (b *Board) loadUrgency(name string) int {
 	step := b.servers[name].Load.Level() - b.published[name].Load.Level()
 	if step >= 2 || step <= -2 {
 		return 1
@@ -136,8 +134,7 @@
 	return 0
 }
 
-// Whole returns the changes that make the published states out of nothing, so
-// that the next Collect builds on them.
+// Whole returns the published states as complete states. The next Collect is based on them.
 func (b *Board) Whole() DigestBatch {
 	batch := DigestBatch{Whole: true}
 	for _, name := range slices.Sorted(maps.Keys(b.published)) {
--- a/internal/coordination/registrar/board_test.go
+++ b/internal/coordination/registrar/board_test.go
@@ -12,10 +12,9 @@
 )
 
 var _ = Describe("Board", func() {
-	// Symptom: an entry routes to a backend server for a version it evicted.
-	// Sequence: a companion moves to another control host; its last report by
-	// the old way arrives after the first by the new one.
-	// Cause to prevent: the latest arrival winning over the latest report.
+	// Guards against an entry that routes to a backend server for a version it has evicted. A
+	// companion moves to another control host, and its last report over the old path arrives after
+	// the first one over the new path. The latest report must win, not the latest arrival.
 	It("ignores a report that arrives after a newer one", func() {
 		b := registrar.NewBoard()
 		Expect(b.Apply(registrar.ServerChange{Name: "s", Epoch: 3, Sequence: 2, Loaded: []string{"w/new@1"}})).To(BeTrue())
@@ -25,7 +24,7 @@
 		Expect(s.Resident).To(Equal([]string{"w/new@1"}))
 	})
 
-	It("gives no message for a load that stays in its level", func() {
+	It("publishes no change of load within a level", func() {
 		b := registrar.NewBoard()
 		b.Apply(registrar.ServerChange{Name: "s", Epoch: 1, Sequence: 1, Load: registrar.Load{Running: 1, MaxBatch: 16}})
 		Expect(b.Collect().Changes).To(HaveLen(1))
@@ -36,12 +35,11 @@
 	})
 })
 
-var _ = Describe("Board at the planned size", func() {
-	// Symptom: entries spend their network on the loads of backend servers that
-	// they never call.
-	// Sequence: the load of a whole region changes at once.
-	// Cause to prevent: a message for each change, whoever needs it.
-	It("puts changes of load alone off, the steepest first, and no change of residency", func() {
+var _ = Describe("Board at the planned number of backend servers", func() {
+	// Guards against entries whose network carries mostly the loads of backend servers that they
+	// never call. The load of a whole region changes at once; it must not cause a message for each
+	// change.
+	It("defers changes of load alone, publishes the largest first, and defers no change of residency", func() {
 		b := registrar.NewBoard()
 		report := func(sequence uint64, i, running int, resident ...string) {
 			b.Apply(registrar.ServerChange{
@@ -68,8 +66,8 @@
 	})
 })
 
-// A subscriber that took Whole once and every Collect since holds what the
-// board published, whenever it came.
+// A subscriber that received Whole once and every Collect after it holds the state that the board
+// published, whenever it subscribed.
 func TestPropertyBoardFollowed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, follower := registrar.NewBoard(), registrar.NewBoard()
@@ -105,11 +103,11 @@
 					}
 				}
 			default:
-				former, ok := state[name]
+				previous, ok := state[name]
 				if !ok {
-					former = registrar.ServerState{Name: name, Epoch: 1}
+					previous = registrar.ServerState{Name: name, Epoch: 1}
 				}
-				next := former
+				next := previous
 				next.Sequence++
 				next.Load = registrar.Load{Running: rapid.IntRange(0, 8).Draw(t, "running"), MaxBatch: 8}
 				next.Resident = nil
@@ -118,8 +116,8 @@
 						next.Resident = append(next.Resident, fmt.Sprintf("w/a%d@1", v))
 					}
 				}
-				if !source.Apply(next.ChangeFrom(former)) {
-					t.Fatalf("the source lacks the base of its own change")
+				if !source.Apply(next.ChangeFrom(previous)) {
+					t.Fatalf("the source lacks the base of a change built from its own state")
 				}
 				state[name] = next
 			}
--- a/internal/coordination/registrar/digest.go
+++ b/internal/coordination/registrar/digest.go
@@ -2,60 +2,57 @@
 
 import "slices"
 
-// ServerState is what is known of one backend server.
+// ServerState is the reported state of a backend server.
 type ServerState struct {
 	Name  string
 	Epoch uint64
-	// Sequence rises with each report of the companion within one epoch.
+	// Sequence increases with each report of the companion within an epoch.
 	Sequence uint64
 	Load     Load
-	// Resident lists the versions that are loaded, sorted. It is shared and must
-	// not be changed.
+	// Resident lists the loaded versions, sorted. It is shared and must not be modified.
 	Resident []string
 }
 
-// Digest tells an entry the whole state of each backend server that changed.
+// Digest holds the complete state of each backend server that changed.
 type Digest struct {
-	// Whole tells that Servers are all that are known; forget the others.
+	// Whole is set if Servers are all known backend servers; the receiver removes all others.
 	Whole bool
-	// Gone names the backend servers whose membership ended. It comes before
-	// Servers: a server may have joined again since.
+	// Gone names the backend servers whose membership ended. It is applied before Servers: a server
+	// may have joined again since.
 	Gone    []string
 	Servers []ServerState
 }
 
-// ServerChange is a step of one backend server's state.
+// ServerChange is a change of one backend server's state.
 type ServerChange struct {
 	Name     string
 	Epoch    uint64
 	Sequence uint64
-	// Base is the Sequence of the state that Loaded and Evicted change, in the
-	// same epoch; 0 means that Loaded is the whole residency.
+	// Base is the Sequence of the state to which Loaded and Evicted apply, in the same epoch; 0
+	// means that Loaded is the complete residency.
 	Base    uint64 `json:",omitempty"`
 	Load    Load
 	Loaded  []string `json:",omitempty"`
 	Evicted []string `json:",omitempty"`
 }
 
-// DigestBatch carries the changes of one tick.
+// DigestBatch holds the changes of one tick.
 type DigestBatch struct {
-	// Whole tells that the batch begins a new sequence of batches: what is not
-	// in it is not known.
+	// Whole is set if the batch starts a new sequence of batches: backend servers that it does not
+	// contain are not known.
 	Whole bool `json:",omitempty"`
-	// Gone names the backend servers whose membership ended. It comes before
-	// Changes: a server may have joined again since.
+	// Gone names the backend servers whose membership ended. It is applied before Changes: a server
+	// may have joined again since.
 	Gone    []string `json:",omitempty"`
 	Changes []ServerChange
 }
 
-// Apply returns the state after c, and false where c is not newer than s or
-// builds on another state.
+// Apply returns the state after c, and false if c is not newer than s or is based on another state.
 //
-// Reports of one backend server can reach a host on two ways while its
-// companion moves to another control host, and the older way may be the slower
-// one. Were the later arrival to win, a version evicted long ago would appear
-// resident, seen as load stalls that no table explains. So only a higher epoch,
-// or a higher sequence within the epoch, counts.
+// While a companion moves to another control host, reports of its backend server can reach a host
+// over two paths, and the older path may be the slower one. If the later arrival won, a version
+// evicted long ago would appear resident, which shows as load stalls that no table explains.
+// Therefore only a higher epoch, or a higher sequence within the epoch, counts.
 func (s ServerState) Apply(c ServerChange) (ServerState, bool) {
 	if c.Epoch < s.Epoch || c.Epoch == s.Epoch && c.Sequence <= s.Sequence {
 		return s, false
@@ -80,23 +77,23 @@
 	return next, true
 }
 
-// Whole returns the change that makes s out of nothing.
+// Whole returns the change that creates s from the empty state.
 func (s ServerState) Whole() ServerChange {
 	return ServerChange{Name: s.Name, Epoch: s.Epoch, Sequence: s.Sequence, Load: s.Load, Loaded: s.Resident}
 }
 
-// ChangeFrom returns the change that makes s out of former.
-func (s ServerState) ChangeFrom(former ServerState) ServerChange {
-	if former.Epoch != s.Epoch || former.Sequence == 0 {
+// ChangeFrom returns the change that turns previous into s.
+func (s ServerState) ChangeFrom(previous ServerState) ServerChange {
+	if previous.Epoch != s.Epoch || previous.Sequence == 0 {
 		return s.Whole()
 	}
-	c := ServerChange{Name: s.Name, Epoch: s.Epoch, Sequence: s.Sequence, Base: former.Sequence, Load: s.Load}
+	c := ServerChange{Name: s.Name, Epoch: s.Epoch, Sequence: s.Sequence, Base: previous.Sequence, Load: s.Load}
 	for _, v := range s.Resident {
-		if _, ok := slices.BinarySearch(former.Resident, v); !ok {
+		if _, ok := slices.BinarySearch(previous.Resident, v); !ok {
 			c.Loaded = append(c.Loaded, v)
 		}
 	}
-	for _, v := range former.Resident {
+	for _, v := range previous.Resident {
 		if _, ok := slices.BinarySearch(s.Resident, v); !ok {
 			c.Evicted = append(c.Evicted, v)
 		}
@@ -104,14 +101,14 @@
 	return c
 }
 
-// Equivalent reports whether s and former differ by nothing worth a message:
-// the same residency and the same level of load.
-func (s ServerState) Equivalent(former ServerState) bool {
-	return s.sameResidency(former) && s.Load.Level() == former.Load.Level()
+// Equivalent reports whether s and previous differ by nothing that subscribers need to know: they
+// have the same residency and the same load level.
+func (s ServerState) Equivalent(previous ServerState) bool {
+	return s.sameResidency(previous) && s.Load.Level() == previous.Load.Level()
 }
 
-func (s ServerState) sameResidency(former ServerState) bool {
-	return s.Epoch == former.Epoch && slices.Equal(s.Resident, former.Resident)
+func (s ServerState) sameResidency(previous ServerState) bool {
+	return s.Epoch == previous.Epoch && slices.Equal(s.Resident, previous.Resident)
 }
 
 func sortedSet(versions []string) []string {
--- a/internal/coordination/registrar/doc.go
+++ b/internal/coordination/registrar/doc.go
@@ -1,18 +1,16 @@
-// Package registrar decides which backend servers are members, and condenses
-// what they report of themselves.
+// Package registrar decides which backend servers are members, and condenses the state that they
+// report.
 //
-// Table is the leader's list of leases. A membership is named by the backend
-// server's name and its epoch, the log index of the command that began it. The
-// companion beside the backend server renews its lease by heartbeat through the
-// control host it is connected to; that host passes all renewals of one tick on
-// in one RenewBatch, so that the leader's work grows with the number of control
-// hosts and not of heartbeats. Leases live in the leader's memory alone: only
-// their end is a change of the replicated state.
+// Table holds the leases at the leader. A membership is identified by the name of the backend server
+// and its epoch, which is the log index of the command that started it. The companion of the backend
+// server renews its lease by heartbeats through the control host that it is connected to. That host
+// forwards all renewals of one tick in one RenewBatch, so that the leader's work grows with the number
+// of control hosts and not with that of heartbeats. Leases exist only in the leader's memory: only
+// their end changes the replicated state.
 //
-// Board holds what is known of each backend server's residency and load, and
-// gives out what changed since it was last asked.
+// Board holds the residency and load of each backend server, and returns the changes since its last
+// call.
 //
-// Everything here is a plain decision: time is passed in, and nothing starts a
-// goroutine or opens a socket. No type may be used by several goroutines at
-// once.
+// The package makes decisions only: the caller passes the time, and nothing starts a goroutine or
+// opens a socket. No type is safe for concurrent use.
 package registrar
--- a/internal/coordination/registrar/lease.go
+++ b/internal/coordination/registrar/lease.go
@@ -6,16 +6,17 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Lease is a membership as granted to a companion.
+// Lease is a membership granted to a companion.
 type Lease struct {
 	Name string
-	// Epoch names the membership and fences its orders.
+	// Epoch identifies the membership and fences its orders.
 	Epoch uint64
-	// Until is the life of the lease from when the companion sent its request.
+	// Until is the duration of the lease, counted from the time at which the companion sent its
+	// request.
 	Until time.Duration
 }
 
-// JoinRequest asks for a membership.
+// JoinRequest requests a membership.
 type JoinRequest struct {
 	Name   string
 	Member storer.MemberSpec
@@ -25,41 +26,40 @@
 type LeaveRequest struct {
 	Name  string
 	Epoch uint64
-	// Ended removes the membership; otherwise it is marked as leaving.
+	// Ended ends the membership; otherwise it is marked as leaving.
 	Ended bool
 }
 
-// Void tells a companion that memberships it renews have ended: it must join
-// again.
+// Void notifies a companion that memberships which it renews have ended: it must join again.
 type Void struct{ Members []storer.MemberEpoch }
 
 // Renewal is a companion's heartbeat for one backend server.
 type Renewal struct {
 	Name  string
 	Epoch uint64
-	// Load is the backend server's load now.
+	// Load is the current load of the backend server.
 	Load Load
-	// Resident lists all versions, WORKSPACE/ADAPTER@VERSION, that are loaded
-	// now. The subscriber sends only what changed.
+	// Resident lists all loaded versions, as WORKSPACE/ADAPTER@VERSION. The subscriber sends only
+	// the differences.
 	Resident []string
 }
 
-// Heartbeat is a Renewal on its way from a companion to its control host.
+// Heartbeat is a Renewal in the form in which a companion sends it to its control host.
 type Heartbeat struct {
 	Name  string
 	Epoch uint64
-	// Term is the newest leader's term that the companion heard of. It takes no
-	// permit of an older one any more.
+	// Term is the highest leader's term that the companion has seen. It accepts no permits of older
+	// terms.
 	Term uint64
-	// Sequence rises with each heartbeat of the companion.
+	// Sequence increases with each heartbeat of the companion.
 	Sequence uint64
 	// Permits are the load permits that the companion holds.
 	Permits []uint64 `json:",omitempty"`
-	// Report is the backend server's state; nil means unchanged.
+	// Report is the change of the backend server's state; nil means unchanged.
 	Report *ServerChange `json:",omitempty"`
 }
 
-// LeaseRenewal is one lease within a RenewBatch.
+// LeaseRenewal is the renewal of one lease in a RenewBatch.
 type LeaseRenewal struct {
 	Name     string
 	Epoch    uint64
@@ -68,18 +68,17 @@
 	Permits  []uint64 `json:",omitempty"`
 }
 
-// RenewBatch carries all renewals that one control host received in one tick
-// to the leader.
+// RenewBatch carries all renewals that a control host received in one tick to the leader.
 type RenewBatch struct {
-	// Host is the control host's node name.
+	// Host is the node name of the control host.
 	Host string
-	// FailureDomain is that of the host.
+	// FailureDomain is the failure domain of the control host.
 	FailureDomain string
 	Leases        []LeaseRenewal
 }
 
-// RenewAnswer answers a RenewBatch.
+// RenewAnswer is the answer to a RenewBatch.
 type RenewAnswer struct {
-	// Void are the memberships in the batch that have ended.
+	// Void lists the memberships in the batch that have ended.
 	Void []storer.MemberEpoch
 }
--- a/internal/coordination/registrar/registrar_benchmark_test.go
+++ b/internal/coordination/registrar/registrar_benchmark_test.go
@@ -10,27 +10,26 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/registrar"
 )
 
-// sizes are the numbers of members: of today, of one region's part, and of the
-// planned whole.
-var sizes = []int{25, 600, 2400, 12000}
+// memberCounts are the benchmarked numbers of members, from a small deployment over parts of a region to
+// the planned maximum.
+var memberCounts = []int{25, 600, 2400, 12000}
 
-// heap returns the bytes in use.
-func heap() uint64 {
+// heapBytes returns the size of the allocated heap after a garbage collection.
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// BenchmarkRenew measures one tick's renewals of all members and the look for
-// expired leases.
+// BenchmarkRenew measures the renewals of all members in one tick and the check for expired leases.
 func BenchmarkRenew(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range memberCounts {
 		b.Run(fmt.Sprintf("Members=%d", n), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			ms, rs := members("a", n)
 			table := registrar.NewTable(registrar.Settings{Lease: lease}, start, ms)
-			bytes := heap() - before
+			bytes := heapBytes() - before
 			now := start
 			for b.Loop() {
 				now = now.Add(100 * time.Millisecond)
@@ -44,13 +43,13 @@
 	}
 }
 
-// BenchmarkBoard measures one report of each member, one version loaded and one
-// evicted in each, and the digest of them all.
+// BenchmarkBoard measures one report of each member, each with one version loaded and one evicted,
+// and the digest of all of them.
 func BenchmarkBoard(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range memberCounts {
 		b.Run(fmt.Sprintf("Members=%d", n), func(b *testing.B) {
 			const slots = 8
-			before := heap()
+			before := heapBytes()
 			board := registrar.NewBoard()
 			states := make([]registrar.ServerState, n)
 			report := func(i, round int) {
@@ -68,7 +67,7 @@
 				report(i, 0)
 			}
 			board.Collect()
-			bytes := heap() - before
+			bytes := heapBytes() - before
 			var batch registrar.DigestBatch
 			for round := 1; b.Loop(); round++ {
 				for i := range n {
--- a/internal/coordination/registrar/table.go
+++ b/internal/coordination/registrar/table.go
@@ -15,28 +15,25 @@
 	DefaultStormLeast = 3
 )
 
-// silentParts is the part of a lease, as its divisor, without word from a
-// member after which the member counts as silent for the storm guard.
-// Companions renew several times within it.
-const silentParts = 2
+// silentLeaseDivisor defines the share of a lease without renewal after which a member counts as
+// silent for the mass-expiry guard. Companions renew several times within it.
+const silentLeaseDivisor = 2
 
 // Settings are the options of a Table.
 type Settings struct {
-	// Lease is the time without renewal after which a membership ends;
-	// DefaultLease by default.
+	// Lease is the time without renewal after which a membership ends; 0 means DefaultLease.
 	Lease time.Duration
 
-	// TickGap is the longest time between two calls of Tick after which the
-	// table still trusts that it saw all renewals; a third of Lease by default.
+	// TickGap is the longest interval between two calls of Tick for which the table assumes that it
+	// has received all renewals; 0 means a third of Lease.
 	TickGap time.Duration
 
-	// StormShare is the share of a failure domain's members, from 0 to 1, above
-	// which members that fall silent together are held back for one further
-	// lease; DefaultStormShare by default.
+	// StormShare is the share of a failure domain's members, from 0 to 1, above which members that
+	// are silent together get one further lease before they expire; 0 means DefaultStormShare.
 	StormShare float64
 
-	// StormLeast is the number of silent members of a failure domain under
-	// which nothing is held back; DefaultStormLeast by default.
+	// StormLeast is the number of silent members in a failure domain below which none gets a
+	// further lease; 0 means DefaultStormLeast.
 	StormLeast int
 }
 
@@ -48,41 +45,38 @@
 	return s
 }
 
-// Membership is a member as the table needs to know it.
+// Membership describes a member for a Table.
 type Membership struct {
 	Name          string
 	Epoch         uint64
 	FailureDomain string
 }
 
-type entry struct {
+type tableEntry struct {
 	Membership
 
-	// renewed is when the lease was last renewed or extended. It never goes
-	// back.
+	// renewed is the time at which the lease was last renewed or extended. It never decreases.
 	renewed time.Time
-	// held tells that the storm guard has already spent its one extension
-	// since the last renewal.
-	held bool
+	// extended is set if the mass-expiry guard has used its one extension since the last renewal.
+	extended bool
 }
 
-// Table is the leader's list of leases. Only the leader has one, and it makes a
-// new one each time it is elected.
+// Table holds the leases at the leader, which creates a new Table after each election.
 type Table struct {
 	settings Settings
-	members  map[string]*entry
+	members  map[string]*tableEntry
 	// lastTick is the time of the last Tick.
 	lastTick time.Time
 }
 
-// NewTable returns the table of a leader elected at now over the memberships
-// in the replicated state.
+// NewTable returns the table of a leader elected at now, for the memberships in the replicated
+// state.
 //
-// Every lease starts anew with its full term. The former leader's table is
-// lost with it; a new leader that took old renewals for missing would expire
-// every backend server at once, seen as refused calls after each election.
+// Every lease starts with its full duration, because the previous leader's table is lost. If a new
+// leader counted the renewals that it never received as missing, all backend servers would expire
+// at once and calls would be refused after each election.
 func NewTable(s Settings, now time.Time, members []Membership) *Table {
-	t := &Table{settings: s.withDefaults(), members: make(map[string]*entry, len(members)), lastTick: now}
+	t := &Table{settings: s.withDefaults(), members: make(map[string]*tableEntry, len(members)), lastTick: now}
 	for _, m := range members {
 		t.Begin(now, m)
 	}
@@ -92,33 +86,31 @@
 // Len returns the number of leases.
 func (t *Table) Len() int { return len(t.members) }
 
-// Begin starts or replaces the lease of a membership that the replicated state
-// has taken in. A membership with a lower epoch than the known one is ignored.
+// Begin starts or replaces the lease of a membership that has been committed. A membership whose
+// epoch is not higher than the known one is ignored.
 func (t *Table) Begin(now time.Time, m Membership) {
 	if e, ok := t.members[m.Name]; ok {
 		if m.Epoch <= e.Epoch {
 			return
 		}
 	}
-	t.members[m.Name] = &entry{Membership: m, renewed: now}
+	t.members[m.Name] = &tableEntry{Membership: m, renewed: now}
 }
 
-// End drops the lease of a membership that the replicated state has ended. A
-// later membership under the same name is left alone.
+// End drops the lease of a membership whose end has been committed. A later membership of the same
+// name is kept.
 func (t *Table) End(name string, epoch uint64) {
 	if e, ok := t.members[name]; ok && e.Epoch <= epoch {
 		delete(t.members, name)
 	}
 }
 
-// Renew extends the leases in a batch, and returns those that are not members
-// any more.
+// Renew extends the leases in a batch, and returns those whose memberships have ended.
 //
-// A renewal with an older epoch comes from a companion that was replaced while
-// it was frozen or cut off. Were it to renew, the successor's lease would be
-// kept alive by a process that is not the member; so it is told Void and joins
-// again, under a new epoch. A renewal with a newer epoch than the table's is
-// neither: the table has not yet seen the committed join.
+// A renewal with an older epoch comes from a companion that was replaced while it was suspended or
+// cut off. If it counted, a process that is not the member would keep its successor's lease alive.
+// It gets Void instead and joins again under a new epoch. A renewal with an epoch newer than the
+// table's is neither counted nor void: the table has not processed the committed join yet.
 func (t *Table) Renew(now time.Time, leases []LeaseRenewal) (void []storer.MemberEpoch) {
 	for _, l := range leases {
 		e, ok := t.members[l.Name]
@@ -127,7 +119,7 @@
 			if now.After(e.renewed) {
 				e.renewed = now
 			}
-			e.held = false
+			e.extended = false
 		case !ok || l.Epoch < e.Epoch:
 			void = append(void, storer.MemberEpoch{Name: l.Name, Epoch: l.Epoch})
 		}
@@ -135,23 +127,23 @@
 	return void
 }
 
-// Tick returns the memberships whose leases have run out, sorted by name, for
-// one batched ExpireMembers command. They stay in the table until End, so that
-// a proposal that failed is made again by the next Tick.
+// Tick returns the memberships whose leases have expired, sorted by name, for one batched
+// ExpireMembers command. They stay in the table until End, so that the next Tick repeats a proposal
+// that failed.
 //
-// A leader that did not run for longer than TickGap extends every lease by a
-// full term: the renewals of that time lie unread in its sockets or went
-// nowhere, so silence proves nothing.
+// A leader that was not scheduled for longer than TickGap extends every lease by its full duration:
+// the renewals of that time are unread in its sockets or were lost, so that missing renewals prove
+// nothing.
 func (t *Table) Tick(now time.Time) []storer.MemberEpoch {
-	frozen := now.Sub(t.lastTick) > t.settings.TickGap
+	paused := now.Sub(t.lastTick) > t.settings.TickGap
 	t.lastTick = now
-	if frozen {
+	if paused {
 		for _, e := range t.members {
 			e.renewed = now
 		}
 		return nil
 	}
-	var due []*entry
+	var due []*tableEntry
 	for _, e := range t.members {
 		if now.Sub(e.renewed) >= t.settings.Lease {
 			due = append(due, e)
@@ -160,11 +152,11 @@
 	if len(due) == 0 {
 		return nil
 	}
-	storms := t.storms(now)
+	massSilences := t.massSilences(now)
 	var expired []storer.MemberEpoch
 	for _, e := range due {
-		if storms[e.FailureDomain] && !e.held {
-			e.held = true
+		if massSilences[e.FailureDomain] && !e.extended {
+			e.extended = true
 			e.renewed = now
 			continue
 		}
@@ -174,28 +166,28 @@
 	return expired
 }
 
-// storms returns the failure domains in which so many members are silent that
-// a cut between them and the control hosts is likelier than their deaths.
+// massSilences returns the failure domains in which so many members are silent that a network
+// partition between them and the control hosts is more likely than their failure.
 //
-// Members that a cut silences don't expire in the same tick, since each last
-// renewed at its own time. The guard therefore counts all that have been silent
-// for half a lease, and not those that are due.
-func (t *Table) storms(now time.Time) map[string]bool {
+// Members silenced by a partition do not expire in the same tick, since each renewed at a different
+// time. The guard therefore counts all members that have been silent for half a lease, not only
+// those whose lease has expired.
+func (t *Table) massSilences(now time.Time) map[string]bool {
 	type count struct{ all, silent int }
 	counts := make(map[string]count)
 	for _, e := range t.members {
 		c := counts[e.FailureDomain]
 		c.all++
-		if e.held || now.Sub(e.renewed) >= t.settings.Lease/silentParts {
+		if e.extended || now.Sub(e.renewed) >= t.settings.Lease/silentLeaseDivisor {
 			c.silent++
 		}
 		counts[e.FailureDomain] = c
 	}
-	storms := make(map[string]bool)
+	massSilences := make(map[string]bool)
 	for domain, c := range counts {
 		if c.silent >= t.settings.StormLeast && float64(c.silent) > t.settings.StormShare*float64(c.all) {
-			storms[domain] = true
+			massSilences[domain] = true
 		}
 	}
-	return storms
+	return massSilences
 }
--- a/internal/coordination/registrar/table_test.go
+++ b/internal/coordination/registrar/table_test.go
@@ -17,14 +17,14 @@
 
 const lease = 3 * time.Second
 
-// clock steps a table as a running leader does.
+// clock drives a table as a running leader does.
 type clock struct {
 	table *registrar.Table
 	now   time.Time
 }
 
-// run ticks every 100 ms for d, renews the named members before each tick, and
-// returns all that expired.
+// run ticks every 100 ms for d, applies the given renewals before each tick, and returns all
+// expired memberships.
 func (c *clock) run(d time.Duration, renewing ...registrar.LeaseRenewal) []storer.MemberEpoch {
 	var expired []storer.MemberEpoch
 	for end := c.now.Add(d); c.now.Before(end); {
@@ -50,9 +50,8 @@
 }
 
 var _ = Describe("Table", func() {
-	// Symptom: calls go on to a backend server whose host has lost power.
-	// Sequence: one of eight stops renewing; the others go on.
-	// Cause to prevent: a lease without an end.
+	// Guards against calls to a backend server whose host has lost power. One of eight members
+	// stops renewing, and the others continue.
 	It("expires a silent member within its lease and a tick", func() {
 		ms, rs := members("a", 8)
 		c := &clock{table: registrar.NewTable(registrar.Settings{Lease: lease}, start, ms), now: start}
@@ -60,12 +59,10 @@
 		Expect(c.run(300*time.Millisecond, rs[1:]...)).To(Equal([]storer.MemberEpoch{{Name: "a-0", Epoch: 1}}))
 	})
 
-	// Symptom: a dead backend server's successor stays a member though nobody
-	// answers there.
-	// Sequence: a companion freezes; its successor joins under the same name,
-	// then dies; the old one thaws and renews.
-	// Cause to prevent: a renewal counted by name and not by epoch.
-	It("gives an old incarnation Void and does not let it renew", func() {
+	// Guards against a membership that outlives its backend server. A companion is suspended; its
+	// successor joins under the same name and then fails; the old companion resumes and renews.
+	// Renewals must count by epoch, not by name.
+	It("voids the renewal of a replaced membership and keeps the lease of its successor unrenewed", func() {
 		ms, _ := members("a", 1)
 		c := &clock{table: registrar.NewTable(registrar.Settings{Lease: lease}, start, ms), now: start}
 		c.table.Begin(start, registrar.Membership{Name: "a-0", Epoch: 9, FailureDomain: "a"})
@@ -75,18 +72,16 @@
 		Expect(c.run(lease+100*time.Millisecond, old)).To(Equal([]storer.MemberEpoch{{Name: "a-0", Epoch: 9}}))
 	})
 
-	It("neither renews nor voids a membership whose join it has not yet seen", func() {
+	It("neither renews nor voids a membership whose join it has not processed yet", func() {
 		ms, _ := members("a", 1)
 		table := registrar.NewTable(registrar.Settings{Lease: lease}, start, ms)
 		Expect(table.Renew(start, []registrar.LeaseRenewal{{Name: "a-0", Epoch: 7}})).To(BeEmpty())
 	})
 
-	// Symptom: after a leader's host was suspended, every backend server
-	// vanishes and rejoins.
-	// Sequence: the leader freezes for a minute, thaws, and ticks before it has
-	// read the renewals that wait in its sockets.
-	// Cause to prevent: taking its own silence for that of the members.
-	It("expires nobody after its own freeze", func() {
+	// Guards against the loss of all backend servers after the leader's host was suspended. The
+	// leader is suspended for a minute, resumes, and ticks before it has read the renewals in its
+	// sockets. It must not take its own pause for the silence of the members.
+	It("expires no member after its own pause", func() {
 		ms, rs := members("a", 8)
 		c := &clock{table: registrar.NewTable(registrar.Settings{Lease: lease}, start, ms), now: start}
 		c.run(time.Second, rs...)
@@ -95,11 +90,10 @@
 		Expect(c.run(2*lease, rs...)).To(BeEmpty())
 	})
 
-	// Symptom: a cut of two seconds too long takes a whole failure domain out.
-	// Sequence: all members of a domain fall silent, each at its own time; the
-	// cut heals after the lease has run out but before a second one.
-	// Cause to prevent: taking a cut for the death of all at once.
-	It("holds a whole domain back for one further lease, and no longer", func() {
+	// Guards against the loss of a whole failure domain in a network partition that lasts slightly
+	// longer than a lease. All members of a domain fall silent, each at a different time; the
+	// partition heals after one lease but before a second one.
+	It("gives a silent failure domain one further lease, and no more", func() {
 		ms, rs := members("a", 6)
 		others, otherRenewals := members("b", 6)
 		c := &clock{table: registrar.NewTable(registrar.Settings{Lease: lease}, start, append(ms, others...)), now: start}
@@ -112,8 +106,8 @@
 	})
 })
 
-// A member that renews is never expired, one that doesn't is within two leases
-// and a tick, whatever the others and the leader's own pauses do.
+// A member that renews never expires, and one that does not expires within two leases and a tick,
+// whatever the other members and the leader's own pauses do.
 func TestPropertyExpiry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, rs := members("a", rapid.IntRange(1, 6).Draw(t, "members"))
