--- a/example_test.go
+++ b/example_test.go
@@ -31,7 +31,7 @@
 		fmt.Println(err)
 		return
 	}
-	r.Began(noon, &d)
+	r.RecordAnswerStart(noon, &d)
 	fmt.Println(d.Backend, d.Cold)
 	r.Finish(noon.Add(time.Second), &d, marigoldpoint.RoutingEnding{})
 	// Output: engine-2 false
--- a/internal/coordination/distributor/assembler.go
+++ b/internal/coordination/distributor/assembler.go
@@ -36,10 +36,10 @@
 	batches uint64
 }
 
-// Take applies one delta to target, which must be the same each time, and
+// ApplyDelta applies one delta to target, which must be the same each time, and
 // returns the acknowledgement to send. A delta that is not newer than target is
 // acknowledged and changes nothing.
-func (a *Assembler) Take(target Target, d Delta) (AcknowledgeRevision, error) {
+func (a *Assembler) ApplyDelta(target Target, d Delta) (AcknowledgeRevision, error) {
 	held := target.Revision()
 	switch {
 	case d.Reset:
--- a/internal/coordination/distributor/assembler_benchmark_test.go
+++ b/internal/coordination/distributor/assembler_benchmark_test.go
@@ -99,7 +99,7 @@
 		if to == n {
 			beforeLast()
 		}
-		if _, err := a.Take(target, d); err != nil {
+		if _, err := a.ApplyDelta(target, d); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/coordination/distributor/feed_test.go
+++ b/internal/coordination/distributor/feed_test.go
@@ -148,7 +148,7 @@
 		var a distributor.Assembler
 		take := func(src distributor.Source) {
 			for d, ok := f.Next(src); ok; d, ok = f.Next(src) {
-				taken, err := a.Take(n, d)
+				taken, err := a.ApplyDelta(n, d)
 				Expect(err).NotTo(HaveOccurred())
 				f.Acknowledge(taken)
 			}
@@ -208,11 +208,11 @@
 				if len(under) == 0 {
 					continue
 				}
-				a, err := assembler.Take(n, under[0])
+				a, err := assembler.ApplyDelta(n, under[0])
 				if err != nil {
 					t.Fatalf("delta refused: %v", err)
 				}
-				b, err := paged.Take(x, under[0])
+				b, err := paged.ApplyDelta(x, under[0])
 				if err != nil || a != b {
 					t.Fatalf("the replica answered %v, %v instead of %v", b, err, a)
 				}
--- a/internal/coordination/distributor/lease.go
+++ b/internal/coordination/distributor/lease.go
@@ -57,8 +57,8 @@
 	l.pending = kept
 }
 
-// Forget drops the pulses that wait for a revision: their subscription ended.
-func (l *Lease) Forget() { l.pending = nil }
+// DiscardPending drops the pulses that wait for a revision: their subscription ended.
+func (l *Lease) DiscardPending() { l.pending = nil }
 
 func (l *Lease) extend(fresh time.Time) {
 	if fresh.After(l.fresh) {
--- a/internal/coordination/loader/bench_test.go
+++ b/internal/coordination/loader/bench_test.go
@@ -130,17 +130,17 @@
 			for i := range names {
 				names[i] = fmt.Sprintf("w%d/a%d@1", i%40, i)
 				t.Want(start, want(names[i], names[i]))
-				t.Drop(start, names[i])
+				t.Release(start, names[i])
 			}
 			for _, v := range names[:16] {
-				t.Adopt(start, []Observed{{Version: v}})
+				t.Adopt(start, []ObservedSlot{{Version: v}})
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				v := names[i%16]
 				t.Want(start, want("r", v))
 				t.Pin("r")
-				t.Drop(start, "r")
+				t.Release(start, "r")
 			}
 		})
 	}
--- a/internal/coordination/loader/driver_test.go
+++ b/internal/coordination/loader/driver_test.go
@@ -48,7 +48,7 @@
 		for request, ends := range d.running {
 			if !d.now.Before(ends) {
 				delete(d.running, request)
-				d.apply(d.table.Drop(d.now, request))
+				d.apply(d.table.Release(d.now, request))
 			}
 		}
 		if d.loading != nil && !d.now.Before(d.loadEnds) {
--- a/internal/coordination/loader/observe.go
+++ b/internal/coordination/loader/observe.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Observed is one occupied slot as the engine reports it.
-type Observed struct {
+// ObservedSlot is one occupied slot as the engine reports it.
+type ObservedSlot struct {
 	Version string
 	Source  string
 	Loading bool
@@ -15,7 +15,7 @@
 // requests that use a version are those of an earlier companion: they pin it
 // until Observe reports them gone. A load under way is followed to its end by
 // Observe.
-func (t *Table) Adopt(now time.Time, slots []Observed) {
+func (t *Table) Adopt(now time.Time, slots []ObservedSlot) {
 	for _, s := range slots {
 		v := t.version(Want{Version: s.Version, Source: s.Source, Workspace: WorkspaceOf(s.Version)})
 		v.foreign = s.InUse
@@ -47,8 +47,8 @@
 // Sequence was sequence. It settles the orders whose outcome is unknown and
 // takes down the pins of an earlier companion. What changed since is left
 // alone: the state may be older.
-func (t *Table) Observe(now time.Time, sequence uint64, slots []Observed) []Action {
-	seen := make(map[string]Observed, len(slots))
+func (t *Table) Observe(now time.Time, sequence uint64, slots []ObservedSlot) []Action {
+	seen := make(map[string]ObservedSlot, len(slots))
 	for _, s := range slots {
 		seen[s.Version] = s
 	}
@@ -72,7 +72,7 @@
 }
 
 // settle brings one version in line with what the engine says of it.
-func (t *Table) settle(now time.Time, v *version, s Observed, present bool, actions []Action) []Action {
+func (t *Table) settle(now time.Time, v *version, s ObservedSlot, present bool, actions []Action) []Action {
 	if v.phase != PhaseResident && !v.unsure {
 		return actions
 	}
@@ -107,7 +107,7 @@
 
 // found takes in a slot that the table did not know to be occupied, such as
 // that of a load given up for failed which took effect after all.
-func (t *Table) found(now time.Time, s Observed, actions []Action) []Action {
+func (t *Table) found(now time.Time, s ObservedSlot, actions []Action) []Action {
 	v := t.versions[s.Version]
 	if v == nil {
 		v = newVersion(s.Version)
--- a/internal/coordination/loader/property_test.go
+++ b/internal/coordination/loader/property_test.go
@@ -102,7 +102,7 @@
 	}
 	request := m.pick("drop", from)
 	delete(from, request)
-	m.apply(m.table.Drop(m.now, request))
+	m.apply(m.table.Release(m.now, request))
 }
 
 func (m *model) permit(*rapid.T) {
@@ -158,9 +158,9 @@
 
 func (m *model) observe(*rapid.T) {
 	m.due = false
-	var slots []Observed
+	var slots []ObservedSlot
 	for _, version := range sortedKeys(m.engine) {
-		slots = append(slots, Observed{Version: version})
+		slots = append(slots, ObservedSlot{Version: version})
 	}
 	m.apply(m.table.Observe(m.now, m.table.Sequence(), slots))
 }
@@ -257,7 +257,7 @@
 		}
 		for _, request := range sortedKeys(m.pinned) {
 			delete(m.pinned, request)
-			m.apply(m.table.Drop(m.now, request))
+			m.apply(m.table.Release(m.now, request))
 		}
 		m.observe(nil)
 		for len(m.permits)+len(m.orders) > 0 {
--- a/internal/coordination/loader/table.go
+++ b/internal/coordination/loader/table.go
@@ -90,9 +90,9 @@
 // epochShift leaves a membership 2^32 orders.
 const epochShift = 32
 
-// Raise lifts the fencing numbers above those of the epoch, and above seen, the
+// RaiseFence lifts the fencing numbers above those of the epoch, and above seen, the
 // highest that the engine reports. They never sink.
-func (t *Table) Raise(epoch, seen uint64) {
+func (t *Table) RaiseFence(epoch, seen uint64) {
 	t.fence = max(t.fence, epoch<<epochShift, seen)
 }
 
@@ -127,9 +127,9 @@
 	return v != nil && v.phase == PhaseResident && !v.closing && !v.replaced
 }
 
-// Orders tells whether the order with the fencing number is the one in flight for
+// OrderInFlight tells whether the order with the fencing number is the one in flight for
 // the version.
-func (t *Table) Orders(name string, fence uint64) bool {
+func (t *Table) OrderInFlight(name string, fence uint64) bool {
 	v := t.versions[name]
 	return v != nil && v.fence == fence
 }
@@ -200,9 +200,9 @@
 	return true
 }
 
-// Drop ends the request's wait or its pin. Call it for a pin only when the
+// Release ends the request's wait or its pin. Call it for a pin only when the
 // engine can no longer be working on the request. A load under way goes on.
-func (t *Table) Drop(now time.Time, request string) []Action {
+func (t *Table) Release(now time.Time, request string) []Action {
 	v := t.holders[request]
 	if v == nil {
 		return nil
@@ -323,9 +323,9 @@
 	return 0
 }
 
-// Foreign returns the number of requests of an earlier companion that still pin
+// ForeignPins returns the number of requests of an earlier companion that still pin
 // versions.
-func (t *Table) Foreign() int {
+func (t *Table) ForeignPins() int {
 	n := 0
 	for _, v := range t.slotted {
 		n += v.foreign
@@ -333,8 +333,8 @@
 	return n
 }
 
-// Free returns the number of slots that are empty or could be evicted now.
-func (t *Table) Free() int {
+// FreeSlots returns the number of slots that are empty or could be evicted now.
+func (t *Table) FreeSlots() int {
 	n := t.settings.Slots - t.occupied()
 	for _, v := range t.slotted {
 		if v.evictable() {
--- a/internal/coordination/loader/table_test.go
+++ b/internal/coordination/loader/table_test.go
@@ -16,7 +16,7 @@
 		// Cause: residency and pins were looked at apart.
 		t := newTable(Settings{Slots: 1})
 		loadNow(t, start, "r1", "w/a@1")
-		t.Drop(start, "r1")
+		t.Release(start, "r1")
 		only[PermitAction](t.Want(start, want("r2", "w/b@1")))
 		unload := only[UnloadAction](t.Permitted(start, "w/b@1"))
 		Expect(t.Want(start, want("r3", "w/a@1"))).To(BeEmpty())
@@ -35,7 +35,7 @@
 		t := newTable(Settings{Slots: 1})
 		only[PermitAction](t.Want(start, want("r1", "w/a@1")))
 		load := only[LoadAction](t.Permitted(start, "w/a@1"))
-		t.Drop(start, "r1")
+		t.Release(start, "r1")
 		only[ReadyAction](t.Loaded(start.Add(time.Second), "w/a@1", load.Fence, OutcomeDone, ""))
 		Expect(t.Want(start.Add(2*time.Second), want("r2", "w/a@1"))).To(BeEmpty())
 		Expect(t.Pin("r2")).To(BeTrue())
@@ -85,14 +85,14 @@
 		// Cause: "absent" was taken for "no order left on its way".
 		t := newTable(Settings{Slots: 1, OrderLife: 30 * time.Second})
 		loadNow(t, start, "r1", "w/a@1")
-		t.Drop(start, "r1")
+		t.Release(start, "r1")
 		t.Want(start, want("r2", "w/b@1"))
 		unload := only[UnloadAction](t.Permitted(start, "w/b@1"))
 		only[ReadStateAction](t.Unloaded(start, "w/a@1", unload.Fence, OutcomeUnknown))
 		load := only[LoadAction](t.Observe(start, t.Sequence(), nil))
 		Expect(load.Version).To(Equal("w/b@1"))
 		t.Loaded(start, "w/b@1", load.Fence, OutcomeDone, "")
-		t.Drop(start, "r2")
+		t.Release(start, "r2")
 		Expect(only[FailAction](t.Want(start, want("r3", "w/a@1"))).RetryAfter).To(Equal(30 * time.Second))
 		only[PermitAction](t.Want(start.Add(30*time.Second), want("r4", "w/a@1")))
 	})
@@ -103,10 +103,10 @@
 		// the engine still uses for a request of the old one.
 		// Cause: the table began without pins.
 		t := newTable(Settings{Slots: 1})
-		t.Adopt(start, []Observed{{Version: "w/a@1", InUse: 1}})
+		t.Adopt(start, []ObservedSlot{{Version: "w/a@1", InUse: 1}})
 		Expect(t.Want(start, want("r1", "w/b@1"))).To(BeEmpty())
-		Expect(t.Observe(start, t.Sequence(), []Observed{{Version: "w/a@1", InUse: 1}})).To(BeEmpty())
-		only[PermitAction](t.Observe(start, t.Sequence(), []Observed{{Version: "w/a@1"}}))
+		Expect(t.Observe(start, t.Sequence(), []ObservedSlot{{Version: "w/a@1", InUse: 1}})).To(BeEmpty())
+		only[PermitAction](t.Observe(start, t.Sequence(), []ObservedSlot{{Version: "w/a@1"}}))
 		only[UnloadAction](t.Permitted(start, "w/b@1"))
 	})
 
@@ -164,8 +164,8 @@
 		t := newTable(Settings{Slots: 2, MaxPermits: 1, Prefetch: true})
 		only[PermitAction](t.Want(start, want("r1", "w/a@1")))
 		t.Want(start, want("r2", "w/a@1"))
-		Expect(t.Drop(start, "r1")).To(BeEmpty(), "r2 waits")
-		Expect(only[WithdrawAction](t.Drop(start, "r2")).Version).To(Equal("w/a@1"))
+		Expect(t.Release(start, "r1")).To(BeEmpty(), "r2 waits")
+		Expect(only[WithdrawAction](t.Release(start, "r2")).Version).To(Equal("w/a@1"))
 		Expect(t.Want(start, want("r3", "w/b@1"))).To(BeEmpty())
 		Expect(only[PermitAction](t.Withdrawn(start, "w/a@1")).Version).To(Equal("w/b@1"))
 
@@ -173,7 +173,7 @@
 		t = newTable(Settings{Slots: 1, Prefetch: true})
 		for i := range 4 {
 			only[PermitAction](t.Want(start, want(fmt.Sprint("r", i), "w/a@1")))
-			t.Drop(start, fmt.Sprint("r", i))
+			t.Release(start, fmt.Sprint("r", i))
 			t.Withdrawn(start, "w/a@1")
 		}
 		Expect(only[PermitAction](t.Tick(start)).Waiters).To(BeZero())
@@ -220,10 +220,10 @@
 		for i := range 8 {
 			request := fmt.Sprint("b", i)
 			t.Want(start, want(request, "w/b@1"))
-			t.Drop(start, request)
+			t.Release(start, request)
 		}
 		Expect(t.Tick(start)).To(BeEmpty(), "a is pinned")
-		t.Drop(start, "r1")
+		t.Release(start, "r1")
 		Expect(only[PermitAction](t.Tick(start)).Waiters).To(BeZero())
 		only[UnloadAction](t.Permitted(start, "w/b@1"))
 	})
--- a/internal/coordination/pacer/pacer.go
+++ b/internal/coordination/pacer/pacer.go
@@ -10,7 +10,7 @@
 const (
 	// DefaultMost is the widest that an engine loads: one adapter on its way while
 	// the slot of the next is made free.
-	DefaultMost = 4.0
+	DefaultMaxLoads = 4.0
 	// DefaultLoad is the time of a load from a store that nobody else uses.
 	DefaultLoad = 250 * time.Millisecond
 )
@@ -42,7 +42,7 @@
 // documented default.
 type Settings struct {
 	// Most is the number of loads under way at most.
-	Most float64
+	MaxLoads float64
 	// Load is the assumed time of a load alone.
 	Load time.Duration
 	// Random spreads the pauses of engines that began together. Required.
@@ -69,8 +69,8 @@
 	if s.Random == nil {
 		panic("pacer: NewPacer needs a random source")
 	}
-	s.Most, s.Load = cmp.Or(s.Most, DefaultMost), cmp.Or(s.Load, DefaultLoad)
-	return &Pacer{settings: s, width: min(initial, s.Most), alone: s.Load}
+	s.MaxLoads, s.Load = cmp.Or(s.MaxLoads, DefaultMaxLoads), cmp.Or(s.Load, DefaultLoad)
+	return &Pacer{settings: s, width: min(initial, s.MaxLoads), alone: s.Load}
 }
 
 // Loaded takes in that a load has ended well which began at a time.
@@ -81,7 +81,7 @@
 	case ratio < memoryShare:
 		return
 	case ratio <= quick:
-		p.width = min(p.settings.Most, p.width+widening)
+		p.width = min(p.settings.MaxLoads, p.width+widening)
 	case !began.After(p.narrowed):
 	case p.width <= least:
 		p.alone += time.Duration(float64(took-p.alone) * learning)
@@ -94,8 +94,8 @@
 	}
 }
 
-// Width returns the number of loads that may be under way now.
-func (p *Pacer) Width(now time.Time) int {
+// Limit returns the number of loads that may be under way now.
+func (p *Pacer) Limit(now time.Time) int {
 	if now.Before(p.resume) {
 		return 0
 	}
--- a/internal/coordination/pacer/pacer_test.go
+++ b/internal/coordination/pacer/pacer_test.go
@@ -93,7 +93,7 @@
 			table: loader.NewTable(loader.Settings{
 				Slots: p.slots, HalfLife: 8 * time.Second, Patience: 1500 * time.Millisecond, AssumedLoadTime: pacer.DefaultLoad, MaxPermits: p.most,
 			}, 1, rand.New(rand.NewPCG(1, uint64(i)))),
-			pacer: pacer.NewPacer(pacer.Settings{Most: float64(p.most), Random: rand.New(rand.NewPCG(2, uint64(i)))}),
+			pacer: pacer.NewPacer(pacer.Settings{MaxLoads: float64(p.most), Random: rand.New(rand.NewPCG(2, uint64(i)))}),
 			began: map[string]time.Time{}, fence: map[string]uint64{},
 		})
 	}
@@ -129,7 +129,7 @@
 	}
 	for _, e := range all {
 		if paced {
-			e.table.SetPermits(e.pacer.Width(start))
+			e.table.SetPermits(e.pacer.Limit(start))
 		}
 	}
 	for now := start; now.Sub(start) < length; now = now.Add(tick) {
@@ -154,14 +154,14 @@
 		}
 		for _, e := range all {
 			if paced {
-				e.table.SetPermits(e.pacer.Width(now))
+				e.table.SetPermits(e.pacer.Limit(now))
 			}
 			apply(now, e, e.table.Tick(now))
 		}
 		streams = slices.DeleteFunc(streams, func(r request) bool {
 			over := now.Sub(r.began) >= streamTime
 			if over {
-				apply(now, r.engine, r.engine.table.Drop(now, r.id))
+				apply(now, r.engine, r.engine.table.Release(now, r.id))
 			}
 			return over
 		})
@@ -176,7 +176,7 @@
 				r.began = now
 				streams = append(streams, r)
 			} else {
-				apply(now, r.engine, r.engine.table.Drop(now, r.id))
+				apply(now, r.engine, r.engine.table.Release(now, r.id))
 			}
 			if r.arrived.Before(start) {
 				continue
@@ -213,22 +213,22 @@
 			now = now.Add(took)
 			p.Loaded(now, began)
 		}
-		Expect(p.Width(now)).To(Equal(1))
+		Expect(p.Limit(now)).To(Equal(1))
 		load(300 * time.Millisecond)
 		load(300 * time.Millisecond)
-		Expect(p.Width(now)).To(Equal(2))
+		Expect(p.Limit(now)).To(Equal(2))
 		load(time.Second)
-		Expect(p.Width(now)).To(BeZero())
+		Expect(p.Limit(now)).To(BeZero())
 		Expect(p.Pause(now)).To(BeNumerically("~", 300*time.Millisecond, 300*time.Millisecond))
 		now = now.Add(p.Pause(now))
-		Expect(p.Width(now)).To(Equal(1))
+		Expect(p.Limit(now)).To(Equal(1))
 		for range 5 {
 			load(300 * time.Millisecond)
 		}
-		Expect(p.Width(now)).To(Equal(3))
+		Expect(p.Limit(now)).To(Equal(3))
 		load(300 * time.Millisecond)
 		load(300 * time.Millisecond)
-		Expect(p.Width(now)).To(Equal(4))
+		Expect(p.Limit(now)).To(Equal(4))
 	})
 
 	It("learns nothing from loads out of an engine's own memory", func() {
@@ -236,7 +236,7 @@
 		for range 10 {
 			p.Loaded(start.Add(30*time.Millisecond), start)
 		}
-		Expect(p.Width(start)).To(Equal(1))
+		Expect(p.Limit(start)).To(Equal(1))
 	})
 
 	It("takes a store for slow that is slow for one load alone", func() {
@@ -248,7 +248,7 @@
 			now = now.Add(time.Second)
 			p.Loaded(now, began)
 		}
-		Expect(p.Width(now.Add(p.Pause(now)))).To(Equal(4))
+		Expect(p.Limit(now.Add(p.Pause(now)))).To(Equal(4))
 	})
 
 	// The pattern: 46 engines before a store that serves 24 loads at once, 180 requests
--- a/internal/coordination/permitter/departures.go
+++ b/internal/coordination/permitter/departures.go
@@ -19,9 +19,9 @@
 	d.left = make(map[string]time.Time)
 }
 
-// Note takes in that a companion's membership was seen to end at now. It is
+// Record takes in that a companion's membership was seen to end at now. It is
 // never seen earlier than it ended.
-func (d *Departures) Note(now time.Time, companion string) {
+func (d *Departures) Record(now time.Time, companion string) {
 	for name, at := range d.left {
 		if now.Sub(at) >= d.Expiry {
 			delete(d.left, name)
--- a/internal/coordination/permitter/permit.go
+++ b/internal/coordination/permitter/permit.go
@@ -43,16 +43,16 @@
 // Term returns the leader's term in which a permit was granted.
 func Term(number uint64) uint64 { return number >> termShift }
 
-// StaticShare returns the loads per second that one companion allows itself
+// FallbackRate returns the loads per second that one companion allows itself
 // while it can't reach a control host: an equal part of half the store's rate.
 // The other half is left to the companions that still get permits.
-func StaticShare(rate float64, companions int) float64 {
+func FallbackRate(rate float64, companions int) float64 {
 	const fallbackShare = 0.5
 	return rate * fallbackShare / float64(max(companions, 1))
 }
 
-// Ask carries a Request over the network.
-type Ask struct {
+// PermitRequest carries a Request over the network.
+type PermitRequest struct {
 	Request
 	// TimeoutMillis is the time that the sender waits.
 	TimeoutMillis int64
--- a/internal/coordination/permitter/table_test.go
+++ b/internal/coordination/permitter/table_test.go
@@ -167,18 +167,18 @@
 	It("counts as holders the members and those that left within the life of a permit", func() {
 		d := permitter.Departures{Expiry: settings.Expiry}
 		d.Reset(start)
-		d.Note(start.Add(time.Second), "early")
+		d.Record(start.Add(time.Second), "early")
 		_, ok := d.Holders(start.Add(29*time.Second), nil)
 		Expect(ok).To(BeFalse())
-		d.Note(start.Add(20*time.Second), "late")
+		d.Record(start.Add(20*time.Second), "late")
 		holders, ok := d.Holders(start.Add(40*time.Second), []string{"c"})
 		Expect(ok).To(BeTrue())
 		Expect(holders).To(Equal([]string{"c", "late"}))
 	})
 
 	It("divides a rate that can't be had over the companions without contact", func() {
-		Expect(permitter.StaticShare(4, 20)).To(BeNumerically("~", 0.1))
-		Expect(permitter.StaticShare(4, 0)).To(BeNumerically("~", 2))
+		Expect(permitter.FallbackRate(4, 20)).To(BeNumerically("~", 0.1))
+		Expect(permitter.FallbackRate(4, 0)).To(BeNumerically("~", 2))
 	})
 })
 
--- a/internal/coordination/placer/backend.go
+++ b/internal/coordination/placer/backend.go
@@ -68,7 +68,7 @@
 	if b.member.Spec.Slots <= 0 {
 		return true
 	}
-	return b.throttle.Open(now, b.own) && (!c.Late || b.throttle.Spare())
+	return b.throttle.Allows(now, b.own) && (!c.Late || b.throttle.HasSpareCapacity())
 }
 
 // report takes a companion's state in, and reports whether the whole is known now.
@@ -229,23 +229,23 @@
 }
 
 // note takes an ending in.
-func (b *backend) note(now time.Time, e Ending, took time.Duration, s *Settings) {
+func (b *backend) note(now time.Time, e Outcome, took time.Duration, s *Settings) {
 	const weight = 0.15
 	bad := 0.0
 	switch e {
-	case EndingWell:
+	case OutcomeSuccess:
 		b.suspicion, b.suspectUntil = 0, time.Time{}
-	case EndingUnreached:
+	case OutcomeUnreachable:
 		b.suspicion = min(max(2*b.suspicion, s.Suspicion), s.SuspicionMax)
 		b.suspectUntil = now.Add(b.suspicion)
 		return
-	case EndingFailed, EndingBroken:
+	case OutcomeServerError, OutcomeBroken:
 		bad = 1
-	case EndingRefused, EndingGivenUp:
+	case OutcomeNotRun, OutcomeCanceled:
 		return
 	}
 	b.failures += (bad - b.failures) * weight
-	if e != EndingWell {
+	if e != OutcomeSuccess {
 		return
 	}
 	if b.callTime == 0 {
--- a/internal/coordination/placer/call.go
+++ b/internal/coordination/placer/call.go
@@ -47,21 +47,21 @@
 	first   bool
 }
 
-// Ending tells how a call went.
-type Ending int
+// Outcome tells how a call went.
+type Outcome int
 
 // The endings.
 const (
-	// EndingWell means that the backend server answered as it should.
-	EndingWell Ending = iota
-	// EndingFailed means that it answered with a failure of its own.
-	EndingFailed
-	// EndingRefused means that it did not run the call.
-	EndingRefused
-	// EndingUnreached means that it could not be reached.
-	EndingUnreached
-	// EndingBroken means that its answer broke off or was no answer.
-	EndingBroken
-	// EndingGivenUp means that the call ended for a reason of the caller's.
-	EndingGivenUp
+	// OutcomeSuccess means that the backend server answered as it should.
+	OutcomeSuccess Outcome = iota
+	// OutcomeServerError means that it answered with a failure of its own.
+	OutcomeServerError
+	// OutcomeNotRun means that it did not run the call.
+	OutcomeNotRun
+	// OutcomeUnreachable means that it could not be reached.
+	OutcomeUnreachable
+	// OutcomeBroken means that its answer broke off or was no answer.
+	OutcomeBroken
+	// OutcomeCanceled means that the call ended for a reason of the caller's.
+	OutcomeCanceled
 )
--- a/internal/coordination/placer/placer.go
+++ b/internal/coordination/placer/placer.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Known reports whether the state of an engine in its present life is known.
-func (p *Placer) Known(service, name string) bool {
+// HasReport reports whether the state of an engine in its present life is known.
+func (p *Placer) HasReport(service, name string) bool {
 	o := p.pool(service)
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -169,9 +169,9 @@
 	return nil
 }
 
-// Take counts a call at a backend server that the caller names. It fails with
+// ChooseNamed counts a call at a backend server that the caller names. It fails with
 // ErrNoBackend where that one does not serve.
-func (p *Placer) Take(now time.Time, c *Call, name string, choice *Choice) error {
+func (p *Placer) ChooseNamed(now time.Time, c *Call, name string, choice *Choice) error {
 	o := p.pool(c.Service)
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -247,7 +247,7 @@
 }
 
 // Finish ends a call at the backend server of a choice.
-func (p *Placer) Finish(now time.Time, choice *Choice, e Ending) {
+func (p *Placer) Finish(now time.Time, choice *Choice, e Outcome) {
 	o := choice.pool
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -255,13 +255,13 @@
 	b.own--
 	b.placedCalls = max(0, b.placedCalls-1)
 	b.note(now, e, now.Sub(choice.began), &p.settings)
-	if e == EndingWell && b.loadAt.IsZero() {
+	if e == OutcomeSuccess && b.loadAt.IsZero() {
 		// One that tells nothing of its load has room until it turns calls away.
-		b.throttle.Answered(now, choice.began, 0, b.callTime, o.random)
+		b.throttle.RecordAnswer(now, choice.began, 0, b.callTime, o.random)
 	}
 }
 
-// TurnedAway takes in that a backend server of a plain service was full.
+// RecordRejection takes in that a backend server of a plain service was full.
 func (p *Placer) TurnedAway(now time.Time, choice *Choice) {
 	choice.pool.mu.Lock()
 	defer choice.pool.mu.Unlock()
@@ -269,8 +269,8 @@
 	b.throttle.TurnedAway(now, choice.began, min(b.callTime, p.settings.CallTime), choice.pool.random)
 }
 
-// First notes that the first byte of the answer came: the prompt has been read.
-func (p *Placer) First(_ time.Time, choice *Choice) {
+// RecordFirstByte notes that the first byte of the answer came: the prompt has been read.
+func (p *Placer) RecordFirstByte(_ time.Time, choice *Choice) {
 	o := choice.pool
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -282,12 +282,12 @@
 	choice.backend.placedWaiting = max(0, choice.backend.placedWaiting-choice.fresh)
 }
 
-// Loaded takes a backend server's own word on its load in: running and waiting
+// ReportLoad takes a backend server's own word on its load in: running and waiting
 // calls.
-func (p *Placer) Loaded(now time.Time, choice *Choice, calls int) {
+func (p *Placer) ReportLoad(now time.Time, choice *Choice, calls int) {
 	choice.pool.mu.Lock()
 	defer choice.pool.mu.Unlock()
 	b := choice.backend
 	b.load, b.loadAt = calls, now
-	b.throttle.Answered(now, choice.began, calls, min(b.callTime, p.settings.CallTime), choice.pool.random)
+	b.throttle.RecordAnswer(now, choice.began, calls, min(b.callTime, p.settings.CallTime), choice.pool.random)
 }
--- a/internal/coordination/placer/placer_test.go
+++ b/internal/coordination/placer/placer_test.go
@@ -180,10 +180,10 @@
 		d := newDeployment(2)
 		part := placer.EngineState{Name: "e00", Incarnation: "i-0", Life: 1, Sequence: 2, BacklogMillis: 9000}
 		Expect(d.placer.Report(start, engines, part)).To(BeFalse())
-		Expect(d.placer.Known(engines, "e00")).To(BeFalse())
+		Expect(d.placer.HasReport(engines, "e00")).To(BeFalse())
 		whole := placer.EngineState{Name: "e00", Incarnation: "i-0", Life: 1, Sequence: 3, Whole: true, Models: []string{model}, MaxAdapters: 8}
 		Expect(d.placer.Report(start, engines, whole)).To(BeTrue())
-		Expect(d.placer.Known(engines, "e00")).To(BeTrue())
+		Expect(d.placer.HasReport(engines, "e00")).To(BeTrue())
 		part.Sequence = 5
 		Expect(d.placer.Report(start, engines, part)).To(BeFalse(), "one in between was missed")
 		d.members[0].Spec.Incarnation = "i-new"
@@ -210,7 +210,7 @@
 	It("passes over who could not be reached, for a while, and takes it where it is the only one", func() {
 		d := newDeployment(2)
 		choice := d.choose(start, adapterCall("a1", 100))
-		d.placer.Finish(start, &choice, placer.EndingUnreached)
+		d.placer.Finish(start, &choice, placer.OutcomeUnreachable)
 		for range 10 {
 			Expect(d.choose(start, adapterCall("a1", 100)).Name).NotTo(Equal(choice.Name))
 		}
@@ -303,7 +303,7 @@
 	It("loads less than half of what a choice by load alone does", func() {
 		placed := run(func(d *deployment, now time.Time, adapter string) string {
 			choice := d.choose(now, adapterCall(adapter, 1000))
-			d.placer.Finish(now, &choice, placer.EndingWell)
+			d.placer.Finish(now, &choice, placer.OutcomeSuccess)
 			return choice.Name
 		})
 		turn := 0
@@ -343,8 +343,8 @@
 	It("believes what a backend server says of its load, for a moment", func() {
 		d := newService()
 		first := d.choose(start, call)
-		d.placer.Loaded(start, &first, 30)
-		d.placer.Finish(start, &first, placer.EndingWell)
+		d.placer.ReportLoad(start, &first, 30)
+		d.placer.Finish(start, &first, placer.OutcomeSuccess)
 		for range 6 {
 			Expect(d.choose(start, call).Name).NotTo(Equal(first.Name))
 		}
@@ -356,10 +356,10 @@
 		crowd := func(calls int) {
 			for i := range d.members {
 				var choice placer.Choice
-				Expect(d.placer.Take(now, call, d.members[i].Name, &choice)).To(Succeed())
+				Expect(d.placer.ChooseNamed(now, call, d.members[i].Name, &choice)).To(Succeed())
 				now = now.Add(30 * time.Millisecond)
-				d.placer.Loaded(now, &choice, calls)
-				d.placer.Finish(now, &choice, placer.EndingWell)
+				d.placer.ReportLoad(now, &choice, calls)
+				d.placer.Finish(now, &choice, placer.OutcomeSuccess)
 			}
 		}
 		for range 10 {
@@ -390,9 +390,9 @@
 			now = now.Add(10 * time.Millisecond)
 			choice := d.choose(now, call)
 			count[choice.Name]++
-			ending := placer.EndingWell
+			ending := placer.OutcomeSuccess
 			if choice.Name == "e00" && random.Float64() < 0.4 {
-				ending = placer.EndingFailed
+				ending = placer.OutcomeServerError
 			}
 			d.placer.Finish(now.Add(20*time.Millisecond), &choice, ending)
 		}
@@ -419,8 +419,8 @@
 			if choice.Name == "e01" || choice.Name == "e03" {
 				quiet++
 			}
-			d.placer.First(start, &choice)
-			d.placer.Finish(start, &choice, placer.EndingWell)
+			d.placer.RecordFirstByte(start, &choice)
+			d.placer.Finish(start, &choice, placer.OutcomeSuccess)
 		}
 		Expect(quiet).To(Equal(10))
 	})
--- a/internal/coordination/placer/telling.go
+++ b/internal/coordination/placer/telling.go
@@ -16,9 +16,9 @@
 	farPerEntry  = 5 * time.Millisecond
 )
 
-// TellingInterval returns the time between two states of an engine that a number of
+// ReportInterval returns the time between two states of an engine that a number of
 // entries is told, those of its own failure domain or the others; least is for few.
-func TellingInterval(least time.Duration, entries int, near bool) time.Duration {
+func ReportInterval(least time.Duration, entries int, near bool) time.Duration {
 	if near {
 		return max(least, time.Duration(entries)*nearPerEntry)
 	}
@@ -30,11 +30,11 @@
 // slot, and less than the wait for a slot, or for two lanes.
 const misledTime = 350 * time.Millisecond
 
-// Misled returns how long a call waits for its adapter and for the prompts before it, by
+// CheckExpectedWait returns how long a call waits for its adapter and for the prompts before it, by
 // an engine's present state, and whether that is much longer than its entry believed.
 // Entries of other failure domains know that state late; a call that finds all slots in
 // use waits most of a second, and its caller may leave meanwhile.
-func Misled(s *EngineState, adapter string, version uint64, believed time.Duration) (wait time.Duration, misled bool) {
+func CheckExpectedWait(s *EngineState, adapter string, version uint64, believed time.Duration) (wait time.Duration, misled bool) {
 	b := backend{
 		state: *s, reportedAt: time.Unix(1, 0),
 		adapters: make(map[string]AdapterState, len(s.Adapters)), recent: make(map[string]struct{}, len(s.Recent)),
@@ -48,9 +48,9 @@
 	return wait, wait >= believed+misledTime
 }
 
-// Corrected takes an engine's own word in that a call which was placed there would wait
+// CorrectWait takes an engine's own word in that a call which was placed there would wait
 // for a time: others had better go elsewhere until its next state.
-func (p *Placer) Corrected(now time.Time, choice *Choice, wait time.Duration) {
+func (p *Placer) CorrectWait(now time.Time, choice *Choice, wait time.Duration) {
 	choice.pool.mu.Lock()
 	defer choice.pool.mu.Unlock()
 	b := choice.backend
--- a/internal/coordination/router/bench_test.go
+++ b/internal/coordination/router/bench_test.go
@@ -46,7 +46,7 @@
 			if i > 0 && i%len(decisions) == 0 {
 				b.StopTimer()
 				for k := range decisions {
-					r.Finish(now, &decisions[k], router.Ending{Served: true, Ran: time.Second})
+					r.Finish(now, &decisions[k], router.CallResult{Served: true, Ran: time.Second})
 				}
 				b.StartTimer()
 			}
@@ -109,7 +109,7 @@
 	if err := r.Choose(now, c, d); err != nil {
 		b.Fatal(err)
 	}
-	r.Finish(now, d, router.Ending{Served: true, Ran: time.Second})
+	r.Finish(now, d, router.CallResult{Served: true, Ran: time.Second})
 }
 
 // BenchmarkMembers measures a change of membership, after which each version
--- a/internal/coordination/router/choose.go
+++ b/internal/coordination/router/choose.go
@@ -9,7 +9,7 @@
 
 // Choose picks the backend server for the call and counts the call as in flight
 // there until Finish. It writes into d and allocates nothing, unless the
-// version is new to the router. Errors are ErrNoBackend and ErrNoneWell; d then
+// version is new to the router. Errors are ErrNoBackend and ErrNoneAvailable; d then
 // holds the candidates passed, and needs no Finish.
 func (r *Router) Choose(now time.Time, c *Call, d *Decision) error {
 	d.reset()
@@ -36,7 +36,7 @@
 	ch.spread(rate)
 	ch.gather()
 	if ch.best < 0 {
-		return ErrNoneWell
+		return ErrNoneAvailable
 	}
 	ch.take()
 	return nil
--- a/internal/coordination/router/decision.go
+++ b/internal/coordination/router/decision.go
@@ -10,9 +10,9 @@
 const (
 	// ErrNoBackend means that no backend server serves the pool.
 	ErrNoBackend = errors.ConstError("no backend server serves the pool")
-	// ErrNoneWell means that the pool has backend servers, and that each of
+	// ErrNoneAvailable means that the pool has backend servers, and that each of
 	// them is suspect or was tried.
-	ErrNoneWell = errors.ConstError("no backend server is left to try")
+	ErrNoneAvailable = errors.ConstError("no backend server is left to try")
 )
 
 // maxCandidates bounds the candidates of one choice.
--- a/internal/coordination/router/finish.go
+++ b/internal/coordination/router/finish.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ending is what a call's end teaches.
-type Ending struct {
+// CallResult is what a call's end teaches.
+type CallResult struct {
 	// Served means that the version answered, so that it is resident.
 	Served bool
 	// LoadFailed means that the version could not be loaded there.
@@ -16,8 +16,8 @@
 	Ran time.Duration
 }
 
-// Began takes in that the version answers the call: it is resident.
-func (r *Router) Began(now time.Time, d *Decision) {
+// RecordAnswerStart takes in that the version answers the call: it is resident.
+func (r *Router) RecordAnswerStart(now time.Time, d *Decision) {
 	if d.chosen == nil || d.known == nil {
 		return
 	}
@@ -40,7 +40,7 @@
 
 // Finish ends the call that Choose counted. A decision without a choice is left
 // as it is.
-func (r *Router) Finish(now time.Time, d *Decision, e Ending) {
+func (r *Router) Finish(now time.Time, d *Decision, e CallResult) {
 	b := d.chosen
 	if b == nil {
 		return
@@ -58,7 +58,7 @@
 	d.chosen, d.known, d.loading = nil, nil, false
 }
 
-func (d *Decision) finishVersion(now time.Time, e Ending) {
+func (d *Decision) finishVersion(now time.Time, e CallResult) {
 	d.shard.mu.Lock()
 	defer d.shard.mu.Unlock()
 	if e.Served {
--- a/internal/coordination/router/router_test.go
+++ b/internal/coordination/router/router_test.go
@@ -30,7 +30,7 @@
 }
 
 func served(r *router.Router, now time.Time, d *router.Decision) {
-	r.Finish(now, d, router.Ending{Served: true, Ran: time.Second})
+	r.Finish(now, d, router.CallResult{Served: true, Ran: time.Second})
 }
 
 var _ = Describe("Router", func() {
@@ -122,7 +122,7 @@
 		Expect(pick(r, later, hot).Backend).NotTo(Equal(d.Backend))
 
 		c := router.Call{Pool: enginePool, Version: "town/x@1", Avoid: []string{"engine-000", "engine-001", "engine-002"}}
-		Expect(r.Choose(later, &c, &router.Decision{})).To(MatchError(router.ErrNoneWell))
+		Expect(r.Choose(later, &c, &router.Decision{})).To(MatchError(router.ErrNoneAvailable))
 		c.Pool.Name = "another"
 		Expect(r.Choose(later, &c, &router.Decision{})).To(MatchError(router.ErrNoBackend))
 	})
@@ -158,7 +158,7 @@
 					running = running[1:]
 				}
 				d := pick(r, now, hot)
-				r.Began(now, d)
+				r.RecordAnswerStart(now, d)
 				homes[d.Backend], spread = true, d.Spread
 				running = append(running, d)
 			}
@@ -203,7 +203,7 @@
 		r.CachedPrefix(other, c.Version, 99, true)
 		d := pick(r, start, c)
 		Expect(d.Backend).To(Equal(other), "a long prompt is worth more than packing")
-		r.Finish(start, d, router.Ending{})
+		r.Finish(start, d, router.CallResult{})
 		r.CacheGap(other)
 		Expect(pick(r, start, c).Backend).To(Equal(packed.Backend))
 	})
@@ -215,7 +215,7 @@
 		c := router.Call{Version: "town/a@1", Prefix: 99, PromptTokens: 1000}
 		score := func(cached int64) float64 {
 			d := pick(r, start, c)
-			defer r.Finish(start, d, router.Ending{Served: true, CachedTokens: cached})
+			defer r.Finish(start, d, router.CallResult{Served: true, CachedTokens: cached})
 			for _, k := range d.Candidates() {
 				if k.Taken {
 					return k.Score
@@ -292,7 +292,7 @@
 				r.Resident(now, name, version, rapid.Bool().Draw(t, "resident"))
 			case 3:
 				if len(open) > 0 {
-					r.Finish(now, open[0], router.Ending{Served: rapid.Bool().Draw(t, "served"), LoadFailed: rapid.Bool().Draw(t, "failed")})
+					r.Finish(now, open[0], router.CallResult{Served: rapid.Bool().Draw(t, "served"), LoadFailed: rapid.Bool().Draw(t, "failed")})
 					open = open[1:]
 				}
 			default:
@@ -305,7 +305,7 @@
 			}
 		}
 		for _, d := range open {
-			r.Finish(now, d, router.Ending{})
+			r.Finish(now, d, router.CallResult{})
 		}
 		if n := r.InFlight(); n != 0 {
 			t.Fatalf("%d in flight at the end", n)
--- a/internal/coordination/suspecter/suspecter_test.go
+++ b/internal/coordination/suspecter/suspecter_test.go
@@ -108,13 +108,13 @@
 		c.apply(ended(1, "x"))
 		table.Ended(start, ended(1, "x"))
 		id := identifier.Identify(request("x"))
-		Expect(table.Answered(c.tracker.View(), id)).To(BeTrue())
+		Expect(table.RecordAnswer(c.tracker.View(), id)).To(BeTrue())
 		c.apply(storer.ClearSuspects{Names: []string{id.String()}})
-		Expect(table.Answered(c.tracker.View(), id)).To(BeFalse(), "told once")
+		Expect(table.RecordAnswer(c.tracker.View(), id)).To(BeFalse(), "told once")
 		c.apply(ended(2, "x"))
 		c.apply(ended(3, "x"))
 		Expect(quarantined("x")).To(BeFalse())
-		Expect(table.Answered(c.tracker.View(), identifier.Identify(request("other")))).To(BeFalse())
+		Expect(table.RecordAnswer(c.tracker.View(), identifier.Identify(request("other")))).To(BeFalse())
 	})
 
 	It("that an operator lets go is forgotten by entries that had seen it too", func() {
@@ -122,9 +122,9 @@
 			table.Ended(start, ended(life, "x"))
 			c.apply(ended(life, "x"))
 		}
-		table.Follow(c.tracker.View())
+		table.Sync(c.tracker.View())
 		c.apply(storer.ClearSuspects{Names: []string{identifier.Identify(request("x")).String()}})
-		table.Follow(c.tracker.View())
+		table.Sync(c.tracker.View())
 		Expect(quarantined("x")).To(BeFalse())
 		Expect(table.SuspectAt(c.tracker.View(), request("x").Place())).To(BeFalse())
 	})
@@ -227,17 +227,17 @@
 				table.Ended(start, e)
 			}
 			c.apply(e)
-			table.Follow(c.tracker.View())
+			table.Sync(c.tracker.View())
 			if since++; since < storer.SuspectLives {
 				if _, is := table.Quarantine(c.tracker.View(), start, id); is {
 					t.Fatalf("kept away after %d ends since its last answer", since)
 				}
 			}
 			if since == storer.SuspectLives-1 || rapid.Bool().Draw(t, "answered") {
-				if table.Answered(c.tracker.View(), id) {
+				if table.RecordAnswer(c.tracker.View(), id) {
 					c.apply(storer.ClearSuspects{Names: []string{id.String()}})
 				}
-				table.Follow(c.tracker.View())
+				table.Sync(c.tracker.View())
 				since = 0
 			}
 		}
--- a/internal/coordination/suspecter/table.go
+++ b/internal/coordination/suspecter/table.go
@@ -21,9 +21,9 @@
 	return xxhash.Sum64String(name + "/" + incarnation)
 }
 
-// Known is what the replicated state knows, as far as this process has been told; a
+// SuspectList is what the replicated state knows, as far as this process has been told; a
 // *blamer.List.
-type Known interface {
+type SuspectList interface {
 	Suspect(id identifier.Identity) (blamer.Suspect, bool)
 	SuspectAt(place uint64) bool
 	Suspects() int
@@ -99,9 +99,9 @@
 	}
 }
 
-// Follow takes what is known anew. What the replicated state has forgotten, cleared by an
+// Sync takes what is known anew. What the replicated state has forgotten, cleared by an
 // answer or lifted by an operator, is forgotten here too.
-func (t *Table) Follow(k Known) {
+func (t *Table) Sync(k SuspectList) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, o := range t.own {
@@ -116,12 +116,12 @@
 	}
 }
 
-// Any reports whether there are suspects at all.
-func (t *Table) Any(k Known) bool { return k.Suspects() > 0 || t.seen.Load() > 0 }
+// HasSuspects reports whether there are suspects at all.
+func (t *Table) HasSuspects(k SuspectList) bool { return k.Suspects() > 0 || t.seen.Load() > 0 }
 
 // SuspectAt reports whether a request with the place may be a suspect. It is quick, and the
 // identity need not be found where it is false.
-func (t *Table) SuspectAt(k Known, place uint64) bool {
+func (t *Table) SuspectAt(k SuspectList, place uint64) bool {
 	if k.SuspectAt(place) {
 		return true
 	}
@@ -132,7 +132,7 @@
 
 // Quarantine reports whether no backend server is to get a request, and the time that the
 // quarantine takes.
-func (t *Table) Quarantine(k Known, now time.Time, id identifier.Identity) (time.Duration, bool) {
+func (t *Table) Quarantine(k SuspectList, now time.Time, id identifier.Identity) (time.Duration, bool) {
 	suspect, _ := k.Suspect(id)
 	spec := suspect.Spec
 	t.mu.Lock()
@@ -145,9 +145,9 @@
 	return t.settings.QuarantineTime(spec.Times), spec.Quarantined
 }
 
-// Answered notes that a run has answered a request, and reports whether that is news to the
+// RecordAnswer notes that a run has answered a request, and reports whether that is news to the
 // replicated state.
-func (t *Table) Answered(k Known, id identifier.Identity) bool {
+func (t *Table) RecordAnswer(k SuspectList, id identifier.Identity) bool {
 	_, known := k.Suspect(id)
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/coordination/suspecter/table_benchmark_test.go
+++ b/internal/coordination/suspecter/table_benchmark_test.go
@@ -23,7 +23,7 @@
 	id := identifier.Identify(request("n7"))
 	b.Run("None", func(b *testing.B) {
 		for b.Loop() {
-			if table.Any(none.tracker.View()) {
+			if table.HasSuspects(none.tracker.View()) {
 				b.Fatal("a suspect")
 			}
 		}
--- a/internal/coordination/throttler/throttler.go
+++ b/internal/coordination/throttler/throttler.go
@@ -47,19 +47,19 @@
 	return &Throttler{places: places, width: max(1, float64(places)), spare: true}
 }
 
-// Open reports whether one more call may begin beside those in progress.
-func (t *Throttler) Open(now time.Time, inProgress int) bool {
+// Allows reports whether one more call may begin beside those in progress.
+func (t *Throttler) Allows(now time.Time, inProgress int) bool {
 	return !now.Before(t.resume) && inProgress < max(1, int(t.width))
 }
 
-// Spare reports whether the server had places free when it was last heard of. Calls that
+// HasSpareCapacity reports whether the server had places free when it was last heard of. Calls that
 // can't be in time any more are for such servers only: elsewhere each would make one late
 // that other entries have.
-func (t *Throttler) Spare() bool { return t.spare }
+func (t *Throttler) HasSpareCapacity() bool { return t.spare }
 
-// Answered takes in an answer to a call that began at a time: the server's calls in
+// RecordAnswer takes in an answer to a call that began at a time: the server's calls in
 // progress. Took is the time of a call when the server is not crowded.
-func (t *Throttler) Answered(now, began time.Time, calls int, took time.Duration, random *rand.Rand) {
+func (t *Throttler) RecordAnswer(now, began time.Time, calls int, took time.Duration, random *rand.Rand) {
 	t.spare = calls < t.places
 	switch {
 	case float64(calls) <= float64(t.places)*ample:
@@ -70,7 +70,7 @@
 	t.pause(now, took, random)
 }
 
-// TurnedAway takes in that the server was full.
+// RecordRejection takes in that the server was full.
 func (t *Throttler) TurnedAway(now, began time.Time, took time.Duration, random *rand.Rand) {
 	t.spare = false
 	if began.After(t.narrowed) {
--- a/internal/coordination/throttler/throttler_test.go
+++ b/internal/coordination/throttler/throttler_test.go
@@ -160,7 +160,7 @@
 		e := c.entry
 		e.inProgress[i]--
 		e.loads[i] = len(at.running) + len(at.waiting)
-		e.throttlers[i].Answered(now, c.began, e.loads[i], work, s.random)
+		e.throttlers[i].RecordAnswer(now, c.began, e.loads[i], work, s.random)
 		switch {
 		case !s.counts(c):
 		case now.Sub(c.came) <= target:
@@ -178,7 +178,7 @@
 	for i, at := range s.servers {
 		t := e.throttlers[i]
 		late := now.Sub(c.arrived) > target/2
-		if at.gone || s.throttled && (!t.Open(now, e.inProgress[i]) || late && !t.Spare()) {
+		if at.gone || s.throttled && (!t.Allows(now, e.inProgress[i]) || late && !t.HasSpareCapacity()) {
 			continue
 		}
 		if best < 0 || e.inProgress[i]+e.loads[i] < e.inProgress[best]+e.loads[best] {
--- a/internal/coordination/watcher/watcher.go
+++ b/internal/coordination/watcher/watcher.go
@@ -53,21 +53,21 @@
 // Interval returns the time between two looks.
 func (w *Watcher) Interval() time.Duration { return w.settings.Interval }
 
-// Heard notes that a host was heard of at a time. An earlier time changes nothing.
-func (w *Watcher) Heard(at time.Time, name string) {
+// RecordContact notes that a host was heard of at a time. An earlier time changes nothing.
+func (w *Watcher) RecordContact(at time.Time, name string) {
 	if at.After(w.heard[name]) {
 		w.heard[name] = at
 	}
 }
 
-// Keep forgets the hosts that keep does not hold.
-func (w *Watcher) Keep(keep func(name string) bool) {
+// Retain forgets the hosts that keep does not hold.
+func (w *Watcher) Retain(keep func(name string) bool) {
 	maps.DeleteFunc(w.heard, func(name string, _ time.Time) bool { return !keep(name) })
 }
 
-// Look returns the names of the silent hosts in order; none while this process has
+// Check returns the names of the silent hosts in order; none while this process has
 // itself stood still lately.
-func (w *Watcher) Look(now time.Time) []string {
+func (w *Watcher) Check(now time.Time) []string {
 	if !w.looked.IsZero() && now.Sub(w.looked) > lateLook*w.settings.Interval {
 		w.trusted = now.Add(w.settings.SilentAfter)
 	}
--- a/internal/coordination/watcher/watcher_test.go
+++ b/internal/coordination/watcher/watcher_test.go
@@ -33,10 +33,10 @@
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(watcher.DefaultInterval) {
 		if h.now.UnixMilli()%200 == 0 {
 			for _, name := range beating {
-				h.watcher.Heard(h.now, name)
+				h.watcher.RecordContact(h.now, name)
 			}
 		}
-		for _, name := range h.watcher.Look(h.now) {
+		for _, name := range h.watcher.Check(h.now) {
 			if _, ok := found[name]; !ok {
 				found[name] = h.now.Sub(began)
 			}
@@ -75,7 +75,7 @@
 		h := newHosts()
 		h.pass(time.Second, "a", "b")
 		h.now = h.now.Add(2 * time.Second)
-		Expect(h.watcher.Look(h.now)).To(BeEmpty())
+		Expect(h.watcher.Check(h.now)).To(BeEmpty())
 		Expect(h.pass(400 * time.Millisecond)).To(BeEmpty())
 		Expect(h.pass(2*time.Second, "a")).To(HaveKey("b"), "who stays silent is found all the same")
 	})
@@ -84,7 +84,7 @@
 		h := newHosts()
 		Expect(h.pass(time.Second)).To(BeEmpty())
 		h.pass(time.Second, "a")
-		h.watcher.Keep(func(string) bool { return false })
+		h.watcher.Retain(func(string) bool { return false })
 		Expect(h.pass(time.Second)).To(BeEmpty())
 	})
 })
--- a/internal/standin/modeler/ending.go
+++ b/internal/standin/modeler/ending.go
@@ -121,7 +121,7 @@
 
 // survived notes that a run has answered a call.
 func (e *entry) survived(c *call) {
-	if !e.model.without(MechanismQuarantine) && e.suspects.Answered(e.model.view, c.same) {
+	if !e.model.without(MechanismQuarantine) && e.suspects.RecordAnswer(e.model.view, c.same) {
 		e.model.tell(storer.ClearSuspects{Names: []string{c.same.String()}})
 	}
 }
--- a/internal/standin/modeler/engine.go
+++ b/internal/standin/modeler/engine.go
@@ -67,7 +67,7 @@
 		Slots: m.pattern.Slots, HalfLife: 8 * time.Second, Patience: 1500 * time.Millisecond,
 		AssumedLoadTime: pacer.DefaultLoad, MaxPermits: most,
 	}, e.life, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))
-	e.pacer = pacer.NewPacer(pacer.Settings{Most: float64(most), Random: rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))})
+	e.pacer = pacer.NewPacer(pacer.Settings{MaxLoads: float64(most), Random: rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))})
 	e.setPermits()
 	e.guests, e.blocked, e.memory = make(map[string]*call), nil, make(map[string]bool)
 	e.recent, e.reading, e.busy, e.ready, e.sequence = nil, nil, false, false, 0
@@ -97,7 +97,7 @@
 
 func (e *engine) setPermits() {
 	if !e.model.without(MechanismPacing) {
-		e.table.SetPermits(e.pacer.Width(e.model.clock.now))
+		e.table.SetPermits(e.pacer.Limit(e.model.clock.now))
 	}
 }
 
@@ -130,15 +130,15 @@
 		return false
 	}
 	s := e.state()
-	wait, misled := placer.Misled(&s, modelName+"/"+c.adapter, 1, c.choice.Load+c.choice.Backlog)
+	wait, misled := placer.CheckExpectedWait(&s, modelName+"/"+c.adapter, 1, c.choice.Load+c.choice.Backlog)
 	if !misled {
 		return false
 	}
 	c.sentBack = true
 	m.result.SentBack++
 	m.clock.after(faraway, func() {
-		c.entry.placer.Corrected(m.clock.now, &c.choice, wait)
-		c.entry.finish(c, placer.EndingRefused)
+		c.entry.placer.CorrectWait(m.clock.now, &c.choice, wait)
+		c.entry.finish(c, placer.OutcomeNotRun)
 		c.entry.offer(c)
 	})
 	return true
@@ -265,10 +265,10 @@
 	}
 	c.began = true
 	e.model.answered(c)
-	c.entry.placer.First(e.model.clock.now, &c.choice)
+	c.entry.placer.RecordFirstByte(e.model.clock.now, &c.choice)
 	e.later(time.Duration(c.answer)*tokenTime, func() {
 		c.entry.survived(c)
-		c.entry.finish(c, placer.EndingWell)
+		c.entry.finish(c, placer.OutcomeSuccess)
 		e.drop(c)
 	})
 }
@@ -298,7 +298,7 @@
 	}
 	delete(e.guests, c.id)
 	e.blocked = slices.DeleteFunc(e.blocked, func(b *call) bool { return b == c })
-	e.apply(e.table.Drop(e.model.clock.now, c.id))
+	e.apply(e.table.Release(e.model.clock.now, c.id))
 	e.settle()
 }
 
@@ -324,7 +324,7 @@
 func (e *engine) tell(entries []*entry, near bool) {
 	interval := tellInterval
 	if !e.model.without(MechanismSparing) {
-		interval = placer.TellingInterval(tellInterval, len(entries), near)
+		interval = placer.ReportInterval(tellInterval, len(entries), near)
 	}
 	e.later(interval, func() {
 		e.tellOnce(entries)
--- a/internal/standin/modeler/entry.go
+++ b/internal/standin/modeler/entry.go
@@ -88,7 +88,7 @@
 	if c.over {
 		return
 	}
-	e.finish(c, placer.EndingBroken)
+	e.finish(c, placer.OutcomeBroken)
 	switch {
 	case c.began:
 	case c.sends < maxSends:
@@ -104,12 +104,12 @@
 		return
 	}
 	c.sends--
-	e.finish(c, placer.EndingUnreached)
+	e.finish(c, placer.OutcomeUnreachable)
 	e.model.clock.after(busyPause, func() { e.offer(c) })
 }
 
 // finish ends the choice of a call.
-func (e *entry) finish(c *call, ending placer.Ending) {
+func (e *entry) finish(c *call, ending placer.Outcome) {
 	if c.placed {
 		c.placed = false
 		e.placer.Finish(e.model.clock.now, &c.choice, ending)
--- a/internal/standin/modeler/model.go
+++ b/internal/standin/modeler/model.go
@@ -178,7 +178,7 @@
 	}
 	for _, e := range m.entries {
 		e.placer.SetView(m.view)
-		e.suspects.Follow(m.view)
+		e.suspects.Sync(m.view)
 	}
 }
 
@@ -304,7 +304,7 @@
 		return
 	}
 	e := m.engines[c.choice.Name]
-	c.entry.finish(c, placer.EndingGivenUp)
+	c.entry.finish(c, placer.OutcomeCanceled)
 	e.drop(c)
 }
 
--- a/internal/standin/modeler/server.go
+++ b/internal/standin/modeler/server.go
@@ -42,7 +42,7 @@
 		m.result.TurnedAway++
 		m.clock.after(nearby, func() {
 			c.entry.placer.TurnedAway(m.clock.now, &c.choice)
-			c.entry.finish(c, placer.EndingRefused)
+			c.entry.finish(c, placer.OutcomeNotRun)
 			m.refuse(c)
 		})
 		return
@@ -74,9 +74,9 @@
 			calls := s.running + len(s.waiting)
 			s.work()
 			m.clock.after(nearby, func() {
-				c.entry.placer.Loaded(m.clock.now, &c.choice, calls)
+				c.entry.placer.ReportLoad(m.clock.now, &c.choice, calls)
 				c.entry.survived(c)
-				c.entry.finish(c, placer.EndingWell)
+				c.entry.finish(c, placer.OutcomeSuccess)
 				m.answered(c)
 			})
 		})
--- a/internal/standin/prober/state_test.go
+++ b/internal/standin/prober/state_test.go
@@ -145,13 +145,13 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			if _, err := assembler.Take(x, d); err != nil {
+			if _, err := assembler.ApplyDelta(x, d); err != nil {
 				b.Fatal(err)
 			}
 			decode += used() - began
 		}
 		began := used()
-		if _, err := assembler.Take(x, distributor.Delta{Reset: true, UpTo: uint64(len(rs)), Last: true}); err != nil {
+		if _, err := assembler.ApplyDelta(x, distributor.Delta{Reset: true, UpTo: uint64(len(rs)), Last: true}); err != nil {
 			b.Fatal(err)
 		}
 		decode += used() - began
@@ -270,7 +270,7 @@
 		if err := r.Choose(now, &c, &d); err != nil {
 			b.Fatal(err)
 		}
-		r.Finish(now, &d, router.Ending{Served: true, Ran: time.Second})
+		r.Finish(now, &d, router.CallResult{Served: true, Ran: time.Second})
 	}
 	return microseconds(used()-began) / calls
 }
--- a/internal/transport/attendant/admission.go
+++ b/internal/transport/attendant/admission.go
@@ -117,7 +117,7 @@
 	}
 	version := max(m.Version, a.settings.View().Newest(adapterName(m.Model, m.Adapter)))
 	state := a.wholeState()
-	wait, misled := placer.Misled(&state, adapterName(m.Model, m.Adapter), version, time.Duration(m.ExpectedMillis)*time.Millisecond)
+	wait, misled := placer.CheckExpectedWait(&state, adapterName(m.Model, m.Adapter), version, time.Duration(m.ExpectedMillis)*time.Millisecond)
 	if !misled {
 		return nil
 	}
@@ -162,7 +162,7 @@
 	for _, g := range a.guests {
 		if g.name == version && g.wanted && !g.admitted {
 			g.wanted = false
-			a.apply(a.table.Drop(now, g.admit.Request))
+			a.apply(a.table.Release(now, g.admit.Request))
 			g.version = max(g.version, a.settings.View().Newest(adapterName(g.admit.Model, g.admit.Adapter)))
 			g.name = versionName(g.admit.Model, g.admit.Adapter, g.version)
 			a.blocked[g.admit.Request] = g
@@ -252,7 +252,7 @@
 	a.change()
 	if g.wanted {
 		now := a.settings.Now()
-		a.apply(a.table.Drop(now, g.admit.Request))
+		a.apply(a.table.Release(now, g.admit.Request))
 		a.settle(now)
 	}
 }
--- a/internal/transport/attendant/observing.go
+++ b/internal/transport/attendant/observing.go
@@ -95,7 +95,7 @@
 		}
 		if g.wanted {
 			g.wanted = false
-			a.apply(a.table.Drop(a.settings.Now(), g.admit.Request))
+			a.apply(a.table.Release(a.settings.Now(), g.admit.Request))
 		}
 		a.refuse(g, messenger.NewRefusal(messenger.ReasonStopping, "the engine leaves"))
 	}
@@ -194,9 +194,9 @@
 		MaxPermits:      maxLoads,
 	}, 0, a.settings.Random)
 	a.pacer = pacer.NewPacer(pacer.Settings{
-		Most: maxLoads, Load: assumedLoadTime, Random: rand.New(rand.NewPCG(a.settings.Random.Uint64(), a.settings.Random.Uint64())),
+		MaxLoads: maxLoads, Load: assumedLoadTime, Random: rand.New(rand.NewPCG(a.settings.Random.Uint64(), a.settings.Random.Uint64())),
 	})
-	a.table.SetPermits(a.pacer.Width(now))
+	a.table.SetPermits(a.pacer.Limit(now))
 	a.book = newCachebook(int(float64(engine.MemoryTokens) * memoryShare))
 	a.table.Adopt(now, observed(r))
 	a.change()
@@ -205,10 +205,10 @@
 // assumedLoadTime is the time of a load that was never seen.
 const assumedLoadTime = 250 * time.Millisecond
 
-func observed(r Report) []loader.Observed {
-	var out []loader.Observed
+func observed(r Report) []loader.ObservedSlot {
+	var out []loader.ObservedSlot
 	for _, s := range r.slots() {
-		out = append(out, loader.Observed{Version: s.version, Source: s.version, Loading: s.loading})
+		out = append(out, loader.ObservedSlot{Version: s.version, Source: s.version, Loading: s.loading})
 	}
 	return out
 }
--- a/internal/transport/attendant/ordering.go
+++ b/internal/transport/attendant/ordering.go
@@ -90,7 +90,7 @@
 // after the pause that is due. The caller holds mu.
 func (a *Attendant) pace(now, began time.Time) {
 	a.pacer.Loaded(now, began)
-	a.table.SetPermits(a.pacer.Width(now))
+	a.table.SetPermits(a.pacer.Limit(now))
 	pause := a.pacer.Pause(now)
 	if pause <= 0 {
 		return
@@ -98,7 +98,7 @@
 	a.spawnLocked(func() {
 		if a.pause(pause) {
 			a.happened(func(now time.Time) []loader.Action {
-				a.table.SetPermits(a.pacer.Width(now))
+				a.table.SetPermits(a.pacer.Limit(now))
 				return a.table.Tick(now)
 			})
 		}
--- a/internal/transport/attendant/telling.go
+++ b/internal/transport/attendant/telling.go
@@ -72,7 +72,7 @@
 		return nil
 	}
 	now := a.settings.Now()
-	if !u.whole && now.Sub(u.toldAt) < placer.TellingInterval(a.settings.TellInterval, len(u.conns), u == a.near) {
+	if !u.whole && now.Sub(u.toldAt) < placer.ReportInterval(a.settings.TellInterval, len(u.conns), u == a.near) {
 		// One that comes in between is told at once what the others know: what they are
 		// told next builds on that.
 		return []telling{{state: u.told, entries: u.ignorant()}}
--- a/internal/transport/companion/companion.go
+++ b/internal/transport/companion/companion.go
@@ -191,7 +191,7 @@
 	}
 	if c.table != nil {
 		l.Slots = c.table.Slots()
-		l.SlotsFree = c.table.Free()
+		l.SlotsFree = c.table.FreeSlots()
 		l.LoadsWaiting = c.table.LoadsWaiting()
 	}
 	return l
--- a/internal/transport/companion/member.go
+++ b/internal/transport/companion/member.go
@@ -92,7 +92,7 @@
 	}
 	c.lease = lease
 	if c.table != nil {
-		c.table.Raise(lease.Epoch, c.engine.HighestFence)
+		c.table.RaiseFence(lease.Epoch, c.engine.HighestFence)
 	}
 	c.settings.Recorder.Record(recorder.Event{
 		Kind: recorder.KindMemberJoined, Backend: c.settings.Node, Revision: lease.Epoch, Detail: c.incarnation,
--- a/internal/transport/companion/order.go
+++ b/internal/transport/companion/order.go
@@ -253,7 +253,7 @@
 func (c *Companion) orders(a loader.LoadAction) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Orders(a.Version, a.Fence)
+	return c.table.OrderInFlight(a.Version, a.Fence)
 }
 
 // noteLoad keeps a moving mean of the time of a load. The caller holds mu.
--- a/internal/transport/companion/watch.go
+++ b/internal/transport/companion/watch.go
@@ -61,7 +61,7 @@
 	now := c.settings.Now()
 	source := rand.New(rand.NewPCG(c.settings.Random.Uint64(), c.settings.Random.Uint64()))
 	c.table = loader.NewTable(c.settings.loaderSettings(state), 0, source)
-	c.table.Raise(0, state.HighestFence)
+	c.table.RaiseFence(0, state.HighestFence)
 	c.table.Adopt(now, observed(state))
 	c.engine = engineView{EngineState: state, heard: now}
 	if c.maxBatch == 0 {
@@ -85,10 +85,10 @@
 	}
 }
 
-func observed(s orderer.EngineState) []loader.Observed {
-	slots := make([]loader.Observed, len(s.Adapters))
+func observed(s orderer.EngineState) []loader.ObservedSlot {
+	slots := make([]loader.ObservedSlot, len(s.Adapters))
 	for i, a := range s.Adapters {
-		slots[i] = loader.Observed{Version: a.Name, Source: a.Path, Loading: a.Phase == orderer.Loading, InUse: a.InUse}
+		slots[i] = loader.ObservedSlot{Version: a.Name, Source: a.Path, Loading: a.Phase == orderer.Loading, InUse: a.InUse}
 	}
 	return slots
 }
@@ -151,7 +151,7 @@
 	c.settings.Recorder.Record(recorder.Event{
 		Kind: recorder.KindEngineRestarted, Backend: c.settings.Node, Detail: s.Incarnation,
 	})
-	c.table.Raise(c.lease.Epoch, s.HighestFence)
+	c.table.RaiseFence(c.lease.Epoch, s.HighestFence)
 	return c.table.Restarted(now)
 }
 
--- a/internal/transport/companion/work.go
+++ b/internal/transport/companion/work.go
@@ -148,7 +148,7 @@
 func (c *Companion) leave(w *work) {
 	delete(c.works, w.key)
 	if c.table != nil {
-		c.apply(c.table.Drop(c.settings.Now(), w.key))
+		c.apply(c.table.Release(c.settings.Now(), w.key))
 	}
 }
 
@@ -185,7 +185,7 @@
 	if c.table == nil {
 		return 0
 	}
-	return c.table.Foreign()
+	return c.table.ForeignPins()
 }
 
 // begin runs a work whose version is pinned. The caller holds mu.
--- a/internal/transport/controller/board.go
+++ b/internal/transport/controller/board.go
@@ -128,7 +128,7 @@
 			spec, member := change.Resource.Spec.(storer.MemberSpec)
 			if member && change.Deleted {
 				b.board.Drop(change.Resource.Metadata.Name, spec.Epoch)
-				b.departures.Note(c.settings.Now(), change.Resource.Metadata.Name)
+				b.departures.Record(c.settings.Now(), change.Resource.Metadata.Name)
 			}
 		}
 		if upTo <= b.ended {
--- a/internal/transport/controller/handler.go
+++ b/internal/transport/controller/handler.go
@@ -71,7 +71,7 @@
 	case messenger.MethodRenewBatch:
 		return answer(params, func(b registrar.RenewBatch) (registrar.RenewAnswer, error) { return c.renewHere(b) })
 	case messenger.MethodRequestPermit:
-		return answer(params, func(a permitter.Ask) (permitter.Grant, error) { return c.requestPermit(ctx, a) })
+		return answer(params, func(a permitter.PermitRequest) (permitter.Grant, error) { return c.requestPermit(ctx, a) })
 	default:
 		return nil, messenger.NewRefusal(messenger.ReasonUnsupported, string(method))
 	}
--- a/internal/transport/controller/permits.go
+++ b/internal/transport/controller/permits.go
@@ -9,7 +9,7 @@
 
 // requestPermit serves MethodRequestPermit: it waits for a permit, at the
 // leader.
-func (c *Control) requestPermit(ctx context.Context, a permitter.Ask) (grant permitter.Grant, err error) {
+func (c *Control) requestPermit(ctx context.Context, a permitter.PermitRequest) (grant permitter.Grant, err error) {
 	ctx, cancel := bounded(ctx, a.TimeoutMillis)
 	defer cancel()
 	err = c.atLeader(ctx, a.Forwarded, func(ctx context.Context) error {
--- a/internal/transport/gatekeeper/attempt.go
+++ b/internal/transport/gatekeeper/attempt.go
@@ -87,7 +87,7 @@
 // learn tells the router and the metrics what the attempt has shown.
 func (a *attempt) learn(ctx context.Context, res result) {
 	q, e, now := a.request, a.request.entry, a.request.entry.settings.Now()
-	ending := router.Ending{
+	ending := router.CallResult{
 		Served:     res.outcome == messenger.OutcomeCompleted,
 		LoadFailed: res.reason == messenger.ReasonLoadFailed,
 	}
@@ -241,7 +241,7 @@
 			return res, true
 		}
 		if a.decision != nil {
-			q.entry.router.Began(a.firstAt, a.decision)
+			q.entry.router.RecordAnswerStart(a.firstAt, a.decision)
 		}
 		a.answer.head(head, a.backend)
 	}
--- a/internal/transport/gatekeeper/request.go
+++ b/internal/transport/gatekeeper/request.go
@@ -171,7 +171,7 @@
 	q.decision = &router.Decision{}
 	began := time.Now()
 	err := e.router.Choose(e.settings.Now(), &q.call, q.decision)
-	if errors.Is(err, router.ErrNoneWell) && len(q.call.Avoid) > 0 {
+	if errors.Is(err, router.ErrNoneAvailable) && len(q.call.Avoid) > 0 {
 		q.call.Avoid = q.call.Avoid[:0]
 		err = e.router.Choose(e.settings.Now(), &q.call, q.decision)
 	}
--- a/internal/transport/gatekeeper/suspect.go
+++ b/internal/transport/gatekeeper/suspect.go
@@ -26,7 +26,7 @@
 // are no suspects it costs a call nothing.
 func (q *request) maySuspect() bool {
 	known, t := q.entry.settings.Index.Suspects(), q.entry.suspects
-	return t.Any(known) && t.SuspectAt(known, q.identity().Place())
+	return t.HasSuspects(known) && t.SuspectAt(known, q.identity().Place())
 }
 
 // quarantined refuses a request under which as many backend servers ended as may.
@@ -39,7 +39,7 @@
 		return nil
 	}
 	known := e.settings.Index.Suspects()
-	e.suspects.Follow(known)
+	e.suspects.Sync(known)
 	whole, is := e.suspects.Quarantine(known, e.settings.Now(), identifier.Identify(q.identity()))
 	if !is {
 		return nil
@@ -69,7 +69,7 @@
 	if !q.maySuspect() {
 		return
 	}
-	if id := identifier.Identify(q.identity()); q.entry.suspects.Answered(q.entry.settings.Index.Suspects(), id) {
+	if id := identifier.Identify(q.identity()); q.entry.suspects.RecordAnswer(q.entry.settings.Index.Suspects(), id) {
 		q.tell(ctx, storer.ClearSuspects{Names: []string{id.String()}})
 	}
 }
--- a/internal/transport/relayer/relayer.go
+++ b/internal/transport/relayer/relayer.go
@@ -117,7 +117,7 @@
 // ViewChanged has the relayer follow a new view. It is quick.
 func (r *Relayer) ViewChanged(v *tracker.View) {
 	r.settings.Placer.SetView(v)
-	r.suspects.Follow(v)
+	r.suspects.Sync(v)
 	r.endFormer(v)
 	r.endQuarantined(v)
 	select {
@@ -215,7 +215,7 @@
 	maps.DeleteFunc(r.watched, func(name string, _ companion) bool {
 		return !slices.ContainsFunc(wanted, func(m tracker.Member) bool { return m.Name == name })
 	})
-	r.watcher.Keep(func(name string) bool {
+	r.watcher.Retain(func(name string) bool {
 		_, is := r.watched[name]
 		return is
 	})
@@ -228,7 +228,7 @@
 	r.watchedMu.Lock()
 	c := r.watched[m.Name]
 	r.watchedMu.Unlock()
-	return conn != nil && c.conn == conn && r.settings.Placer.Known(m.Spec.Service, m.Name)
+	return conn != nil && c.conn == conn && r.settings.Placer.HasReport(m.Spec.Service, m.Name)
 }
 
 // watch asks one companion to tell its state, unless it does and the state is known.
@@ -246,7 +246,7 @@
 	known := r.watched[m.Name].conn == conn
 	r.watched[m.Name] = companion{service: m.Spec.Service, conn: conn}
 	r.watchedMu.Unlock()
-	if known && r.settings.Placer.Known(m.Spec.Service, m.Name) {
+	if known && r.settings.Placer.HasReport(m.Spec.Service, m.Name) {
 		return
 	}
 	if !known {
--- a/internal/transport/relayer/run.go
+++ b/internal/transport/relayer/run.go
@@ -65,7 +65,7 @@
 		}
 		err := j.choose()
 		if try >= maxTries && err == nil {
-			j.release(placer.EndingGivenUp)
+			j.release(placer.OutcomeCanceled)
 			err = errTriedAll
 		}
 		if err != nil {
@@ -126,7 +126,7 @@
 	paid := j.paid
 	j.paid = false
 	if j.from == "" && j.sent >= max(1, j.route.MaxAttempts) || !paid && !j.relayer.budget.take(j.relayer.settings.Now(), j.service.Name) {
-		j.release(placer.EndingGivenUp)
+		j.release(placer.OutcomeCanceled)
 		return false
 	}
 	return true
@@ -140,7 +140,7 @@
 	r := j.relayer
 	c := j.wanted()
 	if j.from != "" {
-		return r.settings.Placer.Take(r.settings.Now(), c, j.backup.Name, &j.choice)
+		return r.settings.Placer.ChooseNamed(r.settings.Now(), c, j.backup.Name, &j.choice)
 	}
 	return r.settings.Placer.Choose(r.settings.Now(), c, &j.choice)
 }
@@ -199,14 +199,14 @@
 		case errors.Is(err, errSilent):
 			return j.unreached(err)
 		case err != nil:
-			j.release(placer.EndingRefused)
+			j.release(placer.OutcomeNotRun)
 			return verdictNotRun
 		}
 		defer release()
 		if !j.stillServes() {
 			// The wait was long enough for the backend server to begin to leave: it
 			// must get nothing new, although it would still take it.
-			j.release(placer.EndingRefused)
+			j.release(placer.OutcomeNotRun)
 			return verdictNotRun
 		}
 		if a.Version = admitted.Version; j.call.Adapter == "" {
@@ -216,11 +216,11 @@
 	}
 	if _, is := j.quarantined(); is {
 		// It ended another backend server while it waited here.
-		j.release(placer.EndingGivenUp)
+		j.release(placer.OutcomeCanceled)
 		return verdictNotRun
 	}
 	if j.bar = j.barred(); j.bar != nil {
-		j.release(placer.EndingGivenUp)
+		j.release(placer.OutcomeCanceled)
 		return verdictBarred
 	}
 	a.Backup = j.chooseBackup()
@@ -243,7 +243,7 @@
 }
 
 // release ends the choice.
-func (j *job) release(e placer.Ending) {
+func (j *job) release(e placer.Outcome) {
 	j.relayer.settings.Placer.Finish(j.relayer.settings.Now(), &j.choice, e)
 }
 
@@ -282,7 +282,7 @@
 		return admitted, release, nil
 	case errors.As(err, &refusal) && refusal.Reason == messenger.ReasonMisled:
 		j.sentBack = true
-		r.settings.Placer.Corrected(r.settings.Now(), &j.choice, refusal.RetryAfter())
+		r.settings.Placer.CorrectWait(r.settings.Now(), &j.choice, refusal.RetryAfter())
 		return messenger.Admitted{}, nil, err
 	case errors.As(err, &refusal):
 		r.settings.Log.Info().Str("Request", j.call.ID).Str("Backend", j.choice.Name).Str("Reason", refusal.Detail).
--- a/internal/transport/relayer/send.go
+++ b/internal/transport/relayer/send.go
@@ -23,7 +23,7 @@
 	}
 	head := r.settings.Translator.Head(response.StatusCode, response.Header)
 	if head.Calls >= 0 {
-		r.settings.Placer.Loaded(r.settings.Now(), &j.choice, head.Calls)
+		r.settings.Placer.ReportLoad(r.settings.Now(), &j.choice, head.Calls)
 	}
 	if head.NotRun {
 		if head.Elsewhere {
@@ -38,7 +38,7 @@
 		}
 		j.discard(conn, response, head)
 		j.note(nil, "not run: "+strconv.Itoa(response.StatusCode))
-		j.release(placer.EndingRefused)
+		j.release(placer.OutcomeNotRun)
 		return verdictNotRun
 	}
 	if response.StatusCode >= http.StatusInternalServerError || !head.Signed {
@@ -103,10 +103,10 @@
 		if !notSent {
 			j.count(endGivenUp)
 		}
-		j.release(placer.EndingGivenUp)
+		j.release(placer.OutcomeCanceled)
 		return verdictEnded
 	case j.followed != nil && errors.Is(context.Cause(j.followed.ctx), errQuarantined):
-		j.release(placer.EndingGivenUp)
+		j.release(placer.OutcomeCanceled)
 		if notSent {
 			return verdictNotRun
 		}
@@ -115,7 +115,7 @@
 	case notSent:
 		j.count(endNotSent)
 		j.note(err, "not sent")
-		j.release(placer.EndingUnreached)
+		j.release(placer.OutcomeUnreachable)
 		return verdictNotRun
 	default:
 		if j.route.Stream {
@@ -124,7 +124,7 @@
 		j.count(j.broke())
 		j.relayer.recordLoss(j)
 		j.note(err, "no answer")
-		j.release(placer.EndingBroken)
+		j.release(placer.OutcomeBroken)
 		return verdictUnknown
 	}
 }
@@ -163,7 +163,7 @@
 		j.survived()
 	}
 	j.note(nil, "failed: "+strconv.Itoa(response.StatusCode))
-	j.release(placer.EndingFailed)
+	j.release(placer.OutcomeServerError)
 	return verdictFailed
 }
 
@@ -178,7 +178,7 @@
 	conn.Finish(response, head.Keep)
 	j.count(endAnswered)
 	j.survived()
-	j.release(placer.EndingWell)
+	j.release(placer.OutcomeSuccess)
 	j.begin(response)
 	j.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	j.writer.WriteHeader(response.StatusCode)
--- a/internal/transport/relayer/silence.go
+++ b/internal/transport/relayer/silence.go
@@ -117,11 +117,11 @@
 	defer r.watchedMu.Unlock()
 	for name, c := range r.watched {
 		if silence, ok := c.conn.Silence(); ok {
-			r.watcher.Heard(now.Add(-silence), name)
+			r.watcher.RecordContact(now.Add(-silence), name)
 		}
 	}
 	found := make(map[string]string)
-	for _, name := range r.watcher.Look(now) {
+	for _, name := range r.watcher.Check(now) {
 		found[name] = r.watched[name].service
 	}
 	r.doubtAll(now, found)
@@ -186,7 +186,7 @@
 // unreached ends an attempt at an engine whose host is silent: nothing was sent.
 func (j *job) unreached(err error) verdict {
 	j.note(err, "companion unreached")
-	j.release(placer.EndingUnreached)
+	j.release(placer.OutcomeUnreachable)
 	return verdictNotRun
 }
 
--- a/internal/transport/relayer/stream.go
+++ b/internal/transport/relayer/stream.go
@@ -37,12 +37,12 @@
 					j.firstAt = r.settings.Now()
 					r.metrics.first.Observe(j.firstAt.Sub(j.arrived).Seconds())
 				}
-				r.settings.Placer.First(r.settings.Now(), &j.choice)
+				r.settings.Placer.RecordFirstByte(r.settings.Now(), &j.choice)
 				j.bytes += int64(len(piece))
 				if _, werr := j.writer.Write(piece); werr != nil || flusher.Flush() != nil {
 					conn.Abort()
 					j.count(endGivenUp)
-					j.release(placer.EndingGivenUp)
+					j.release(placer.OutcomeCanceled)
 					j.log("left", response.StatusCode, "the caller has left")
 					return verdictAnswered
 				}
@@ -69,7 +69,7 @@
 	conn.Finish(response, head.Keep)
 	j.count(endAnswered)
 	j.survived()
-	j.release(placer.EndingWell)
+	j.release(placer.OutcomeSuccess)
 	if !j.began {
 		j.begin(response)
 		j.writer.WriteHeader(response.StatusCode)
--- a/internal/transport/relayer/suspect.go
+++ b/internal/transport/relayer/suspect.go
@@ -53,7 +53,7 @@
 // there are none it costs a call nothing.
 func (j *job) maySuspect(v *tracker.View) bool {
 	t := j.relayer.suspects
-	return t.Any(v) && t.SuspectAt(v, j.place())
+	return t.HasSuspects(v) && t.SuspectAt(v, j.place())
 }
 
 // blame notes which requests were in progress at a backend server that has ended, and tells
@@ -114,7 +114,7 @@
 func (j *job) survived() {
 	r := j.relayer
 	v := r.settings.View()
-	if !j.maySuspect(v) || !r.suspects.Answered(v, j.same()) {
+	if !j.maySuspect(v) || !r.suspects.RecordAnswer(v, j.same()) {
 		return
 	}
 	c := storer.ClearSuspects{Names: []string{j.same().String()}}
--- a/internal/transport/sealer/authorize.go
+++ b/internal/transport/sealer/authorize.go
@@ -101,7 +101,7 @@
 			return []string{h.Name, h.Report.Name}
 		})
 	case messenger.MethodRequestPermit:
-		return own(peer, m, params, func(a permitter.Ask) []string { return []string{a.Companion} })
+		return own(peer, m, params, func(a permitter.PermitRequest) []string { return []string{a.Companion} })
 	case messenger.MethodFinishPermit:
 		return own(peer, m, params, func(f permitter.Finish) []string { return []string{f.Companion} })
 	default:
--- a/internal/transport/sealer/authorize_test.go
+++ b/internal/transport/sealer/authorize_test.go
@@ -99,7 +99,7 @@
 			return registrar.Heartbeat{Name: "engine-1", Report: &registrar.ServerChange{Name: n}}
 		}),
 		Entry("RequestPermit", messenger.MethodRequestPermit, func(n string) any {
-			return permitter.Ask{Request: permitter.Request{Companion: n}}
+			return permitter.PermitRequest{Request: permitter.Request{Companion: n}}
 		}),
 		Entry("FinishPermit", messenger.MethodFinishPermit, func(n string) any { return permitter.Finish{Companion: n} }),
 		Entry("Subscribe", messenger.MethodSubscribe, func(n string) any {
--- a/internal/transport/subscriber/client.go
+++ b/internal/transport/subscriber/client.go
@@ -195,7 +195,7 @@
 	c.link, c.linkedAt = l, c.settings.Now()
 	close(c.linked)
 	c.linked = make(chan struct{})
-	c.lease.Forget()
+	c.lease.DiscardPending()
 }
 
 // current returns the connection in use, waiting for one if there is none. The
--- a/internal/transport/subscriber/permit.go
+++ b/internal/transport/subscriber/permit.go
@@ -22,7 +22,7 @@
 			return permitter.Grant{}, errors.Annotatef(ErrUnavailable, "%v", err)
 		}
 		var g permitter.Grant
-		err = conn.Call(ctx, messenger.MethodRequestPermit, permitter.Ask{Request: r, TimeoutMillis: remaining(ctx)}, &g)
+		err = conn.Call(ctx, messenger.MethodRequestPermit, permitter.PermitRequest{Request: r, TimeoutMillis: remaining(ctx)}, &g)
 		done()
 		if err == nil && c.takePermit(g) {
 			c.metrics.permitWait.Observe(c.settings.Now().Sub(asked).Seconds())
--- a/internal/transport/subscriber/receiver.go
+++ b/internal/transport/subscriber/receiver.go
@@ -67,7 +67,7 @@
 	}
 	c.applying.Lock()
 	before := c.settings.Index.Revision()
-	a, err := r.link.assembler.Take(c.settings.Index, d)
+	a, err := r.link.assembler.ApplyDelta(c.settings.Index, d)
 	c.applying.Unlock()
 	if err != nil {
 		c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindFault, Revision: d.UpTo, Detail: err.Error()})
--- a/routing.go
+++ b/routing.go
@@ -19,7 +19,7 @@
 	// RoutingDecision is the caller's storage for a choice and its reasons.
 	RoutingDecision = router.Decision
 	// RoutingEnding tells a Router how a call ended.
-	RoutingEnding = router.Ending
+	RoutingEnding = router.CallResult
 	// Member is a backend server with its announcement.
 	Member = indexer.Member
 	// MemberSpec is the announcement of a backend server.
