--- a/internal/coordination/placer/backend.go
+++ b/internal/coordination/placer/backend.go
@@ -12,69 +12,73 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// backend is what an entry knows of one backend server in one life. It is guarded
+// backend is an entry's knowledge of one incarnation of a backend server. It is guarded
 // by its pool's lock.
 type backend struct {
 	member tracker.Member
-	// hash is that of the name, and index the place among the pool's backends at the
-	// last survey.
+	// hash is the hash of the name. index is the position among the pool's backends as
+	// of the last survey.
 	hash  uint64
 	index int
-	// own counts this entry's calls in progress.
-	own int
-	// state is the companion's last report, of reportedAt; zero where none came.
+	// ownCalls is the number of this entry's calls in progress.
+	ownCalls int
+	// state is the companion's last report, received at reportedAt; both are zero
+	// before the first report.
 	state      EngineState
 	reportedAt time.Time
 	adapters   map[string]AdapterState
-	// hoped holds the adapters that calls placed since the report have loaded.
-	hoped  map[string]AdapterState
-	recent map[string]struct{}
-	cached map[uint32]struct{}
-	// placed is the reading time of prompts placed here since the report, and
-	// placedWaiting the part of it that waits for an adapter or the model.
-	placed, placedWaiting time.Duration
-	// readUntil is the report's backlog as a time.
-	readUntil time.Time
-	// placedCalls counts the calls placed here since the report.
+	// pendingAdapters holds the adapters being loaded for calls placed since the last
+	// report.
+	pendingAdapters map[string]AdapterState
+	recent          map[string]struct{}
+	cached          map[uint32]struct{}
+	// placedRead is the reading time of prompts placed here since the last report;
+	// placedWaitingRead is the reading time of those that wait for an adapter or a
+	// model.
+	placedRead, placedWaitingRead time.Duration
+	// backlogUntil is the time at which the reported backlog will have been read.
+	backlogUntil time.Time
+	// placedCalls is the number of calls placed here since the last report.
 	placedCalls int
-	// load is what the backend server said of its own load, at loadAt: running
-	// and waiting calls.
+	// load is the number of running and waiting calls that the backend server itself
+	// reported at loadAt.
 	load   int
 	loadAt time.Time
-	// throttle bounds this entry's calls at a backend server of a plain service.
+	// throttle limits this entry's calls to a backend server of a plain service.
 	throttle *throttler.Throttler
 
-	// suspectUntil is until when it is passed over, and suspicion for how long
-	// the next time.
+	// suspectUntil is the time until which the backend server is avoided, and suspicion
+	// the duration of the last such period.
 	suspectUntil time.Time
 	suspicion    time.Duration
-	// failures is the share of calls that went wrong lately.
+	// failures is the smoothed failure rate.
 	failures float64
-	// callTime is the mean time of calls; 0 before the first.
+	// callTime is the smoothed duration of calls; 0 before the first.
 	callTime time.Duration
 }
 
 func newBackend(m tracker.Member) *backend {
 	return &backend{
-		member: m, hash: xxhash.Sum64String(m.Name), adapters: make(map[string]AdapterState), hoped: make(map[string]AdapterState),
+		member: m, hash: xxhash.Sum64String(m.Name), adapters: make(map[string]AdapterState), pendingAdapters: make(map[string]AdapterState),
 		recent: make(map[string]struct{}), cached: make(map[uint32]struct{}),
 		throttle: throttler.NewThrottler(m.Spec.Slots),
 	}
 }
 
-// open reports whether a backend server of a plain service is to get the call now. One
-// that tells no places is not bound.
-func (b *backend) open(now time.Time, c *Call) bool {
+// accepts reports whether a backend server of a plain service may receive the call now.
+// Servers that announce no slots are not limited.
+func (b *backend) accepts(now time.Time, c *Call) bool {
 	if b.member.Spec.Slots <= 0 {
 		return true
 	}
-	return b.throttle.Allows(now, b.own) && (!c.Late || b.throttle.HasSpareCapacity())
+	return b.throttle.Allows(now, b.ownCalls) && (!c.Late || b.throttle.HasSpareCapacity())
 }
 
-// report takes a companion's state in, and reports whether the whole is known now.
-func (b *backend) report(now time.Time, s EngineState) bool {
+// applyState applies a companion's report and reports whether the complete state is
+// known afterwards.
+func (b *backend) applyState(now time.Time, s EngineState) bool {
 	if !s.Whole && b.reported() {
-		s.keep(&b.state)
+		s.inherit(&b.state)
 	}
 	if s.Life < b.state.Life || s.Life == b.state.Life && s.Sequence <= b.state.Sequence {
 		return true
@@ -84,27 +88,27 @@
 		clear(b.recent)
 		clear(b.cached)
 	} else if !b.reported() || s.Life != b.state.Life || s.Sequence != b.state.Sequence+1 {
-		// One that came to nobody, such as the first of an engine that was not known
-		// yet, would be missed for good.
+		// The preceding report may have been lost, for example because the engine was
+		// not known yet, so the complete state is required.
 		return false
 	}
 	b.state, b.reportedAt = s, now
-	b.readUntil = now.Add(time.Duration(s.BacklogMillis) * time.Millisecond)
-	b.placed, b.placedWaiting, b.placedCalls = 0, 0, 0
-	clear(b.hoped)
+	b.backlogUntil = now.Add(time.Duration(s.BacklogMillis) * time.Millisecond)
+	b.placedRead, b.placedWaitingRead, b.placedCalls = 0, 0, 0
+	clear(b.pendingAdapters)
 	for _, name := range s.Gone {
 		delete(b.adapters, name)
 	}
 	for _, a := range s.Adapters {
 		b.adapters[a.Name] = a
 	}
-	remember(b.recent, s.Recent)
-	remember(b.cached, s.Cached)
+	addBounded(b.recent, s.Recent)
+	addBounded(b.cached, s.Cached)
 	return true
 }
 
-// keep takes over from the state before what was not told again.
-func (s *EngineState) keep(before *EngineState) {
+// inherit copies from the previous state the values that a delta omits.
+func (s *EngineState) inherit(before *EngineState) {
 	if len(s.Models) == 0 {
 		s.Models = before.Models
 	}
@@ -113,23 +117,25 @@
 	s.Entries = cmp.Or(s.Entries, before.Entries)
 }
 
-// slot returns what is known of an adapter's slot.
+// slot returns the known state of an adapter's slot.
 func (b *backend) slot(name string) (AdapterState, bool) {
 	if a, ok := b.adapters[name]; ok {
 		return a, true
 	}
-	a, ok := b.hoped[name]
+	a, ok := b.pendingAdapters[name]
 	return a, ok
 }
 
-// rememberLimit bounds what is remembered of a backend server's memory. It is about
-// what such memory holds; beyond it anything may be gone.
-const rememberLimit = 256
+// maxRemembered bounds each set of contents believed to be in a backend server's
+// memory. Such a memory holds about as much, so beyond it any item may have been
+// evicted.
+const maxRemembered = 256
 
-// remember adds to what a backend server is believed to hold.
-func remember[K comparable](held map[K]struct{}, more []K) {
+// addBounded adds keys to held. At maxRemembered it removes an arbitrary key for each
+// one added.
+func addBounded[K comparable](held map[K]struct{}, more []K) {
 	for _, k := range more {
-		if len(held) >= rememberLimit {
+		if len(held) >= maxRemembered {
 			for old := range held {
 				delete(held, old)
 				break
@@ -141,58 +147,60 @@
 
 func (b *backend) reported() bool { return !b.reportedAt.IsZero() }
 
-// holds reports whether the backend server is believed to hold a model.
-func (b *backend) holds(model string) bool {
+// hasModel reports whether the backend server is believed to have loaded the model.
+func (b *backend) hasModel(model string) bool {
 	if b.reported() {
 		return slices.Contains(b.state.Models, model)
 	}
 	return b.member.Spec.BaseModel == model
 }
 
-// running returns the number of calls believed to run there.
-func (b *backend) running() int {
+// runningCalls returns the estimated number of calls running there.
+func (b *backend) runningCalls() int {
 	if b.reported() {
-		return max(b.state.Running+b.placedCalls, b.own)
+		return max(b.state.Running+b.placedCalls, b.ownCalls)
 	}
-	return b.own
+	return b.ownCalls
 }
 
-// backlog returns the reading time of the prompts that wait there.
+// backlog returns the time to read the prompts queued there.
 func (b *backend) backlog(now time.Time) time.Duration {
-	return max(0, b.readUntil.Sub(now)) + b.placed
+	return max(0, b.backlogUntil.Sub(now)) + b.placedRead
 }
 
-// waiting returns the reading time of the prompts that wait there for their adapter or
-// the model.
-func (b *backend) waiting() time.Duration {
-	return time.Duration(b.state.WaitingMillis)*time.Millisecond + b.placedWaiting
+// waitingRead returns the time to read the prompts that wait for their adapter or
+// model.
+func (b *backend) waitingRead() time.Duration {
+	return time.Duration(b.state.WaitingMillis)*time.Millisecond + b.placedWaitingRead
 }
 
-// fresh returns the number of the call's tokens that are not cached there.
-func (b *backend) fresh(c *Call) int {
-	fresh := c.Tokens
+// uncached returns the number of the call's prompt tokens that are not cached
+// there.
+func (b *backend) uncached(c *Call) int {
+	uncached := c.Tokens
 	for i, hash := range c.Parts {
 		if _, ok := b.cached[hash]; !ok {
 			break
 		}
-		fresh -= c.PartTokens[i]
+		uncached -= c.PartTokens[i]
 	}
-	return max(fresh, 0)
+	return max(uncached, 0)
 }
 
-// Shares of the time that a call waits for its adapter beside the load itself.
+// Components of a call's wait for its adapter, in addition to the load itself.
 const (
-	// displaceTime is the wait for the requests on an earlier version of the
-	// adapter to end: about half of a long stream.
-	displaceTime = 1200 * time.Millisecond
-	// crowdedTime is the wait for a slot where all adapters are in use.
-	crowdedTime = 800 * time.Millisecond
-	// laneTime is added for each adapter that loads there already.
-	laneTime = 200 * time.Millisecond
+	// replaceWait is the wait until requests on an earlier version of the adapter have
+	// ended: about half the duration of a long stream.
+	replaceWait = 1200 * time.Millisecond
+	// slotWait is the wait for a slot if all adapters are in use.
+	slotWait = 800 * time.Millisecond
+	// concurrentLoadWait is added for each adapter already being loaded there.
+	concurrentLoadWait = 200 * time.Millisecond
 )
 
-// loading returns the expected wait for a version of an adapter; an empty name is none.
-func (b *backend) loading(name string, version uint64, s *Settings) time.Duration {
+// adapterWait returns the expected wait until a version of an adapter is usable; an
+// empty name means no adapter.
+func (b *backend) adapterWait(name string, version uint64, s *Settings) time.Duration {
 	if name == "" || !b.reported() {
 		return 0
 	}
@@ -210,11 +218,11 @@
 	if held {
 		wait = s.ColdLoad
 		if a.Pins > 0 {
-			wait += displaceTime
+			wait += replaceWait
 		}
 		return wait
 	}
-	idle, lanes := b.state.MaxAdapters-len(b.adapters)-len(b.hoped), len(b.hoped)
+	idle, lanes := b.state.MaxAdapters-len(b.adapters)-len(b.pendingAdapters), len(b.pendingAdapters)
 	for _, other := range b.adapters {
 		if other.Loading {
 			lanes++
@@ -223,13 +231,14 @@
 		}
 	}
 	if idle <= 0 {
-		wait += crowdedTime
+		wait += slotWait
 	}
-	return wait + time.Duration(lanes)*laneTime
+	return wait + time.Duration(lanes)*concurrentLoadWait
 }
 
-// note takes an ending in.
-func (b *backend) note(now time.Time, e Outcome, took time.Duration, s *Settings) {
+// recordOutcome updates the failure rate, the call duration and the suspicion from the
+// outcome of a call.
+func (b *backend) recordOutcome(now time.Time, e Outcome, took time.Duration, s *Settings) {
 	const weight = 0.15
 	bad := 0.0
 	switch e {
--- a/internal/coordination/placer/call.go
+++ b/internal/coordination/placer/call.go
@@ -2,66 +2,68 @@
 
 import "time"
 
-// Call is what a choice depends on.
+// Call describes a call for which a backend server is chosen.
 type Call struct {
 	Service string
-	// Model and Adapter are empty for a plain service; Adapter alone may be.
+	// Model and Adapter are empty for a plain service. Adapter may be empty for an
+	// engine, too.
 	Model   string
 	Adapter string
-	// Version is the newest known of the adapter.
+	// Version is the newest known version of the adapter.
 	Version uint64
-	// Parts are the hashes of the prompt's parts, in order, and PartTokens their
-	// sizes; Tokens is the size of the whole prompt.
+	// Parts holds the hashes of the prompt's parts in order, and PartTokens their
+	// lengths in tokens. Tokens is the length of the whole prompt.
 	Parts      []uint32
 	PartTokens []int
 	Tokens     int
-	// Late tells that the call can't be in time any more unless it is served at once.
+	// Late reports that the call can only meet its target if it is served immediately.
 	Late bool
-	// Avoid names backend servers that are passed over while there are others.
+	// Avoid lists backend servers that must not be chosen.
 	Avoid []string
 }
 
-// Choice is a backend server that was chosen, and what decided.
+// Choice is a chosen backend server, together with the estimates behind the choice.
 type Choice struct {
 	Name        string
 	Address     string
 	Incarnation string
 	Domain      string
-	// Away tells that this is another failure domain than the entry's.
+	// Away reports that the backend server is in another failure domain than the entry.
 	Away bool
-	// Expected is the time until the first byte that the choice rests on, and its
-	// parts.
+	// Expected is the expected time until the first byte; Backlog, Read and Load are
+	// its components.
 	Expected time.Duration
 	Backlog  time.Duration
 	Read     time.Duration
 	Load     time.Duration
-	// Running is the number of calls believed to run there.
+	// Running is the estimated number of calls running there.
 	Running int
-	// Age is the age of the companion's report; negative means none.
+	// Age is the age of the companion's last report; negative if there is none.
 	Age time.Duration
 
-	backend *backend
-	pool    *pool
-	fresh   time.Duration
-	began   time.Time
-	first   bool
+	backend       *backend
+	pool          *pool
+	pendingRead   time.Duration
+	startedAt     time.Time
+	firstByteSeen bool
 }
 
-// Outcome tells how a call went.
+// Outcome is the result of a call at a backend server.
 type Outcome int
 
-// The endings.
+// The possible outcomes.
 const (
-	// OutcomeSuccess means that the backend server answered as it should.
+	// OutcomeSuccess means that the backend server answered normally.
 	OutcomeSuccess Outcome = iota
-	// OutcomeServerError means that it answered with a failure of its own.
+	// OutcomeServerError means that the backend server answered with an error of its
+	// own.
 	OutcomeServerError
-	// OutcomeNotRun means that it did not run the call.
+	// OutcomeNotRun means that the backend server did not run the call.
 	OutcomeNotRun
-	// OutcomeUnreachable means that it could not be reached.
+	// OutcomeUnreachable means that the backend server could not be reached.
 	OutcomeUnreachable
-	// OutcomeBroken means that its answer broke off or was no answer.
+	// OutcomeBroken means that the answer was cut off or malformed.
 	OutcomeBroken
-	// OutcomeCanceled means that the call ended for a reason of the caller's.
+	// OutcomeCanceled means that the call ended for a reason on the caller's side.
 	OutcomeCanceled
 )
--- a/internal/coordination/placer/choose_benchmark_test.go
+++ b/internal/coordination/placer/choose_benchmark_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// benchmarkSlots and benchmarkRemembered are the adapters in the slots and in the
-	// memory of one engine, as the users' largest deployment has them.
+	// benchmarkSlots and benchmarkRemembered are the numbers of adapters in the slots
+	// and in the memory of one engine, as in the largest deployment.
 	benchmarkSlots      = 8
 	benchmarkRemembered = 40
 )
 
-// BenchmarkChoose measures the choice of an engine by the number of engines, for an
-// adapter that is nowhere: each engine then counts with its place in the adapter's
-// order and what a load from the store costs the others.
+// BenchmarkChoose measures the choice of an engine by the number of engines for an
+// adapter that is not loaded anywhere. The cost of each engine then includes its
+// affinity position and the load from the store.
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{30, 117, 300, 1200} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
--- a/internal/coordination/placer/cost.go
+++ b/internal/coordination/placer/cost.go
@@ -6,130 +6,133 @@
 )
 
 const (
-	// runTime is what each running call counts for: it slows every token a
-	// little, and spreads calls where all else is equal.
-	runTime = 700 * time.Microsecond
-	// fullTime is what a full batch counts for.
-	fullTime = 2 * time.Second
-	// emptyTime is what an engine without its model counts for: it has begun to
-	// load it, from its own disk as a rule. Requests wait there beside the load;
-	// were they kept away, the first engine back would get all that wait.
-	emptyTime = 500 * time.Millisecond
-	// failureTime is what a share of 1 of failures counts for.
-	failureTime = 2 * time.Second
-	// disturbShare is what a prompt counts for, of its reading time, for each
-	// stream that it holds up. It keeps long prompts from engines with many
-	// streams, whose slots are then free sooner: at the users' heaviest days a
-	// seventh more of the long streams came in time than without.
-	disturbShare = 0.1
-	// storeTime is what a load from the weight store counts for, beside the load
-	// itself, where another engine has the adapter: the store serves some thirty
-	// loads a second, and all that wait for theirs wait longer for one more.
-	storeTime = 700 * time.Millisecond
-	// storePins is the number of requests at each engine that holds the adapter
-	// at which the cost of one more copy is half: they will share it.
-	storePins = 3.0
-	// homeTime is what each place in the adapter's order of engines counts for,
-	// where it is loaded nowhere: entries that choose without each other then
-	// load it at the same engine, which keeps its weights in memory.
-	homeTime = 15 * time.Millisecond
+	// runningCallCost is the cost of each running call. A running call slows down every
+	// token slightly; the cost also spreads calls over engines that are otherwise
+	// equal.
+	runningCallCost = 700 * time.Microsecond
+	// fullBatchCost is the cost of a full batch.
+	fullBatchCost = 2 * time.Second
+	// missingModelCost is the cost of an engine that does not have its model yet. It
+	// has begun to load it, normally from its own disk, and requests may wait there
+	// during the load. If such engines were excluded, the first one to finish loading
+	// would receive all waiting requests.
+	missingModelCost = 500 * time.Millisecond
+	// failureCost is the cost of a failure rate of 1.
+	failureCost = 2 * time.Second
+	// streamDelayShare is the cost of reading a prompt, as a share of its reading time,
+	// for each stream delayed by it. It keeps long prompts away from engines with many
+	// streams, whose slots are then released sooner: on days of peak load, a seventh
+	// more of the long streams met their target.
+	streamDelayShare = 0.1
+	// storeLoadCost is the cost of a load from the weight store, in addition to the
+	// load time, if another engine has the adapter. The store serves about thirty loads
+	// per second, and each additional load delays all others that are waiting.
+	storeLoadCost = 700 * time.Millisecond
+	// storeCostHalvingPins is the number of requests per engine holding the adapter at
+	// which the cost of another copy is halved, because the requests will share it.
+	storeCostHalvingPins = 3.0
+	// affinityStepCost is the cost of each position in the adapter's affinity order if
+	// no engine has the adapter. It makes entries that choose independently load the
+	// adapter at the same engine, which then keeps the weights in memory.
+	affinityStepCost = 15 * time.Millisecond
 )
 
-// cost is the expected time until the call's first byte, and what else speaks
-// against the backend server, in time.
-func (o *pool) cost(now time.Time, c *Call, b *backend, seen *survey, s *Settings) time.Duration {
-	cost := time.Duration(b.failures * float64(failureTime))
-	away := b.member.Spec.FailureDomain != s.FailureDomain
+// cost returns the expected time until the call's first byte, plus penalties expressed
+// as time. The caller holds o.mu.
+func (o *pool) cost(now time.Time, c *Call, b *backend, engines *survey, s *Settings) time.Duration {
+	cost := time.Duration(b.failures * float64(failureCost))
+	otherDomain := b.member.Spec.FailureDomain != s.FailureDomain
 	if o.engine == nil {
-		if away {
+		if otherDomain {
 			cost += s.Distance
 		}
 		return cost + o.serviceCost(now, b, s)
 	}
-	if away {
+	if otherDomain {
 		cost += s.PromptDistance
 	}
 	read := b.readTime(c, s)
-	load := b.loading(seen.adapter, c.Version, s)
+	load := b.adapterWait(engines.adapter, c.Version, s)
 	if load > 0 {
-		cost += time.Duration(seen.places[b.index])*homeTime + seen.storeCost(c, b)
+		cost += time.Duration(engines.places[b.index])*affinityStepCost + engines.storeCost(c, b)
 	}
-	if c.Model != "" && !b.holds(c.Model) {
-		load += emptyTime
+	if c.Model != "" && !b.hasModel(c.Model) {
+		load += missingModelCost
 	}
-	cost += read + b.before(now, load) + time.Duration(b.running())*runTime
-	cost += time.Duration(float64(read) * float64(b.running()) * disturbShare)
-	if b.running() >= o.engine.Slots {
-		cost += fullTime
+	cost += read + b.promptWait(now, load) + time.Duration(b.runningCalls())*runningCallCost
+	cost += time.Duration(float64(read) * float64(b.runningCalls()) * streamDelayShare)
+	if b.runningCalls() >= o.engine.Slots {
+		cost += fullBatchCost
 	}
 	return cost
 }
 
-// overlapShare is what counts of the shorter of two waits that pass at the same time:
-// neither is known well.
-const overlapShare = 0.3
+// overlappingWaitShare is the share of the shorter of two concurrent waits that is
+// added to the longer one, since neither is known precisely.
+const overlappingWaitShare = 0.3
 
-// before returns the expected time until the reading of a call's prompt begins that
-// waits for its adapter or the model for the time load. Prompts are read while adapters
-// load, so that the two waits pass together. What waits there for adapters of its own
-// is read before a call that waits too, and after one that does not.
+// promptWait returns the expected time until the engine starts reading the prompt of a
+// call that waits for load for its adapter or model. Prompts are read during loads, so
+// the two waits overlap. Prompts of other calls that wait for adapters are read before
+// a call that waits too, and after one that does not.
 //
-// Without it, the few engines that are back first after a loss of power look idle: all
-// that waits there for its adapter is read at once when the store has brought them,
-// up to two seconds of reading.
-func (b *backend) before(now time.Time, load time.Duration) time.Duration {
+// If waiting prompts were ignored, the first engines to come back after a loss of power
+// would appear idle: all prompts that wait there for an adapter are read as soon as the
+// store has delivered it, which takes up to two seconds.
+func (b *backend) promptWait(now time.Time, load time.Duration) time.Duration {
 	backlog := b.backlog(now)
 	if load <= 0 {
 		return backlog
 	}
 	longer, shorter := max(load, backlog), min(load, backlog)
-	return longer + time.Duration(float64(shorter)*overlapShare) + b.waiting()
+	return longer + time.Duration(float64(shorter)*overlappingWaitShare) + b.waitingRead()
 }
 
-// pairTime is the time by which each token of a prompt makes the reading of each
-// token behind it longer. It doubles the time of prompts of some 50,000 tokens.
-const pairTime = 0.0007 * float64(time.Microsecond)
+// tokenPairTime is the time that each prompt token adds to the reading of each later
+// token. It doubles the reading time of prompts of about 50,000 tokens.
+const tokenPairTime = 0.0007 * float64(time.Microsecond)
 
-// ReadTime returns the time to read the last fresh of a prompt's tokens, at rate
-// tokens a second.
+// ReadTime returns the time to read the last fresh of a prompt's tokens at the given
+// rate, in tokens per second.
 func ReadTime(fresh, tokens int, rate float64) time.Duration {
 	pairs := float64(fresh) * (float64(tokens) - float64(fresh)/2)
-	return time.Duration(float64(fresh)/rate*float64(time.Second) + pairs*pairTime)
+	return time.Duration(float64(fresh)/rate*float64(time.Second) + pairs*tokenPairTime)
 }
 
 func (b *backend) readTime(c *Call, s *Settings) time.Duration {
-	return ReadTime(b.fresh(c), c.Tokens, s.PrefillRate)
+	return ReadTime(b.uncached(c), c.Tokens, s.PrefillRate)
 }
 
-// loadAge is the age up to which a backend server's word on its load counts.
-const loadAge = 400 * time.Millisecond
+// maxLoadAge is the age up to which a load reported by a backend server is used.
+const maxLoadAge = 400 * time.Millisecond
 
-// serviceCost is the time in a plain service's queue: its calls over its places,
-// in call times.
+// serviceCost returns the expected queueing time at a backend server of a plain
+// service: the calls in progress divided by its slots, times the mean duration of a
+// call. The caller holds o.mu.
 func (o *pool) serviceCost(now time.Time, b *backend, s *Settings) time.Duration {
-	calls := b.own
-	if now.Sub(b.loadAt) < loadAge {
+	calls := b.ownCalls
+	if now.Sub(b.loadAt) < maxLoadAge {
 		calls = max(calls, b.load)
 	}
-	took := cmp.Or(b.callTime, s.CallTime)
+	duration := cmp.Or(b.callTime, s.CallTime)
 	places := max(1, b.member.Spec.Slots)
-	return took + time.Duration(float64(calls)/float64(places)*float64(took)) +
+	return duration + time.Duration(float64(calls)/float64(places)*float64(duration)) +
 		time.Duration(o.random.Int64N(int64(time.Millisecond)))
 }
 
-// storeCost is what a load at the backend server costs others where another engine
-// has the call's adapter in a slot or in its memory.
+// storeCost returns the cost that a load at the backend server causes to others if
+// another engine already has the call's adapter in a slot or in memory.
 func (s *survey) storeCost(c *Call, b *backend) time.Duration {
 	if _, warm := b.recent[s.adapter]; warm {
 		return 0
 	}
 	copies, pins := s.copies, s.pins
-	if own, has := b.copyOf(s.adapter, c.Version); has {
+	if own, has := b.findCopy(s.adapter, c.Version); has {
 		copies--
 		pins -= own
 	}
 	if copies == 0 {
 		return 0
 	}
-	return time.Duration(float64(storeTime) / (1 + float64(pins)/float64(copies)/storePins))
+	return time.Duration(float64(storeLoadCost) / (1 + float64(pins)/float64(copies)/storeCostHalvingPins))
 }
--- a/internal/coordination/placer/doc.go
+++ b/internal/coordination/placer/doc.go
@@ -1,11 +1,13 @@
-// Package placer chooses the backend server for an opaque call: a model engine by
-// where its adapter is, what of its prompt was read there, and what waits there; a
-// plain service by its load and by how its answers went lately.
+// Package placer chooses the backend server for a call. Model engines are chosen by
+// adapter residency, cached prompt prefix, and backlog; plain services by load and by
+// recent failures.
 //
-// A choice is by expected time. For an engine it adds up what the call would wait
-// for: the prompts before it, the tokens of its own that are not cached there, its
-// adapter, a free slot. What companions report is late by some 100 ms; calls that
-// this entry has placed since are added to it.
+// Candidates are compared by expected time to the first byte. For an engine this is the
+// sum of the backlog of prompts, the reading of the call's uncached tokens, the load of
+// its adapter, and the wait for a free slot. Companion reports are some 100 ms old when
+// they are used, so calls that this entry has placed since the last report are added to
+// it.
 //
-// Each service is a shard with its own lock. Time is passed in.
+// Each service is a shard with its own lock. The current time is passed in by the
+// caller.
 package placer
--- a/internal/coordination/placer/placer.go
+++ b/internal/coordination/placer/placer.go
@@ -13,30 +13,31 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// ErrNoBackend tells that no backend server of the service can take the call now.
+// ErrNoBackend means that no backend server of the service can take the call now.
 const ErrNoBackend = errors.ConstError("no backend server")
 
-// ErrBusy tells that the backend servers of the service have as many calls as they are to
-// have for now.
+// ErrBusy means that all backend servers of the service have reached their limit of
+// calls.
 const ErrBusy = errors.ConstError("all backend servers are busy")
 
-// Placer chooses backend servers. Several goroutines may use it.
+// Placer chooses backend servers. It is safe for concurrent use.
 type Placer struct {
 	settings Settings
 
 	mu sync.RWMutex
-	// pools holds the services by name; guarded by mu, each pool by its own lock.
+	// pools maps service names to pools. The map is guarded by mu, each pool by its own
+	// lock.
 	pools map[string]*pool
 }
 
-// pool is one service.
+// pool holds the backend servers of one service.
 type pool struct {
 	mu sync.Mutex
-	// backends are sorted by name.
-	backends []*backend
-	engine   *tracker.Engine
-	random   *rand.Rand
-	surveyed survey
+	// backends is sorted by name.
+	backends   []*backend
+	engine     *tracker.Engine
+	random     *rand.Rand
+	lastSurvey survey
 }
 
 // NewPlacer returns a placer without services.
@@ -47,15 +48,15 @@
 	return &Placer{settings: s.withDefaults(), pools: make(map[string]*pool)}
 }
 
-// SetView brings the placer in line with what is known of the deployment. A
-// backend server in the same life keeps what was learnt of it.
+// SetView updates the services and backend servers to those of the view. State learned
+// about a backend server is kept as long as its incarnation is unchanged.
 func (p *Placer) SetView(v *tracker.View) {
 	if v.Routing == nil {
 		return
 	}
 	for i := range v.Routing.Services {
 		s := &v.Routing.Services[i]
-		p.pool(s.Name).set(s.Engine, v.Members(s.Name))
+		p.pool(s.Name).update(s.Engine, v.Members(s.Name))
 	}
 }
 
@@ -74,17 +75,17 @@
 	return p.pools[service]
 }
 
-func (o *pool) set(engine *tracker.Engine, members []tracker.Member) {
+func (o *pool) update(engine *tracker.Engine, members []tracker.Member) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.engine = engine
-	was := make(map[string]*backend, len(o.backends))
+	previous := make(map[string]*backend, len(o.backends))
 	for _, b := range o.backends {
-		was[b.member.Name] = b
+		previous[b.member.Name] = b
 	}
 	o.backends = o.backends[:0:0]
 	for _, m := range members {
-		b := was[m.Name]
+		b := previous[m.Name]
 		if b == nil || b.member.Spec.Incarnation != m.Spec.Incarnation {
 			b = newBackend(m)
 		}
@@ -96,40 +97,41 @@
 	}
 }
 
-// Report takes a companion's report in. It reports whether the engine's whole state
-// is known now; if not, the companion must be asked for it.
+// Report applies a companion's report. It reports whether the engine's complete state
+// is known; if it is not, the caller must request it from the companion.
 func (p *Placer) Report(now time.Time, service string, s EngineState) bool {
 	o := p.pool(service)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b := o.named(s.Name)
+	b := o.find(s.Name)
 	if b == nil || s.Incarnation != "" && b.member.Spec.Incarnation != s.Incarnation {
 		return false
 	}
-	return b.report(now, s)
+	return b.applyState(now, s)
 }
 
-// Suspect has a backend server passed over until a time, as long as there are others.
+// Suspect marks a backend server to be avoided until the given time if there are
+// others.
 func (p *Placer) Suspect(service, name string, until time.Time) {
 	o := p.pool(service)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if b := o.named(name); b != nil && b.suspectUntil.Before(until) {
+	if b := o.find(name); b != nil && b.suspectUntil.Before(until) {
 		b.suspectUntil = until
 	}
 }
 
-// HasReport reports whether the state of an engine in its present life is known.
+// HasReport reports whether the state of the engine's current incarnation is known.
 func (p *Placer) HasReport(service, name string) bool {
 	o := p.pool(service)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b := o.named(name)
+	b := o.find(name)
 	return b != nil && b.reported()
 }
 
-// named returns the backend server, or nil.
-func (o *pool) named(name string) *backend {
+// find returns the backend server with the name, or nil. The caller holds o.mu.
+func (o *pool) find(name string) *backend {
 	for _, b := range o.backends {
 		if b.member.Name == name {
 			return b
@@ -138,26 +140,26 @@
 	return nil
 }
 
-// Choose picks the backend server for a call and counts the call there until
-// Finish. It fails with ErrNoBackend where there is none to take it, and with ErrBusy
-// where those of a plain service are to get no more for now.
+// Choose selects the backend server for a call and counts the call there until Finish.
+// It returns ErrNoBackend if none can take the call, and ErrBusy if the backend servers
+// of a plain service have reached their limits.
 func (p *Placer) Choose(now time.Time, c *Call, choice *Choice) error {
 	o := p.pool(c.Service)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	busy := false
-	may := func(b *backend) bool {
+	eligible := func(b *backend) bool {
 		if slices.Contains(c.Avoid, b.member.Name) {
 			return false
 		}
-		open := o.engine != nil || b.open(now, c)
-		busy = busy || !open
-		return open
+		accepts := o.engine != nil || b.accepts(now, c)
+		busy = busy || !accepts
+		return accepts
 	}
-	best := o.best(now, c, &p.settings, func(b *backend) bool { return !now.Before(b.suspectUntil) && may(b) })
+	best := o.best(now, c, &p.settings, func(b *backend) bool { return !now.Before(b.suspectUntil) && eligible(b) })
 	if best == nil {
-		// All are suspect: one that may be well again is better than none.
-		best = o.best(now, c, &p.settings, may)
+		// All candidates are suspect. Try one anyway, since it may have recovered.
+		best = o.best(now, c, &p.settings, eligible)
 	}
 	switch {
 	case best == nil && busy:
@@ -165,12 +167,12 @@
 	case best == nil:
 		return errors.Trace(ErrNoBackend)
 	}
-	o.take(now, c, best, choice, &p.settings)
+	o.record(now, c, best, choice, &p.settings)
 	return nil
 }
 
-// ChooseNamed counts a call at a backend server that the caller names. It fails with
-// ErrNoBackend where that one does not serve.
+// ChooseNamed counts a call at the named backend server until Finish. It returns
+// ErrNoBackend if that server is not serving.
 func (p *Placer) ChooseNamed(now time.Time, c *Call, name string, choice *Choice) error {
 	o := p.pool(c.Service)
 	o.mu.Lock()
@@ -179,13 +181,13 @@
 	if best == nil {
 		return errors.Trace(ErrNoBackend)
 	}
-	o.take(now, c, best, choice, &p.settings)
+	o.record(now, c, best, choice, &p.settings)
 	return nil
 }
 
-// Second picks another backend server for a call that was placed, to take it over
-// if the first is lost, and reports whether there is one. Nothing is counted there.
-// One that has the call's adapter goes on soonest.
+// Second selects another backend server that can take over a placed call if the first
+// one is lost, and reports whether there is one. The call is not counted there. Backend
+// servers that have the call's adapter are preferred, since they can resume it soonest.
 func (p *Placer) Second(now time.Time, c *Call, first, second *Choice) bool {
 	o := first.pool
 	o.mu.Lock()
@@ -200,15 +202,15 @@
 	return true
 }
 
-func (o *pool) best(now time.Time, c *Call, s *Settings, may func(*backend) bool) *backend {
+func (o *pool) best(now time.Time, c *Call, s *Settings, eligible func(*backend) bool) *backend {
 	var best *backend
 	var least time.Duration
-	seen := o.survey(c)
+	engines := o.survey(c)
 	for _, b := range o.backends {
-		if b.member.Spec.State != storer.MemberStateServing || !may(b) {
+		if b.member.Spec.State != storer.MemberStateServing || !eligible(b) {
 			continue
 		}
-		cost := o.cost(now, c, b, seen, s)
+		cost := o.cost(now, c, b, engines, s)
 		if best == nil || cost < least {
 			best, least = b, cost
 		}
@@ -216,78 +218,81 @@
 	return best
 }
 
-// take counts the call at the backend server that best chose, and fills in the choice.
-func (o *pool) take(now time.Time, c *Call, b *backend, choice *Choice, s *Settings) {
+// record counts the call at the backend server that best returned and fills in the
+// choice. The caller holds o.mu.
+func (o *pool) record(now time.Time, c *Call, b *backend, choice *Choice, s *Settings) {
 	*choice = Choice{
 		Name: b.member.Name, Address: b.member.Spec.Address, Incarnation: b.member.Spec.Incarnation,
-		Domain: b.member.Spec.FailureDomain, Away: b.member.Spec.FailureDomain != s.FailureDomain, Running: b.running(), Age: -1, backend: b, pool: o, began: now,
+		Domain: b.member.Spec.FailureDomain, Away: b.member.Spec.FailureDomain != s.FailureDomain, Running: b.runningCalls(), Age: -1, backend: b, pool: o, startedAt: now,
 	}
 	if b.reported() {
 		choice.Age = now.Sub(b.reportedAt)
 	}
 	if o.engine != nil {
-		choice.Backlog, choice.Load = b.backlog(now), b.loading(o.surveyed.adapter, c.Version, s)
+		choice.Backlog, choice.Load = b.backlog(now), b.adapterWait(o.lastSurvey.adapter, c.Version, s)
 		choice.Read = b.readTime(c, s)
-		choice.fresh = choice.Read
-		if choice.Load > 0 || c.Model != "" && !b.holds(c.Model) {
-			b.placedWaiting += choice.Read
+		choice.pendingRead = choice.Read
+		if choice.Load > 0 || c.Model != "" && !b.hasModel(c.Model) {
+			b.placedWaitingRead += choice.Read
 		} else {
-			b.placed += choice.Read
+			b.placedRead += choice.Read
 		}
 		for _, hash := range c.Parts {
 			b.cached[hash] = struct{}{}
 		}
-		if name := o.surveyed.adapter; name != "" && choice.Load > 0 {
-			b.hoped[name] = AdapterState{Name: name, Version: c.Version, Loading: true, Pins: 1}
+		if name := o.lastSurvey.adapter; name != "" && choice.Load > 0 {
+			b.pendingAdapters[name] = AdapterState{Name: name, Version: c.Version, Loading: true, Pins: 1}
 		}
 	}
-	choice.Expected = o.cost(now, c, b, &o.surveyed, s)
-	b.own++
+	choice.Expected = o.cost(now, c, b, &o.lastSurvey, s)
+	b.ownCalls++
 	b.placedCalls++
 }
 
-// Finish ends a call at the backend server of a choice.
+// Finish ends a call at the chosen backend server and records its outcome.
 func (p *Placer) Finish(now time.Time, choice *Choice, e Outcome) {
 	o := choice.pool
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	b := choice.backend
-	b.own--
+	b.ownCalls--
 	b.placedCalls = max(0, b.placedCalls-1)
-	b.note(now, e, now.Sub(choice.began), &p.settings)
+	b.recordOutcome(now, e, now.Sub(choice.startedAt), &p.settings)
 	if e == OutcomeSuccess && b.loadAt.IsZero() {
-		// One that tells nothing of its load has room until it turns calls away.
-		b.throttle.RecordAnswer(now, choice.began, 0, b.callTime, o.random)
+		// A server that does not report its load has capacity until it rejects a call.
+		b.throttle.RecordAnswer(now, choice.startedAt, 0, b.callTime, o.random)
 	}
 }
 
-// RecordRejection takes in that a backend server of a plain service was full.
+// TurnedAway records that a backend server of a plain service rejected the call because
+// it was full.
 func (p *Placer) TurnedAway(now time.Time, choice *Choice) {
 	choice.pool.mu.Lock()
 	defer choice.pool.mu.Unlock()
 	b := choice.backend
-	b.throttle.TurnedAway(now, choice.began, min(b.callTime, p.settings.CallTime), choice.pool.random)
+	b.throttle.TurnedAway(now, choice.startedAt, min(b.callTime, p.settings.CallTime), choice.pool.random)
 }
 
-// RecordFirstByte notes that the first byte of the answer came: the prompt has been read.
+// RecordFirstByte records that the first byte of the answer has arrived, which means
+// that the prompt has been read. Repeated calls have no effect.
 func (p *Placer) RecordFirstByte(_ time.Time, choice *Choice) {
 	o := choice.pool
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if choice.first {
+	if choice.firstByteSeen {
 		return
 	}
-	choice.first = true
-	choice.backend.placed = max(0, choice.backend.placed-choice.fresh)
-	choice.backend.placedWaiting = max(0, choice.backend.placedWaiting-choice.fresh)
+	choice.firstByteSeen = true
+	choice.backend.placedRead = max(0, choice.backend.placedRead-choice.pendingRead)
+	choice.backend.placedWaitingRead = max(0, choice.backend.placedWaitingRead-choice.pendingRead)
 }
 
-// ReportLoad takes a backend server's own word on its load in: running and waiting
-// calls.
+// ReportLoad records the load that a backend server reported with an answer, as the
+// number of its running and waiting calls.
 func (p *Placer) ReportLoad(now time.Time, choice *Choice, calls int) {
 	choice.pool.mu.Lock()
 	defer choice.pool.mu.Unlock()
 	b := choice.backend
 	b.load, b.loadAt = calls, now
-	b.throttle.RecordAnswer(now, choice.began, calls, min(b.callTime, p.settings.CallTime), choice.pool.random)
+	b.throttle.RecordAnswer(now, choice.startedAt, calls, min(b.callTime, p.settings.CallTime), choice.pool.random)
 }
--- a/internal/coordination/placer/placer_test.go
+++ b/internal/coordination/placer/placer_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Unix(0, 0)
 
-// deployment is a placer before engines, and what they report.
+// deployment is a placer with a set of engines and the reports they send.
 type deployment struct {
 	placer   *placer.Placer
 	members  []tracker.Member
@@ -31,7 +31,7 @@
 
 func newDeployment(count int) *deployment { return newDeploymentAt("a", count) }
 
-// newDeploymentAt returns one whose entry is in a failure domain.
+// newDeploymentAt returns a deployment whose entry is in the given failure domain.
 func newDeploymentAt(domain string, count int) *deployment {
 	d := &deployment{
 		placer:  placer.NewPlacer(placer.Settings{FailureDomain: domain, Random: rand.New(rand.NewPCG(1, 2))}),
@@ -47,7 +47,7 @@
 	return d
 }
 
-// publish tells the placer of the members as they are now.
+// publish updates the placer with the current members.
 func (d *deployment) publish() {
 	GinkgoHelper()
 	t := tracker.NewTracker(tracker.Settings{Decode: func([]byte) (*tracker.Routing, error) {
@@ -64,7 +64,7 @@
 	d.placer.SetView(t.View())
 }
 
-// report has an engine report its state.
+// report sends a complete state of engine i to the placer.
 func (d *deployment) report(now time.Time, i int, s placer.EngineState) {
 	d.sequence++
 	s.Name, s.Incarnation, s.Life, s.Sequence = d.members[i].Name, d.members[i].Spec.Incarnation, 1, d.sequence
@@ -92,7 +92,7 @@
 }
 
 var _ = Describe("A placer of engines", func() {
-	It("goes where the adapter is", func() {
+	It("chooses the engine that holds the adapter", func() {
 		d := newDeployment(6)
 		for i := range 6 {
 			d.report(start, i, placer.EngineState{})
@@ -101,7 +101,7 @@
 		Expect(d.choose(start, adapterCall("a1", 1000)).Name).To(Equal("e04"))
 	})
 
-	It("goes where the prompt was read, all else being equal", func() {
+	It("chooses the engine with the cached prompt, all else being equal", func() {
 		d := newDeployment(3)
 		hash := placer.PartHash(model, "a1", 1, 0, 7)
 		d.report(start, 0, placer.EngineState{Adapters: held("a1")})
@@ -112,16 +112,16 @@
 		Expect(d.choose(start, c).Name).To(Equal("e01"))
 	})
 
-	It("leaves an engine before which long prompts wait", func() {
+	It("avoids an engine with a long prompt backlog", func() {
 		d := newDeployment(2)
 		d.report(start, 0, placer.EngineState{Adapters: held("a1"), BacklogMillis: 2500})
 		d.report(start, 1, placer.EngineState{})
 		Expect(d.choose(start, adapterCall("a1", 1000)).Name).To(Equal("e01"))
 		later := start.Add(2 * time.Second)
-		Expect(d.choose(later, adapterCall("a1", 1000)).Name).To(Equal("e00"), "a backlog passes by itself")
+		Expect(d.choose(later, adapterCall("a1", 1000)).Name).To(Equal("e00"), "the backlog decreases over time")
 	})
 
-	It("prefers an engine that holds the adapter in its own memory to a load from the store", func() {
+	It("prefers an engine with the adapter in memory to a load from the store", func() {
 		d := newDeployment(4)
 		for i := range 4 {
 			d.report(start, i, placer.EngineState{})
@@ -130,14 +130,14 @@
 		Expect(d.choose(start, adapterCall("a1", 100)).Name).To(Equal("e03"))
 	})
 
-	It("passes over an engine whose slots are all in use", func() {
+	It("avoids an engine whose slots are all in use", func() {
 		d := newDeployment(2)
 		d.report(start, 0, placer.EngineState{Adapters: held("b1", "b2", "b3", "b4", "b5", "b6", "b7", "b8")})
 		d.report(start, 1, placer.EngineState{Adapters: held("b1", "b2", "b3"), BacklogMillis: 300})
 		Expect(d.choose(start, adapterCall("a1", 100)).Name).To(Equal("e01"))
 	})
 
-	It("passes over an engine that still serves an earlier version", func() {
+	It("avoids an engine that still serves an earlier version", func() {
 		d := newDeployment(2)
 		d.report(start, 0, placer.EngineState{Adapters: held("a1")})
 		d.report(start, 1, placer.EngineState{})
@@ -146,7 +146,7 @@
 		Expect(d.choose(start, c).Name).To(Equal("e01"))
 	})
 
-	It("passes over an engine without its model", func() {
+	It("avoids an engine without its model", func() {
 		d := newDeployment(2)
 		d.members[0].Spec.BaseModel, d.members[0].Spec.Incarnation = "", "i-new"
 		d.publish()
@@ -155,7 +155,7 @@
 		}
 	})
 
-	It("gives an engine that leaves nothing", func() {
+	It("never chooses a leaving engine", func() {
 		d := newDeployment(2)
 		d.members[0].Spec.State = storer.MemberStateLeaving
 		d.publish()
@@ -164,7 +164,7 @@
 		}
 	})
 
-	It("believes no report of an earlier life, nor an older one", func() {
+	It("ignores reports of another incarnation and outdated reports", func() {
 		d := newDeployment(1)
 		d.report(start, 0, placer.EngineState{BacklogMillis: 1000})
 		d.placer.Report(start, engines, placer.EngineState{Name: "e00", Incarnation: "i-0", Life: 1, Sequence: 0, BacklogMillis: 9000})
@@ -172,11 +172,11 @@
 		Expect(d.choose(start, adapterCall("a1", 0)).Backlog).To(Equal(time.Second))
 	})
 
-	// Symptom: an entry sends requests to an engine whose slots it does not know, for
-	// as long as nothing changes there that it is told. Sequence: a companion tells
-	// the whole before the entry has heard of its engine, or of the engine's new life;
-	// what it tells later builds on that. Cause: a part was taken for the whole.
-	It("asks for the whole where a part builds on what it does not know", func() {
+	// Guards against treating a delta as a complete state. A companion sends its
+	// complete state before the entry knows the engine or its new incarnation, so the
+	// entry drops it; the next report is a delta. If it is accepted, the entry sends
+	// requests to an engine whose slots it does not know until the next change there.
+	It("requests the complete state if the base of a delta is unknown", func() {
 		d := newDeployment(2)
 		part := placer.EngineState{Name: "e00", Incarnation: "i-0", Life: 1, Sequence: 2, BacklogMillis: 9000}
 		Expect(d.placer.Report(start, engines, part)).To(BeFalse())
@@ -185,16 +185,16 @@
 		Expect(d.placer.Report(start, engines, whole)).To(BeTrue())
 		Expect(d.placer.HasReport(engines, "e00")).To(BeTrue())
 		part.Sequence = 5
-		Expect(d.placer.Report(start, engines, part)).To(BeFalse(), "one in between was missed")
+		Expect(d.placer.Report(start, engines, part)).To(BeFalse(), "a report in between was lost")
 		d.members[0].Spec.Incarnation = "i-new"
 		d.publish()
 		part.Sequence, part.Incarnation = 4, "i-new"
-		Expect(d.placer.Report(start, engines, part)).To(BeFalse(), "another life of the engine")
+		Expect(d.placer.Report(start, engines, part)).To(BeFalse(), "another incarnation of the engine")
 		whole.Incarnation = "i-gone"
-		Expect(d.placer.Report(start, engines, whole)).To(BeFalse(), "a life that is not known yet")
+		Expect(d.placer.Report(start, engines, whole)).To(BeFalse(), "an incarnation that is not known yet")
 	})
 
-	It("adds what has changed to what it knows", func() {
+	It("applies a delta to the known state", func() {
 		d := newDeployment(1)
 		d.report(start, 0, placer.EngineState{Adapters: held("a1", "a2"), Entries: 7})
 		part := placer.EngineState{
@@ -207,7 +207,7 @@
 		Expect(d.choose(start, adapterCall("a1", 0)).Load).To(Equal(placer.DefaultWarmLoad))
 	})
 
-	It("passes over who could not be reached, for a while, and takes it where it is the only one", func() {
+	It("avoids an unreachable engine for a while, unless it is the only one", func() {
 		d := newDeployment(2)
 		choice := d.choose(start, adapterCall("a1", 100))
 		d.placer.Finish(start, &choice, placer.OutcomeUnreachable)
@@ -223,7 +223,7 @@
 		Expect(d.placer.Choose(start, c, &none)).To(MatchError(placer.ErrNoBackend))
 	})
 
-	It("finds a second engine for a copy, other than the first", func() {
+	It("finds a standby engine other than the first", func() {
 		d := newDeployment(3)
 		for i := range 3 {
 			d.report(start, i, placer.EngineState{Adapters: held("a1")})
@@ -238,15 +238,15 @@
 	})
 })
 
-// store is a weight store that brings one adapter at a time, and the engines that
-// keep what they were brought.
+// store models the weight store and the adapters that each engine holds.
 type store struct {
 	loads int
-	// held holds the adapters of each engine, the last used at the end.
+	// held lists the adapters of each engine, most recently used last.
 	held map[string][]string
 }
 
-// use loads the adapter where it is missing, and lets the one used longest ago go.
+// use loads the adapter if the engine does not hold it, and evicts the least recently
+// used one.
 func (s *store) use(engine, adapter string) {
 	kept := s.held[engine][:0:0]
 	found := false
@@ -267,11 +267,10 @@
 }
 
 var _ = Describe("Under a skewed load of many adapters", func() {
-	// The pattern: some thousand adapters whose popularity falls off as their rank
-	// to the power of 1.2, before 18 engines with 8 slots each, as the users have
-	// them. A store that brings some thirty a second is what all wait for, so that
-	// the number of loads decides who is late.
-	// Entries in three failure domains choose without each other.
+	// Workload: 3,000 adapters with Zipf-distributed popularity, exponent 1.2, on 18
+	// engines with 8 slots each, as in production. A store that delivers about thirty
+	// adapters per second is the bottleneck, so the number of loads determines which
+	// calls are late. Entries in three failure domains choose independently.
 	run := func(choose func(d *deployment, now time.Time, adapter string) string) int {
 		var entries []*deployment
 		for _, domain := range []string{"a", "b", "c"} {
@@ -300,7 +299,7 @@
 		return s.loads
 	}
 
-	It("loads less than half of what a choice by load alone does", func() {
+	It("needs fewer than half as many loads as round robin", func() {
 		placed := run(func(d *deployment, now time.Time, adapter string) string {
 			choice := d.choose(now, adapterCall(adapter, 1000))
 			d.placer.Finish(now, &choice, placer.OutcomeSuccess)
@@ -328,7 +327,7 @@
 	}
 	call := &placer.Call{Service: engines}
 
-	It("spreads calls", func() {
+	It("spreads calls evenly", func() {
 		d := newService()
 		count := map[string]int{}
 		for range 18 {
@@ -340,7 +339,7 @@
 		}
 	})
 
-	It("believes what a backend server says of its load, for a moment", func() {
+	It("uses the load reported by a backend server for a limited time", func() {
 		d := newService()
 		first := d.choose(start, call)
 		d.placer.ReportLoad(start, &first, 30)
@@ -350,7 +349,7 @@
 		}
 	})
 
-	It("sends crowded backend servers less, and what is late none", func() {
+	It("sends fewer calls to overloaded backend servers, and no late calls", func() {
 		d := newService()
 		now := start
 		crowd := func(calls int) {
@@ -370,7 +369,7 @@
 		for d.placer.Choose(now.Add(time.Second), call, &choice) == nil {
 			count++
 		}
-		Expect(count).To(Equal(len(d.members)), "one each")
+		Expect(count).To(Equal(len(d.members)), "one call each")
 		late := &placer.Call{Service: engines, Late: true}
 		Expect(d.placer.Choose(now.Add(time.Second), late, &choice)).To(MatchError(placer.ErrBusy))
 		for range 40 {
@@ -379,9 +378,9 @@
 		Expect(d.placer.Choose(now.Add(time.Second), late, &choice)).To(Succeed())
 	})
 
-	It("turns away from one that fails part of its calls", func() {
-		// The pattern: a backend server fails two calls of five at once, and so
-		// looks as if it were free.
+	It("avoids a backend server that fails some of its calls", func() {
+		// A backend server fails two of five calls immediately and therefore appears to
+		// be idle.
 		d := newService()
 		count := map[string]int{}
 		random := rand.New(rand.NewPCG(5, 6))
@@ -390,21 +389,21 @@
 			now = now.Add(10 * time.Millisecond)
 			choice := d.choose(now, call)
 			count[choice.Name]++
-			ending := placer.OutcomeSuccess
+			outcome := placer.OutcomeSuccess
 			if choice.Name == "e00" && random.Float64() < 0.4 {
-				ending = placer.OutcomeServerError
+				outcome = placer.OutcomeServerError
 			}
-			d.placer.Finish(now.Add(20*time.Millisecond), &choice, ending)
+			d.placer.Finish(now.Add(20*time.Millisecond), &choice, outcome)
 		}
 		Expect(count["e00"]).To(BeNumerically("<", 100))
 	})
 })
 
 var _ = Describe("Long prompts and long streams", func() {
-	It("keep apart", func() {
-		// The pattern: a third of the calls bring long prompts and short answers,
-		// the others short prompts and long streams. An engine reads prompts between
-		// the tokens of its streams, so that one long prompt holds all of them up.
+	It("are placed on different engines", func() {
+		// A third of the calls have long prompts and short answers, the others short
+		// prompts and long streams. An engine reads prompts between the tokens of its
+		// streams, so one long prompt delays all of them.
 		d := newDeployment(4)
 		for i := range 4 {
 			running := 0
--- a/internal/coordination/placer/settings.go
+++ b/internal/coordination/placer/settings.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// Defaults of Settings. Times of a load are those that the users' engines have.
+// Defaults of Settings. The load times are those of the deployed engines.
 const (
-	// DefaultPrefillRate is the number of prompt tokens that an engine reads in a
+	// DefaultPrefillRate is the rate at which an engine reads prompts, in tokens per
 	// second.
 	DefaultPrefillRate = 38_000.0
-	// DefaultColdLoad is the time to load an adapter from the weight store, and
+	// DefaultColdLoad is the time to load an adapter from the weight store,
 	// DefaultWarmLoad from the engine's own memory.
 	DefaultColdLoad = 250 * time.Millisecond
 	DefaultWarmLoad = 25 * time.Millisecond
-	// DefaultDistance is what the way to another failure domain counts for: the
-	// round trip, twice.
+	// DefaultDistance is the cost of a call to another failure domain: twice the
+	// round-trip time.
 	DefaultDistance = 4 * time.Millisecond
-	// DefaultPromptDistance is what it counts for with prompts and streams, whose
-	// bytes between failure domains the users pay for. It is half of a load from
-	// the store, so that an adapter that is asked for in a domain for a while is
-	// loaded there: a fifth of all bytes between domains.
+	// DefaultPromptDistance is the corresponding cost for prompts and streams, whose
+	// traffic between failure domains is billed. At half the time of a load from the
+	// store, an adapter that is in steady demand in a failure domain gets loaded there,
+	// which saves a fifth of the bytes sent between domains.
 	DefaultPromptDistance = 120 * time.Millisecond
-	// DefaultCallTime is the assumed time of a plain service's call before one was
-	// measured.
+	// DefaultCallTime is the assumed duration of a call to a plain service before one
+	// has been measured.
 	DefaultCallTime = 60 * time.Millisecond
-	// DefaultSuspicion is for how long a backend server is passed over after it
-	// could not be reached; it doubles up to DefaultSuspicionMax.
+	// DefaultSuspicion is how long an unreachable backend server is avoided. The time
+	// doubles with each failed attempt, up to DefaultSuspicionMax.
 	DefaultSuspicion    = 300 * time.Millisecond
 	DefaultSuspicionMax = 3 * time.Second
 )
 
-// Settings are a Placer's options. The zero value of a field means its documented
-// default.
+// Settings are the options of a Placer. A field with the zero value takes its
+// documented default.
 type Settings struct {
 	FailureDomain string
-	// PrefillRate is in tokens a second.
+	// PrefillRate is in tokens per second.
 	PrefillRate float64
 	ColdLoad    time.Duration
 	WarmLoad    time.Duration
 	Distance    time.Duration
-	// PromptDistance takes the place of Distance for engines.
+	// PromptDistance replaces Distance for engines.
 	PromptDistance time.Duration
 	CallTime       time.Duration
 	Suspicion      time.Duration
 	SuspicionMax   time.Duration
-	// Random breaks ties. Required.
+	// Random is used to break ties. It is required.
 	Random *rand.Rand
 }
 
--- a/internal/coordination/placer/state.go
+++ b/internal/coordination/placer/state.go
@@ -1,52 +1,53 @@
 package placer
 
-// AdapterState is one occupied adapter slot.
+// AdapterState describes one occupied adapter slot.
 type AdapterState struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Version uint64
-	// Loading means that it can't be used yet.
+	// Loading reports that the adapter is not usable yet.
 	Loading bool
-	// Pins is the number of requests that use it.
+	// Pins is the number of requests using the adapter.
 	Pins int
 }
 
-// EngineState is what a companion tells of the engine beside it: the whole at
-// first, and then what has changed. Every entry is told of every engine, so that its
-// size is most of what goes between failure domains.
+// EngineState is a companion's report on its engine. The first report is complete;
+// later ones carry only what has changed. Every entry receives the reports of every
+// engine, so their size dominates the traffic between failure domains.
 type EngineState struct {
 	_ struct{} `cbor:",toarray"`
 	// Name and Incarnation identify the engine.
 	Name        string
 	Incarnation string
-	// Sequence rises by one with each state of one companion's life, and Life
-	// between lives.
+	// Sequence increases by one with each report of one companion process; Life
+	// increases with each incarnation of the companion.
 	Life     uint64
 	Sequence uint64
-	// Whole means that this is all that there is. Otherwise it adds to the state
-	// with the Sequence before; Incarnation, Life, Models, Entries and MaxAdapters
-	// are as they were where they are empty.
+	// Whole marks a complete state. Otherwise the report is a delta against the state
+	// with the preceding Sequence; empty values of Incarnation, Life, Models, Entries
+	// and MaxAdapters are unchanged.
 	Whole bool
-	// Models are those that the engine holds.
+	// Models lists the models that the engine has loaded.
 	Models []string
-	// Running is the number of requests admitted and not released.
+	// Running is the number of requests admitted and not yet released.
 	Running int
-	// BacklogMillis is the estimated time until the prompts admitted so far have
-	// been read.
+	// BacklogMillis is the estimated time, in milliseconds, until all prompts admitted
+	// so far have been read.
 	BacklogMillis int
-	// WaitingMillis is the time to read the prompts of the requests that wait there
-	// for their adapter or model.
+	// WaitingMillis is the time, in milliseconds, to read the prompts of requests that
+	// wait for their adapter or model.
 	WaitingMillis int
-	// Adapters are the slots that have changed, and Gone the adapters that have
-	// left theirs.
+	// Adapters lists the slots that have changed; Gone lists the adapters that have
+	// been evicted.
 	Adapters []AdapterState
 	Gone     []string
-	// Entries is the number of entries that the companion tells.
+	// Entries is the number of entries to which the companion reports.
 	Entries int
-	// MaxAdapters is the number of adapters held at once.
+	// MaxAdapters is the number of adapter slots.
 	MaxAdapters int
-	// Recent are adapters that left their slots lately, which load fast.
+	// Recent lists recently evicted adapters, which load quickly from the engine's
+	// memory.
 	Recent []string
-	// Cached are the hashes of prompt parts that were read lately, by PartHash.
+	// Cached lists the hashes, by PartHash, of recently read prompt parts.
 	Cached []uint32
 }
--- a/internal/coordination/placer/survey.go
+++ b/internal/coordination/placer/survey.go
@@ -10,31 +10,31 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// survey is what the cost of a call at one engine needs of all engines. It is found
-// once for a choice: found for each engine anew, a choice among 117 engines took 1.1 ms
-// of an entry's processor, and 147 ms among 1,200. It belongs to its pool, whose lock
-// guards it, and is good until the next one is made.
+// survey holds the properties of the whole pool that the cost of a call at a single
+// engine depends on. It is computed once per choice: when it was computed per engine, a
+// choice took 1.1 ms of CPU time with 117 engines and 147 ms with 1,200. It belongs to
+// its pool, is guarded by the pool's lock, and is valid until the next survey.
 type survey struct {
-	// adapter is the call's, as engines name it; empty means none.
+	// adapter is the name of the call's adapter as engines report it; empty means none.
 	adapter string
-	// copies counts the engines that have the adapter in a slot or in their memory,
-	// and pins the requests that use it there.
+	// copies is the number of engines that have the adapter in a slot or in memory, and
+	// pins the number of requests using it there.
 	copies, pins int
-	// ranks are the engines in the adapter's order, the highest hash first, and places
-	// each engine's place in it by its index.
+	// ranks lists the engines by decreasing affinity to the adapter; places maps an
+	// engine's index to its position in ranks.
 	ranks  []rank
 	places []int
 }
 
-// rank is one engine in an adapter's order.
+// rank is an engine's entry in the affinity order of an adapter.
 type rank struct {
 	affinity uint64
 	index    int
 }
 
-// survey looks at all engines for a call.
+// survey computes the survey of all engines for a call. The caller holds o.mu.
 func (o *pool) survey(c *Call) *survey {
-	s := &o.surveyed
+	s := &o.lastSurvey
 	s.adapter, s.copies, s.pins = "", 0, 0
 	if o.engine == nil || c.Adapter == "" {
 		return s
@@ -49,7 +49,7 @@
 			continue
 		}
 		s.ranks = append(s.ranks, rank{affinity: hasher.Mix(hash ^ b.hash), index: i})
-		if pins, has := b.copyOf(s.adapter, c.Version); has {
+		if pins, has := b.findCopy(s.adapter, c.Version); has {
 			s.copies++
 			s.pins += pins
 		}
@@ -61,9 +61,9 @@
 	return s
 }
 
-// copyOf reports whether the backend server has an adapter of a version or newer in a
-// slot, or any in its memory, and how many requests use it.
-func (b *backend) copyOf(adapter string, version uint64) (pins int, has bool) {
+// findCopy reports whether the backend server has the adapter, either in a slot with at
+// least the given version or in memory with any version, and how many requests use it.
+func (b *backend) findCopy(adapter string, version uint64) (pins int, has bool) {
 	a, held := b.slot(adapter)
 	if held && a.Version >= version {
 		return a.Pins, true
--- a/internal/coordination/placer/telling.go
+++ b/internal/coordination/placer/telling.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// The least times between two states of one engine for each entry that is told. Each
-// entry of the engine's own failure domain sends it most of its calls; what the others
-// believe may be older.
+// Minimum time between two reports of one engine, per entry that receives them. Entries
+// in the engine's own failure domain send it most of its calls and need fresher state
+// than the others.
 //
-// They bind where many entries are told: 68 of them, told all within 80 ms, cost each
-// companion 800 messages a second, and each entry as many from 117 companions. At most
-// 100 and 200 states a second leave a companion with these. In the model of that
-// deployment 0.94 of the calls are in time so, as where all are told at once; with 50 to
-// other failure domains 0.91.
+// The limits take effect in large deployments. With 68 entries each updated within 80
+// ms, every companion sent 800 messages per second, and every entry received as many
+// from 117 companions. With these limits a companion sends at most 100 reports per
+// second to its own failure domain and 200 to the others. In a simulation of that
+// deployment 0.94 of the calls then met their target, the same share as without limits;
+// at 50 reports per second to the other failure domains it was 0.91.
 const (
-	nearPerEntry = 10 * time.Millisecond
-	farPerEntry  = 5 * time.Millisecond
+	sameDomainIntervalPerEntry  = 10 * time.Millisecond
+	otherDomainIntervalPerEntry = 5 * time.Millisecond
 )
 
-// ReportInterval returns the time between two states of an engine that a number of
-// entries is told, those of its own failure domain or the others; least is for few.
-func ReportInterval(least time.Duration, entries int, near bool) time.Duration {
-	if near {
-		return max(least, time.Duration(entries)*nearPerEntry)
+// ReportInterval returns the interval between two reports of an engine to the given
+// number of entries, which are either all in its own failure domain or all in others.
+// The interval is at least minimum.
+func ReportInterval(minimum time.Duration, entries int, sameDomain bool) time.Duration {
+	if sameDomain {
+		return max(minimum, time.Duration(entries)*sameDomainIntervalPerEntry)
 	}
-	return max(least, time.Duration(entries)*farPerEntry)
+	return max(minimum, time.Duration(entries)*otherDomainIntervalPerEntry)
 }
 
-// misledTime is the wait beyond the one expected from which a call had better go
-// elsewhere: more than a load, so that a call stays where its adapter has just left its
-// slot, and less than the wait for a slot, or for two lanes.
-const misledTime = 350 * time.Millisecond
+// maxExcessWait is the wait in excess of the expected one from which a call is better
+// redirected. It is longer than a load, so that a call stays when its adapter has just
+// been evicted, and shorter than the wait for a slot or for two concurrent loads.
+const maxExcessWait = 350 * time.Millisecond
 
-// CheckExpectedWait returns how long a call waits for its adapter and for the prompts before it, by
-// an engine's present state, and whether that is much longer than its entry believed.
-// Entries of other failure domains know that state late; a call that finds all slots in
-// use waits most of a second, and its caller may leave meanwhile.
-func CheckExpectedWait(s *EngineState, adapter string, version uint64, believed time.Duration) (wait time.Duration, misled bool) {
+// CheckExpectedWait returns how long a call would wait for its adapter and for the
+// preceding prompts, given the engine's current state, and reports whether that exceeds
+// the wait the entry expected by more than maxExcessWait. State reaches entries in
+// other failure domains late, and a call that finds all slots in use waits most of a
+// second, in which time its caller may disconnect.
+func CheckExpectedWait(s *EngineState, adapter string, version uint64, expected time.Duration) (wait time.Duration, exceeds bool) {
 	b := backend{
 		state: *s, reportedAt: time.Unix(1, 0),
 		adapters: make(map[string]AdapterState, len(s.Adapters)), recent: make(map[string]struct{}, len(s.Recent)),
@@ -42,19 +45,19 @@
 	for _, a := range s.Adapters {
 		b.adapters[a.Name] = a
 	}
-	remember(b.recent, s.Recent)
+	addBounded(b.recent, s.Recent)
 	defaults := Settings{}.withDefaults()
-	wait = b.loading(adapter, version, &defaults) + time.Duration(s.BacklogMillis)*time.Millisecond
-	return wait, wait >= believed+misledTime
+	wait = b.adapterWait(adapter, version, &defaults) + time.Duration(s.BacklogMillis)*time.Millisecond
+	return wait, wait >= expected+maxExcessWait
 }
 
-// CorrectWait takes an engine's own word in that a call which was placed there would wait
-// for a time: others had better go elsewhere until its next state.
+// CorrectWait raises the backlog of the chosen engine to the wait that the engine
+// itself reported for the call, so that further calls avoid it until its next report.
 func (p *Placer) CorrectWait(now time.Time, choice *Choice, wait time.Duration) {
 	choice.pool.mu.Lock()
 	defer choice.pool.mu.Unlock()
 	b := choice.backend
-	if until := now.Add(wait); b.readUntil.Before(until) {
-		b.readUntil = until
+	if until := now.Add(wait); b.backlogUntil.Before(until) {
+		b.backlogUntil = until
 	}
 }
--- a/internal/coordination/placer/urgency.go
+++ b/internal/coordination/placer/urgency.go
@@ -3,27 +3,28 @@
 import "time"
 
 const (
-	// maxUrgency is the last urgency of all; 0 is the first.
+	// maxUrgency is the lowest precedence; 0 is the highest.
 	maxUrgency = 9
-	// urgencyStep is the number of urgencies for each rank of a route: one for each
-	// of the slacks below.
+	// urgencyStep is the number of urgency levels per route rank, one for each slack
+	// class below.
 	urgencyStep = 3
-	// tightSlack and ampleSlack part the calls of one rank by the time that is left
-	// of their target beyond the reading of their prompt. An engine that reads one
-	// prompt after another keeps a call waiting for about one other: 240 ms for a
-	// prompt of 9,200 tokens.
+	// tightSlack and ampleSlack divide the calls of one rank by slack: the time
+	// remaining until the target after the prompt has been read. An engine reads
+	// prompts sequentially, so a call typically waits for about one other prompt: 240
+	// ms for 9,200 tokens.
 	tightSlack = 300 * time.Millisecond
 	ampleSlack = 600 * time.Millisecond
 )
 
-// Urgency returns the urgency of a call, from 0, first, to 9, by the rank of its
-// route, 0 being the highest, and by its slack: the time left of its target beyond
-// what it needs itself.
+// Urgency returns the urgency of a call, from 0 (served first) to 9. It depends on the
+// rank of the call's route, with 0 the highest, and on its slack: the time remaining
+// until the target after the call's own prompt has been read.
 //
-// Engines read prompts one after another. In the order of arrival a prompt of 20,000
-// tokens, which needs half of its target for itself, waits behind small ones that
-// have time to spare, and the largest prompts are late far more often than others.
-// What is late already goes last: it would make others late for nothing.
+// Engines read prompts sequentially. In arrival order, a prompt of 20,000 tokens, which
+// takes half of its target to read, waits behind small prompts that have time to spare,
+// and the largest prompts miss their target far more often than the others. Calls that
+// have already missed their target go last, since serving them first would make other
+// calls late without benefit.
 func Urgency(rank int, slack time.Duration) int {
 	urgency := rank * urgencyStep
 	switch {
--- a/internal/coordination/placer/urgency_test.go
+++ b/internal/coordination/placer/urgency_test.go
@@ -12,15 +12,15 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/placer"
 )
 
-// prompt is a call whose prompt an engine is to read.
+// prompt is a call with a prompt to be read by an engine.
 type prompt struct {
 	arrived, read time.Duration
 	urgency       int
 }
 
-// reads lets an engine read prompts one after another, the most urgent of those that
-// wait first, and returns the share of all, and of the largest tenth, that were read
-// within the target.
+// reads simulates an engine that reads prompts sequentially, in order of urgency among
+// those waiting. It returns the share of all prompts, and of the largest tenth, that
+// were read within the target.
 func reads(prompts []prompt, target time.Duration, urgency func(p prompt) int) (all, largest float64) {
 	sizes := make([]time.Duration, len(prompts))
 	for i, p := range prompts {
@@ -62,20 +62,21 @@
 }
 
 var _ = Describe("Urgency", func() {
-	It("keeps ranks apart, and grows as the slack shrinks", func() {
+	It("separates ranks and depends on the slack", func() {
 		for rank := range 3 {
 			Expect(placer.Urgency(rank, 100*time.Millisecond)).To(Equal(3 * rank))
 			Expect(placer.Urgency(rank, 400*time.Millisecond)).To(Equal(3*rank + 1))
 			Expect(placer.Urgency(rank, time.Second)).To(Equal(3*rank + 2))
-			Expect(placer.Urgency(rank, -time.Second)).To(Equal(3*rank+2), "late already")
+			Expect(placer.Urgency(rank, -time.Second)).To(Equal(3*rank+2), "already late")
 		}
 		Expect(placer.Urgency(7, 0)).To(Equal(9))
 	})
 
-	It("has the largest prompts read in time", func() {
-		// The pattern: prompts of 2,900 tokens beyond the shared 6,300, with a long
-		// tail, at an engine that reads for six tenths of its time, as at the users'
-		// heaviest hours. A target of a second, of which 320 ms go for the adapter.
+	It("reads more of the largest prompts in time", func() {
+		// Prompts of 2,900 tokens on average beyond the shared 6,300, with a long tail,
+		// at an engine that spends six tenths of its time reading, as in the busiest
+		// hours in production. The target is one second, of which 320 ms are needed for
+		// the adapter.
 		const target = 680 * time.Millisecond
 		random := rand.New(rand.NewPCG(7, 8))
 		var prompts []prompt
