--- a/internal/coordination/router/bench_test.go
+++ b/internal/coordination/router/bench_test.go
@@ -32,9 +32,9 @@
 
 var enginePool = router.Pool{Kind: storer.MemberKindEngine, Name: base}
 
-// BenchmarkChoose measures one choice, over all adapters of a size with about one
-// in eight resident somewhere and a few hundred calls in flight. The ends are not
-// counted; BenchmarkChooseAndFinish counts them.
+// BenchmarkChoose measures one choice, cycling over all adapters, with about one in
+// eight resident somewhere and a few hundred calls in flight. Finish is not measured
+// here; see BenchmarkChooseAndFinish.
 func BenchmarkChoose(b *testing.B) {
 	forSizes(b, func(b *testing.B, r *router.Router, names []string) {
 		b.Helper()
@@ -59,7 +59,7 @@
 	})
 }
 
-// BenchmarkChooseAndFinish measures a choice and its end together.
+// BenchmarkChooseAndFinish measures Choose and Finish together.
 func BenchmarkChooseAndFinish(b *testing.B) {
 	forSizes(b, func(b *testing.B, r *router.Router, names []string) {
 		b.Helper()
@@ -75,7 +75,7 @@
 	})
 }
 
-// forSizes runs f with a router that has seen a call for each adapter.
+// forSizes runs f with a router that has had a call for each adapter.
 func forSizes(b *testing.B, f func(b *testing.B, r *router.Router, names []string)) {
 	b.Helper()
 	for _, size := range []struct{ adapters, backends int }{{3000, 20}, {15000, 160}, {61000, 630}} {
@@ -112,8 +112,8 @@
 	r.Finish(now, d, router.CallResult{Served: true, Ran: time.Second})
 }
 
-// BenchmarkMembers measures a change of membership, after which each version
-// finds its homes anew at its next call.
+// BenchmarkMembers measures a change of membership, after which each version recomputes
+// its homes at its next call.
 func BenchmarkMembers(b *testing.B) {
 	for _, n := range []int{20, 160, 630} {
 		b.Run(fmt.Sprintf("Backends=%d", n), func(b *testing.B) {
@@ -133,8 +133,8 @@
 	}
 }
 
-// BenchmarkVersionState measures what the router holds for each version that it
-// has seen a call for.
+// BenchmarkVersionState measures the memory that the router uses for each version that
+// has been called.
 func BenchmarkVersionState(b *testing.B) {
 	for _, n := range []int{3000, 15000, 61000} {
 		b.Run(fmt.Sprintf("Versions=%d", n), func(b *testing.B) {
--- a/internal/coordination/router/choose.go
+++ b/internal/coordination/router/choose.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Choose picks the backend server for the call and counts the call as in flight
-// there until Finish. It writes into d and allocates nothing, unless the
-// version is new to the router. Errors are ErrNoBackend and ErrNoneAvailable; d then
-// holds the candidates passed, and needs no Finish.
+// Choose selects the backend server for the call and counts the call as in flight there
+// until Finish. The result is written to d. Choose does not allocate unless the version
+// is new to the router. It returns ErrNoBackend or ErrNoneAvailable; d then holds the
+// candidates that were skipped and needs no Finish.
 func (r *Router) Choose(now time.Time, c *Call, d *Decision) error {
 	d.reset()
 	w := r.view.Load()
@@ -33,16 +33,16 @@
 		now: now, call: c, decision: d, mean: p.averages.read(), best: -1,
 	}
 	rate := v.call(now, r.settings.DemandHalfLife) * ch.mean.entries(r.settings.Entries)
-	ch.spread(rate)
-	ch.gather()
+	ch.sizeHomes(rate)
+	ch.weighCandidates()
 	if ch.best < 0 {
 		return ErrNoneAvailable
 	}
-	ch.take()
+	ch.commit()
 	return nil
 }
 
-// choice is one choice under way.
+// choice is the state of one call of Choose.
 type choice struct {
 	router   *Router
 	view     *view
@@ -53,37 +53,39 @@
 	call     *Call
 	decision *Decision
 	mean     estimate
-	// placed counts the places that still hold; homes is the number that
-	// demand calls for, and worth the calls that one more would serve.
-	placed int
-	homes  int
-	worth  float64
-	// best is the position of the best candidate so far, or -1, and chosen its
-	// backend server.
+	// residentCount is the number of valid places of the version, homes the number of
+	// homes required by demand, and callsPerHome the number of calls that one more home
+	// would serve.
+	residentCount int
+	homes         int
+	callsPerHome  float64
+	// best is the index of the best candidate so far, or -1; chosen is its backend
+	// server.
 	best   int
 	chosen *backend
 }
 
-// spread works out how many homes the demand needs: the calls in progress at
-// once, by Little's law, over what one backend server takes at the target fill.
-func (h *choice) spread(rate float64) {
+// sizeHomes computes the number of homes required by demand: the number of concurrent
+// calls, by Little's law, divided by the capacity of one backend server at the target
+// fill.
+func (h *choice) sizeHomes(rate float64) {
 	s := &h.router.settings
 	size := float64(DefaultMaxBatch)
 	if n := h.pool.members[0].member.Spec.MaxBatch; n > 0 {
 		size = float64(n)
 	}
 	needed := rate * h.mean.serviceTime / (size * s.TargetFill)
-	h.homes = min(h.version.spreadTo(h.now, needed, s.ShrinkAfter), len(h.pool.members))
-	h.worth = rate / float64(h.homes) * s.DemandHalfLife.Seconds()
+	h.homes = min(h.version.updateSpread(h.now, needed, s.ShrinkAfter), len(h.pool.members))
+	h.callsPerHome = rate / float64(h.homes) * s.DemandHalfLife.Seconds()
 	h.decision.Spread = h.homes
 }
 
-// gather weighs the candidates.
-func (h *choice) gather() {
+// weighCandidates weighs the candidates according to the policy.
+func (h *choice) weighCandidates() {
 	members := h.pool.members
 	switch h.router.settings.Policy {
 	case PolicyRandom:
-		h.drawn(maxCandidates, ReasonPolicy)
+		h.weighRandom(maxCandidates, ReasonPolicy)
 	case PolicyLeastLoaded:
 		for _, b := range members {
 			h.weigh(b, ReasonPolicy)
@@ -94,9 +96,9 @@
 			return h.best < 0
 		})
 	default:
-		h.residents()
-		h.bounded()
-		if b := h.shard.holder(h.view, h.decision.prefix); b != nil && h.view.serving[b.index] {
+		h.weighResidents()
+		h.weighHomes()
+		if b := h.shard.prefixHolder(h.view, h.decision.prefix); b != nil && h.view.serving[b.index] {
 			h.weigh(b, ReasonDrawn)
 		}
 		if len(members) <= maxCandidates {
@@ -104,20 +106,20 @@
 				h.weigh(b, ReasonDrawn)
 			}
 		} else {
-			h.drawn(2, ReasonDrawn)
+			h.weighRandom(2, ReasonDrawn)
 		}
 	}
 	if h.best < 0 {
-		// All that were looked at are tried or suspect; look at some more.
-		h.drawn(maxCandidates, ReasonDrawn)
+		// All candidates so far were tried before or are suspect; sample more.
+		h.weighRandom(maxCandidates, ReasonDrawn)
 	}
 }
 
-// residents weighs the backend servers where the version is believed to be.
-func (h *choice) residents() {
-	const most = 5
+// weighResidents weighs the backend servers on which the version is believed resident.
+func (h *choice) weighResidents() {
+	const maxWeighed = 5
 	v := h.version
-	h.placed = 0
+	h.residentCount = 0
 	if len(v.places) == 0 {
 		return
 	}
@@ -128,8 +130,8 @@
 		if b == nil || !h.view.serving[p.index] {
 			continue
 		}
-		h.placed++
-		if h.placed > most {
+		h.residentCount++
+		if h.residentCount > maxWeighed {
 			continue
 		}
 		reason := ReasonResident
@@ -140,10 +142,10 @@
 	}
 }
 
-// eachHome calls f with the homes in their order until f returns false.
+// eachHome calls f for each home in rendezvous order until f returns false.
 func (h *choice) eachHome(f func(b *backend, i int) bool) {
 	v := h.version
-	if v.homesOf != h.pool.number {
+	if v.homesPool != h.pool.number {
 		v.setHomes(h.pool)
 	}
 	for i := range int(v.homeCount) {
@@ -154,21 +156,21 @@
 	}
 }
 
-// bounded weighs the homes that demand calls for and one to spare. A home with
-// more than its bounded load is passed for the next one (Mirrokni, Thorup and
-// Zadimoghaddam, "Consistent hashing with bounded loads", 2018), so that no
-// version's demand piles up on one backend server.
-func (h *choice) bounded() {
+// weighHomes weighs the homes required by demand and one spare. A home over its bounded
+// load is skipped in favor of the next one (Mirrokni, Thorup and Zadimoghaddam,
+// "Consistent hashing with bounded loads", 2018), so that the demand for a version does
+// not pile up on one backend server.
+func (h *choice) weighHomes() {
 	const boundFactor = 1.25
 	bound := math.Ceil(boundFactor * (h.mean.depth + 1))
 	wanted := h.homes + 1
 	h.eachHome(func(b *backend, i int) bool {
 		reason := ReasonHome
-		if i < h.homes && h.placed < h.homes {
+		if i < h.homes && h.residentCount < h.homes {
 			reason = ReasonPioneer
 		}
-		if h.over(b, bound) {
-			h.decision.pass(b, ReasonOverBound)
+		if h.overBound(b, bound) {
+			h.decision.skip(b, ReasonOverBound)
 			return true
 		}
 		h.weigh(b, reason)
@@ -177,18 +179,18 @@
 	})
 }
 
-// over reports whether the backend server is over its bound and the batch that
-// it may be packed to.
-func (h *choice) over(b *backend, bound float64) bool {
-	if h.decision.has(b) {
+// overBound reports whether the backend server exceeds both its bounded load and the
+// fill target of its batch.
+func (h *choice) overBound(b *backend, bound float64) bool {
+	if h.decision.includes(b) {
 		return false
 	}
 	c := b.condition(h.now, h.router.settings.ReportHalfLife, h.mean.depth)
 	return c.depth >= bound && c.depth >= c.maxBatch*h.router.settings.TargetFill
 }
 
-// drawn weighs n backend servers drawn at random.
-func (h *choice) drawn(n int, reason Reason) {
+// weighRandom weighs n backend servers chosen at random.
+func (h *choice) weighRandom(n int, reason Reason) {
 	for range n {
 		h.weigh(h.pool.members[h.shard.random.IntN(len(h.pool.members))], reason)
 		if reason == ReasonPolicy && h.best >= 0 {
@@ -197,16 +199,16 @@
 	}
 }
 
-// take makes the best candidate the choice.
-func (h *choice) take() {
+// commit makes the best candidate the choice and counts the call there.
+func (h *choice) commit() {
 	d, b := h.decision, h.chosen
 	d.candidates[h.best].Taken = true
 	d.Backend, d.Address = b.member.Name, b.member.Spec.Address
 	d.Incarnation, d.Epoch = b.member.Spec.Incarnation, b.member.Spec.Epoch
 	d.chosen = b
-	d.affine = h.shard.holder(h.view, d.prefix) == b
+	d.affine = h.shard.prefixHolder(h.view, d.prefix) == b
 	if h.call.Version != "" {
-		p, made := h.version.ensure(h.view, b, h.now)
+		p, made := h.version.findOrAdd(h.view, b, h.now)
 		p.pinned++
 		if p.pinned == 1 {
 			b.countPinned(1)
@@ -216,7 +218,7 @@
 			d.loading = true
 		}
 		d.Cold = p.evidence == evidenceLoading
-		d.known, d.shard = h.version, h.shard
+		d.versionState, d.shard = h.version, h.shard
 	}
 	b.begin(h.now, d.loading)
 }
--- a/internal/coordination/router/digest.go
+++ b/internal/coordination/router/digest.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Digest takes in the whole residency of a backend server, sorted, as a digest
-// tells it. The slice is kept and must not be changed. Only what differs from
-// the last digest changes a belief.
+// Digest replaces the set of versions resident at a backend server, as given by a
+// digest; resident must be sorted. The slice is retained and must not be modified
+// afterwards. Only the differences from the previous digest are applied.
 func (r *Router) Digest(now time.Time, backend string, epoch uint64, resident []string) {
 	b := r.view.Load().byName[backend]
 	if b == nil || b.member.Spec.Epoch != epoch {
 		return
 	}
 	b.mu.Lock()
-	former := b.told
-	b.told = resident
+	previous := b.lastDigest
+	b.lastDigest = resident
 	b.mu.Unlock()
-	for _, v := range former {
+	for _, v := range previous {
 		if _, still := slices.BinarySearch(resident, v); !still {
 			r.Resident(now, backend, v, false)
 		}
 	}
 	for _, v := range resident {
-		if _, before := slices.BinarySearch(former, v); !before {
+		if _, before := slices.BinarySearch(previous, v); !before {
 			r.Resident(now, backend, v, true)
 		}
 	}
--- a/internal/coordination/router/finish.go
+++ b/internal/coordination/router/finish.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// CallResult is what a call's end teaches.
+// CallResult describes how a call ended.
 type CallResult struct {
-	// Served means that the version answered, so that it is resident.
+	// Served reports that the version answered, so it is resident.
 	Served bool
-	// LoadFailed means that the version could not be loaded there.
+	// LoadFailed reports that the version could not be loaded there.
 	LoadFailed bool
-	// Stall is the time that the call waited for a load; 0 for none.
+	// Stall is the time that the call waited for a load; 0 if it did not wait.
 	Stall time.Duration
-	// CachedTokens is the part of the prompt that the engine found in its cache.
+	// CachedTokens is the number of prompt tokens that the engine found in its cache.
 	CachedTokens int64
-	// Ran is the time that the call ran, without its waits.
+	// Ran is the time that the call ran, excluding waits.
 	Ran time.Duration
 }
 
-// RecordAnswerStart takes in that the version answers the call: it is resident.
+// RecordAnswerStart records that the version has begun to answer the call and is
+// therefore resident.
 func (r *Router) RecordAnswerStart(now time.Time, d *Decision) {
-	if d.chosen == nil || d.known == nil {
+	if d.chosen == nil || d.versionState == nil {
 		return
 	}
 	d.shard.mu.Lock()
@@ -26,20 +27,21 @@
 	d.confirm(now)
 }
 
-// confirm marks the place as certain. The caller holds the shard's lock.
+// confirm records that the version is certainly resident. The caller holds the shard's
+// lock.
 func (d *Decision) confirm(now time.Time) {
-	if p := d.known.find(d.chosen); p != nil {
+	if p := d.versionState.find(d.chosen); p != nil {
 		p.evidence = evidenceAnswer
 		p.at = now.UnixNano()
 	}
 	if d.loading {
 		d.loading = false
-		d.chosen.loaded()
+		d.chosen.finishLoad()
 	}
 }
 
-// Finish ends the call that Choose counted. A decision without a choice is left
-// as it is.
+// Finish ends the call that Choose counted. It has no effect on a decision without a
+// choice.
 func (r *Router) Finish(now time.Time, d *Decision, e CallResult) {
 	b := d.chosen
 	if b == nil {
@@ -51,11 +53,11 @@
 			b.averages.samplePrefix(e.CachedTokens > 0)
 		}
 	}
-	if d.known != nil {
+	if d.versionState != nil {
 		d.finishVersion(now, e)
 	}
 	b.finish(now, d.loading)
-	d.chosen, d.known, d.loading = nil, nil, false
+	d.chosen, d.versionState, d.loading = nil, nil, false
 }
 
 func (d *Decision) finishVersion(now time.Time, e CallResult) {
@@ -64,22 +66,23 @@
 	if e.Served {
 		d.confirm(now)
 	}
-	if p := d.known.find(d.chosen); p != nil {
+	if p := d.versionState.find(d.chosen); p != nil {
 		p.pinned--
 		if p.pinned == 0 {
 			d.chosen.countPinned(-1)
 		}
 		if e.LoadFailed || p.pinned == 0 && p.evidence == evidenceLoading {
-			d.known.drop(d.chosen, p)
+			d.versionState.dropPlace(d.chosen, p)
 		}
 	}
 	if e.Served && d.prefix != 0 {
-		d.shard.remember(d.chosen, d.prefix)
+		d.shard.recordPrefix(d.chosen, d.prefix)
 	}
 }
 
-// drop ends a belief; calls still in flight there keep their count.
-func (v *version) drop(b *backend, p *place) {
+// dropPlace removes a place. If calls are still in flight there, it only marks the
+// place as loading, so that their count is kept.
+func (v *version) dropPlace(b *backend, p *place) {
 	if p.pinned > 0 {
 		p.evidence = evidenceLoading
 		return
--- a/internal/coordination/router/policy.go
+++ b/internal/coordination/router/policy.go
@@ -2,24 +2,24 @@
 
 //go:generate stringer -type=Policy -trimprefix=Policy
 
-// Policy is a way to choose. All but PolicyMarigold are baselines.
+// Policy is a routing policy. All but PolicyMarigold are baselines.
 type Policy int
 
 // The policies.
 const (
 	// PolicyMarigold weighs stalls against batch fill.
 	PolicyMarigold Policy = iota
-	// PolicyRandom draws at random.
+	// PolicyRandom chooses at random.
 	PolicyRandom
-	// PolicyLeastLoaded takes the least loaded of all.
+	// PolicyLeastLoaded chooses the least loaded of all.
 	PolicyLeastLoaded
-	// PolicyConsistentHash takes the first rendezvous home, whatever its load.
+	// PolicyConsistentHash chooses the first rendezvous home, whatever its load.
 	PolicyConsistentHash
 )
 
 //go:generate stringer -type=Reason -trimprefix=Reason
 
-// Reason tells why a candidate was taken or passed.
+// Reason is the reason why a candidate was considered or skipped.
 type Reason int
 
 // The reasons.
@@ -30,17 +30,18 @@
 	ReasonLoading
 	// ReasonHome means that the backend server is a home of the version.
 	ReasonHome
-	// ReasonPioneer means that it is a home which measured demand calls for
-	// and on which the version is not resident yet.
+	// ReasonPioneer means that the backend server is a home required by the measured
+	// demand on which the version is not resident yet.
 	ReasonPioneer
-	// ReasonOverBound means that it is a home with more than its bounded load.
+	// ReasonOverBound means that the backend server is a home above its bounded load.
 	ReasonOverBound
-	// ReasonDrawn means that it was drawn at random.
+	// ReasonDrawn means that the backend server was chosen at random.
 	ReasonDrawn
-	// ReasonSuspect means that the entry has evidence that it is not well.
+	// ReasonSuspect means that the entry has evidence that the backend server is
+	// unhealthy.
 	ReasonSuspect
-	// ReasonTried means that the call asked to avoid it.
+	// ReasonTried means that the call excluded the backend server.
 	ReasonTried
-	// ReasonPolicy means that a baseline policy looked at it.
+	// ReasonPolicy means that a baseline policy considered the backend server.
 	ReasonPolicy
 )
--- a/internal/coordination/router/pool.go
+++ b/internal/coordination/router/pool.go
@@ -8,7 +8,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Pool names the backend servers which can run the same calls.
+// Pool identifies the backend servers that can run the same calls.
 type Pool struct {
 	Kind storer.MemberKind
 	// Name is the base model of engines, or the announced name of a service.
@@ -18,62 +18,62 @@
 // smoothing is the weight of one new sample in a pool's averages.
 const smoothing = 0.05
 
-// averages are what a pool has shown lately. They outlive member changes.
+// averages holds smoothed measurements of a pool. They are kept when members change.
 type averages struct {
 	mu sync.Mutex
 	// loadTime and serviceTime are smoothed seconds; guarded by mu.
 	loadTime    float64
 	serviceTime float64
-	// depth is the smoothed number of calls that reports show at one backend
-	// server; guarded by mu.
+	// depth is the smoothed number of other entries' calls that reports show at one
+	// backend server; guarded by mu.
 	depth float64
-	// own is the like for the entry's own calls; guarded by mu.
-	own float64
-	// hits is the smoothed share of the prefixes believed to be cached that were;
-	// guarded by mu.
-	hits float64
+	// ownDepth is the corresponding number of the entry's own calls; guarded by mu.
+	ownDepth float64
+	// hitRate is the smoothed share of prefixes believed to be cached that actually
+	// were; guarded by mu.
+	hitRate float64
 }
 
-// firstHits is the belief in prefixes before there is a sample.
-const firstHits = 0.5
+// initialHitRate is the assumed hit rate before the first sample.
+const initialHitRate = 0.5
 
-// estimate is a copy of the averages at one moment.
-type estimate struct{ loadTime, serviceTime, depth, own, hits float64 }
+// estimate is a snapshot of averages.
+type estimate struct{ loadTime, serviceTime, depth, ownDepth, hitRate float64 }
 
-// entries returns how many entries like this one share the pool's work: all
-// calls that reports show over the entry's own. The entry sees only its own part
-// of the demand for a version, and no entry tells another.
+// entries estimates how many entries like this one share the pool's work: the ratio of
+// all calls that reports show to the entry's own. An entry sees only its own part of
+// the demand for a version, and entries do not exchange their demand.
 func (e estimate) entries(guess int) float64 {
-	const few, most = 0.05, 64
-	if e.own < few {
+	const minOwnDepth, maxEntries = 0.05, 64
+	if e.ownDepth < minOwnDepth {
 		return float64(guess)
 	}
-	return min((e.own+e.depth)/e.own, most)
+	return min((e.ownDepth+e.depth)/e.ownDepth, maxEntries)
 }
 
 func newAverages(s *Settings) *averages {
-	return &averages{loadTime: s.LoadTime.Seconds(), serviceTime: s.ServiceTime.Seconds(), hits: firstHits}
+	return &averages{loadTime: s.LoadTime.Seconds(), serviceTime: s.ServiceTime.Seconds(), hitRate: initialHitRate}
 }
 
 func (a *averages) read() estimate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return estimate{loadTime: a.loadTime, serviceTime: a.serviceTime, depth: a.depth, own: a.own, hits: a.hits}
+	return estimate{loadTime: a.loadTime, serviceTime: a.serviceTime, depth: a.depth, ownDepth: a.ownDepth, hitRate: a.hitRate}
 }
 
-// sampleReport takes in what a report shows: other entries' calls, the entry's
-// own at the time, and the load time.
-func (a *averages) sampleReport(depth, own float64, load time.Duration) {
+// sampleReport adds the values of a load report: the calls of other entries, the
+// entry's own calls at the time, and the load time.
+func (a *averages) sampleReport(depth, ownDepth float64, load time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.depth += smoothing * (depth - a.depth)
-	a.own += smoothing * (own - a.own)
+	a.ownDepth += smoothing * (ownDepth - a.ownDepth)
 	if load > 0 {
 		a.loadTime += smoothing * (load.Seconds() - a.loadTime)
 	}
 }
 
-// samplePrefix takes in whether a prefix believed to be cached was.
+// samplePrefix adds whether a prefix believed to be cached actually was.
 func (a *averages) samplePrefix(hit bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,11 +81,11 @@
 	if hit {
 		sample = 1
 	}
-	a.hits += smoothing * (sample - a.hits)
+	a.hitRate += smoothing * (sample - a.hitRate)
 }
 
-// sampleCall takes in the stall of a cold start, where there was one, and the
-// time that the call ran.
+// sampleCall adds the stall of a cold start, or 0 if there was none, and the time that
+// the call ran.
 func (a *averages) sampleCall(stall, ran time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,18 +97,18 @@
 	}
 }
 
-// pool is one pool's serving members in one view. It never changes.
+// pool holds the serving members of one Pool in one view. It is immutable.
 type pool struct {
 	key Pool
-	// number is unique among all member sets of all pools; homes computed for
-	// one number hold as long as the pool has it.
+	// number is unique among all member sets of all pools. Homes computed for a number
+	// are valid as long as the pool has that number.
 	number   uint64
 	members  []*backend
 	averages *averages
 }
 
-// halved returns the share of something that is left after age.
-func halved(age, halfLife time.Duration) float64 {
+// decayFactor returns the share that remains after age.
+func decayFactor(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
--- a/internal/coordination/router/router.go
+++ b/internal/coordination/router/router.go
@@ -12,32 +12,31 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/indexer"
 )
 
-// shardCount is the number of shards; a power of two.
+// shardCount is the number of shards; it must be a power of two.
 const shardCount = 16
 
-// Router chooses backend servers. It may be used by several goroutines.
+// Router chooses backend servers. It is safe for concurrent use.
 type Router struct {
 	settings Settings
 	view     atomic.Pointer[view]
 	shards   [shardCount]shard
 
 	mu sync.Mutex
-	// averages outlive the views; guarded by mu.
+	// averages is kept across views; guarded by mu.
 	averages map[Pool]*averages
-	// generation and number are the last ones given out; guarded by mu.
+	// generation and number are the last values assigned; guarded by mu.
 	generation uint32
 	number     uint64
 }
 
-// shard holds the versions whose hash falls to it.
+// shard holds the versions whose hash maps to it.
 type shard struct {
 	mu sync.Mutex
-	// random draws candidates; guarded by mu.
+	// random selects candidates; guarded by mu.
 	random *rand.Rand
-	// versions are the versions known; guarded by mu.
+	// versions maps names to known versions; guarded by mu.
 	versions map[string]*version
-	// prefixes remember where a prompt's prefix was computed last; guarded by
-	// mu.
+	// prefixes records where prompt prefixes were last computed; guarded by mu.
 	prefixes [prefixCount]prefixPlace
 }
 
@@ -52,13 +51,14 @@
 	return r
 }
 
-// SetMembers replaces the membership. What is known of a membership that goes
-// on is kept; a leaving one gets nothing new from here on.
+// SetMembers replaces the membership. The state of continuing memberships is kept;
+// leaving members receive no new calls. It returns ErrTooMany if there are more members
+// than a router can index.
 func (r *Router) SetMembers(members []indexer.Member) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u := builder{
-		settings: &r.settings, last: r.view.Load(), averages: r.averages,
+		settings: &r.settings, previous: r.view.Load(), averages: r.averages,
 		generation: &r.generation, number: &r.number,
 	}
 	if err := u.build(members); err != nil {
@@ -71,8 +71,8 @@
 // Serves reports whether some backend server serves the pool.
 func (r *Router) Serves(p Pool) bool { return r.view.Load().pools[p] != nil }
 
-// Address returns the companion's address and incarnation of a member, also of
-// a leaving one.
+// Address returns the companion's address and incarnation of a member, including
+// leaving ones.
 func (r *Router) Address(backend string) (address, incarnation string, ok bool) {
 	b := r.view.Load().byName[backend]
 	if b == nil {
@@ -83,9 +83,8 @@
 
 func (r *Router) shard(hash uint64) *shard { return &r.shards[hash%shardCount] }
 
-// version returns what is known of the version, made where nothing is. The
-// caller holds the shard's lock.
-// The caller holds mu.
+// version returns the state of the version, creating it if necessary. The caller holds
+// the shard's lock.
 func (s *shard) version(w *view, name string, hash uint64, limit int, now time.Time) *version {
 	v := s.versions[name]
 	if v == nil {
@@ -98,9 +97,9 @@
 	return v
 }
 
-// evict drops the longest idle of a few versions, the map's order being
-// random. Without it a walk over very many names would fill the memory.
-// The caller holds mu.
+// evict removes the version that has been idle longest among a sample of versions,
+// taken in the random order of map iteration. It bounds memory when calls name very
+// many versions. The caller holds mu.
 func (s *shard) evict(w *view, now time.Time) {
 	const drawn = 8
 	oldest, at, n := "", now.UnixNano()+1, 0
@@ -127,24 +126,25 @@
 	delete(s.versions, oldest)
 }
 
-// Report takes in a backend server's load, from a digest or from an answer.
+// Report applies a backend server's load report, which comes from a digest or from an
+// answer.
 func (r *Router) Report(now time.Time, backend string, report Report) {
 	if b := r.view.Load().byName[backend]; b != nil {
 		b.report(now, report)
 	}
 }
 
-// Suspect makes the entry avoid the backend server for a while: its connection
-// was refused, or its heartbeats stopped. The membership may still hold it for
-// the rest of its lease, and calls sent to it meanwhile would be lost time.
+// Suspect makes the entry avoid the backend server for at least wait, because its
+// connection was refused or its heartbeats stopped. The membership may last until its
+// lease expires, and calls sent there in the meantime would only lose time.
 func (r *Router) Suspect(now time.Time, backend string, wait time.Duration) {
 	if b := r.view.Load().byName[backend]; b != nil {
 		b.suspect(now.Add(max(wait, r.settings.SuspectFor)))
 	}
 }
 
-// Resident takes in a hint that the version is resident at the backend server,
-// or no longer.
+// Resident records a hint that the version is resident at the backend server, or no
+// longer resident.
 func (r *Router) Resident(now time.Time, backend, version string, resident bool) {
 	w := r.view.Load()
 	b := w.byName[backend]
@@ -157,12 +157,12 @@
 	defer s.mu.Unlock()
 	if !resident {
 		if v := s.versions[version]; v != nil {
-			v.evicted(b)
+			v.removeResident(b)
 		}
 		return
 	}
 	v := s.version(w, version, hash, r.settings.MaxVersions/shardCount, now)
-	p, made := v.ensure(w, b, now)
+	p, made := v.findOrAdd(w, b, now)
 	if made {
 		b.countResidents(1)
 	}
@@ -172,10 +172,10 @@
 	p.at = now.UnixNano()
 }
 
-// evicted drops the belief, unless the entry knows better: a call of its own
-// that is in flight there is either served by the version, and then the
-// companion doesn't evict it, or waits for it to be loaded again.
-func (v *version) evicted(b *backend) {
+// removeResident removes the place of the version at the backend server unless the
+// entry has a call in flight there. Such a call is either being served by the version,
+// in which case the companion does not evict it, or waits for it to be loaded again.
+func (v *version) removeResident(b *backend) {
 	p := v.find(b)
 	if p == nil {
 		return
--- a/internal/coordination/router/router_test.go
+++ b/internal/coordination/router/router_test.go
@@ -36,7 +36,7 @@
 var _ = Describe("Router", func() {
 	hot := router.Call{Version: "town/hot@1"}
 
-	It("goes where the version is, by answers and by hints", func() {
+	It("chooses a backend server with the version, by answers and by hints", func() {
 		r := newRouter(router.Settings{}, engines(100, 4, 8))
 		first := pick(r, start, hot)
 		Expect(first.Cold).To(BeTrue())
@@ -67,11 +67,11 @@
 		Expect(same).To(BeNumerically(">", 80))
 	})
 
-	// Symptom: one backend server gets a burst of calls and the others none.
-	// Sequence: reports are 5 s old; one shows an idle backend server, which has
-	// filled since. Cause to prevent: believing a lagging report as it stands, and
-	// not counting what was sent since.
-	It("draws no herd to a report that is 5 s old", func() {
+	// Guards against a burst of calls to one backend server while the others get none.
+	// The reports are 5 s old, and one of them shows an idle backend server that has
+	// filled since. The fault would be to use a lagging report undiscounted and not to
+	// count the calls sent since.
+	It("sends no burst of calls to one backend server on a report that is 5 s old", func() {
 		r := newRouter(router.Settings{}, engines(20, 4, 8))
 		for i := range 20 {
 			running := 6
@@ -90,7 +90,7 @@
 		}
 	})
 
-	It("takes its own calls off a report that counts them", func() {
+	It("subtracts its own calls from a report that includes them", func() {
 		r := newRouter(router.Settings{LoadTime: time.Minute}, engines(2, 4, 8))
 		now := start
 		for range 4 {
@@ -99,12 +99,12 @@
 		d := pick(r, now, hot)
 		r.Report(now.Add(time.Second), d.Backend, router.Report{Running: 5, MaxBatch: 8})
 		wait := pick(r, now.Add(time.Second), hot).Candidates()[0].Wait
-		Expect(wait).To(BeZero(), "5 of its own and none of others")
+		Expect(wait).To(BeZero(), "5 own calls and none of other entries")
 	})
 
-	// Symptom: a request is sent to a backend server that is leaving, or has died
-	// and whose lease still runs.
-	It("avoids at once what is leaving, suspect or tried", func() {
+	// Guards against requests sent to a backend server that is leaving, or that has
+	// died while its lease is still valid.
+	It("immediately avoids backend servers that are leaving, suspect or tried", func() {
 		members := engines(3, 4, 8)
 		r := newRouter(router.Settings{}, members)
 		d := pick(r, start, hot)
@@ -127,9 +127,9 @@
 		Expect(r.Choose(later, &c, &router.Decision{})).To(MatchError(router.ErrNoBackend))
 	})
 
-	// Symptom: calls stall on a backend server that should have their version.
-	// Sequence: the engine restarts empty under a new incarnation.
-	It("forgets what a former life had", func() {
+	// Guards against calls stalling on a backend server that is wrongly believed to
+	// have their version, after its engine restarted empty under a new incarnation.
+	It("discards the residency of a previous incarnation", func() {
 		members := engines(2, 4, 8)
 		r := newRouter(router.Settings{}, members)
 		d := pick(r, start, hot)
@@ -140,11 +140,12 @@
 		Expect(r.SetMembers(members)).To(Succeed())
 		Expect(pick(r, start, hot).Cold).To(BeTrue())
 		r.Digest(start, "engine-000", 1, []string{"town/late@1"})
-		Expect(pick(r, start, router.Call{Version: "town/late@1"}).Cold).To(BeTrue(), "a digest of the former epoch")
+		Expect(pick(r, start, router.Call{Version: "town/late@1"}).Cold).To(BeTrue(), "a digest of the previous epoch")
 	})
 
-	// Symptom: one version's calls queue on one backend server while others idle;
-	// or a version is loaded and evicted again and again as demand swings.
+	// Guards against calls for one version queueing on one backend server while others
+	// idle, and against repeated loads and evictions of a version when demand
+	// fluctuates.
 	It("spreads a hot version by demand, and shrinks with hysteresis", func() {
 		s := router.Settings{LoadTime: 100 * time.Millisecond}
 		r := newRouter(s, engines(20, 4, 8))
@@ -167,14 +168,14 @@
 		Expect(call(time.Second, 30)).To(Equal(1))
 		Expect(homes).To(HaveLen(1))
 		most := call(40*time.Millisecond, 2000)
-		Expect(most).To(BeNumerically("~", 4, 1), "25 calls a second of 1 s, 6.4 to a backend server")
+		Expect(most).To(BeNumerically("~", 4, 1), "25 calls per second of 1 s each, 6.4 per backend server")
 		Expect(len(homes)).To(BeNumerically(">=", 3))
-		Expect(call(50*time.Millisecond, 400)).To(Equal(most), "a small swing changes nothing")
-		Expect(call(time.Second, 30)).To(BeNumerically(">=", most-1), "not at once")
+		Expect(call(50*time.Millisecond, 400)).To(Equal(most), "a small fluctuation has no effect")
+		Expect(call(time.Second, 30)).To(BeNumerically(">=", most-1), "no immediate shrinking")
 		Expect(call(time.Second, 400)).To(Equal(1))
 	})
 
-	It("packs to the target fill when batches weigh more, and spreads when stalls do", func() {
+	It("packs to the target fill when the batch weight is high, and spreads when the stall weight is", func() {
 		used := func(s router.Settings) int {
 			r := newRouter(s, engines(2, 8, 10))
 			got := map[string]int{}
@@ -192,7 +193,7 @@
 		Expect(used(router.Settings{BatchWeight: 4, TargetFill: 0.5})).To(BeNumerically("<", 8))
 	})
 
-	It("drops what it knows of a prefix cache whose events had a gap", func() {
+	It("discards its knowledge of a prefix cache after a gap in the events", func() {
 		r := newRouter(router.Settings{}, engines(2, 4, 8))
 		c := router.Call{Version: "town/a@1", Prefix: 99, PromptTokens: 50000}
 		for e := range 2 {
@@ -202,15 +203,15 @@
 		other := map[string]string{"engine-000": "engine-001", "engine-001": "engine-000"}[packed.Backend]
 		r.CachedPrefix(other, c.Version, 99, true)
 		d := pick(r, start, c)
-		Expect(d.Backend).To(Equal(other), "a long prompt is worth more than packing")
+		Expect(d.Backend).To(Equal(other), "a long cached prompt outweighs packing")
 		r.Finish(start, d, router.CallResult{})
 		r.CacheGap(other)
 		Expect(pick(r, start, c).Backend).To(Equal(packed.Backend))
 	})
 
-	// Symptom: calls queue at a backend server for a prefix that isn't cached there.
-	// Sequence: the cache is small, and drops prefixes long before events tell.
-	It("believes in prefixes as far as they were found", func() {
+	// Guards against calls queueing at a backend server for a prefix that is not cached
+	// there: a small cache drops prefixes long before its events report it.
+	It("weighs cached prefixes by their measured hit rate", func() {
 		r := newRouter(router.Settings{PrefillRate: 1000}, engines(2, 4, 8))
 		c := router.Call{Version: "town/a@1", Prefix: 99, PromptTokens: 1000}
 		score := func(cached int64) float64 {
@@ -235,10 +236,10 @@
 		Expect(score(500)).To(BeNumerically("<", first-0.4))
 	})
 
-	// Symptom: minutes of stalls after popularity shifts. Sequence: every call is
-	// for a version that nobody called before, all at once, while the old hot
-	// versions fill the slots. Cause to prevent: all loads in one lane.
-	It("spreads the loads of a hot set that shifts at once", func() {
+	// Guards against minutes of stalls after a sudden shift of popularity: every call
+	// is for a version not called before, while the previously hot versions fill the
+	// slots. The fault would be to queue all loads at one backend server.
+	It("spreads the loads after a sudden shift of popularity", func() {
 		r := newRouter(router.Settings{}, engines(20, 4, 8))
 		for i := range 20 {
 			for s := range 4 {
@@ -256,13 +257,14 @@
 			Expect(n).To(BeNumerically("<=", 5), name)
 		}
 		again := pick(r, start, router.Call{Version: "town/new-0@1"})
-		Expect(again.Candidates()[0].Reason).To(Equal(router.ReasonLoading), "waits with the load under way")
+		Expect(again.Candidates()[0].Reason).To(Equal(router.ReasonLoading), "joins the load in progress")
 	})
 })
 
-// For any schedule of calls, ends, members and hints: a choice is a serving
-// member that is neither suspect nor tried, it is one of the candidates, none of
-// which stands twice, and when all calls have ended nothing counts as in flight.
+// TestPropertyChoose checks for any schedule of calls, ends, member changes and hints
+// that a choice is a serving member that is neither suspect nor tried, that it is one
+// of the candidates, that no candidate occurs twice, and that no call counts as in
+// flight when all have ended.
 func TestPropertyChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := router.Policy(rapid.IntRange(0, int(router.PolicyConsistentHash)).Draw(t, "policy"))
--- a/internal/coordination/router/score.go
+++ b/internal/coordination/router/score.go
@@ -5,68 +5,70 @@
 	"time"
 )
 
-// Shares of a load's time that belong to a score.
+// Factors by which a load's duration contributes to a score.
 const (
-	// strayShare is added for a cold start away from the version's homes: other
-	// entries wouldn't find it there, and would have it loaded a second time.
-	strayShare = 1.0
-	// laneShare is added for each load that waits there already. It is well under
-	// one, since what loads mostly wait for is the store, which all share.
-	laneShare = 0.25
-	// evictShare is added where a cold start needs another version evicted.
-	evictShare = 0.25
-	// pinShare is the part of a call's time that a cold start waits for a slot,
-	// for each version more than there are slots that calls in progress hold.
-	pinShare = 1.0
-	// batchShare is what an empty batch costs, and half of the worst that a bad
-	// fill does. Two fills differ by less than one load, so that with equal
-	// weights the wish to pack never loads a version that is resident elsewhere.
-	batchShare = 0.5
-	// lastShare is what is always left of a load in progress.
-	lastShare = 0.1
+	// strayLoadFactor is added for a cold start away from the version's homes: other
+	// entries would not find the version there and would have it loaded a second time.
+	strayLoadFactor = 1.0
+	// queuedLoadFactor is added for each load already waiting there. It is well below
+	// one, because loads mostly wait for the store, which is shared by all engines.
+	queuedLoadFactor = 0.25
+	// evictionFactor is added if a cold start requires the eviction of another version.
+	evictionFactor = 0.25
+	// slotWaitFactor is the part of a call's duration that a cold start waits for a
+	// slot, for each version held by calls in progress in excess of the number of
+	// slots.
+	slotWaitFactor = 1.0
+	// emptyBatchFactor is the cost of an empty batch, and half of the maximum cost of a
+	// bad fill. The costs of two fills differ by less than one load, so that with equal
+	// weights packing never loads a version that is resident elsewhere.
+	emptyBatchFactor = 0.5
+	// minRemainingLoadFactor is the minimum remaining part of a load in progress.
+	minRemainingLoadFactor = 0.1
 )
 
-// pass notes a candidate that wasn't weighed.
-func (d *Decision) pass(b *backend, reason Reason) {
-	if d.count < maxCandidates && !d.has(b) {
+// skip records a candidate that was not weighed.
+func (d *Decision) skip(b *backend, reason Reason) {
+	if d.count < maxCandidates && !d.includes(b) {
 		d.candidates[d.count] = Candidate{Backend: b.member.Name, Reason: reason}
 		d.count++
 	}
 }
 
-// weigh scores the backend server, and keeps it as the best where it is.
+// weigh scores the backend server and makes it the best candidate if its score is
+// lowest.
 func (h *choice) weigh(b *backend, reason Reason) {
 	d, s := h.decision, &h.router.settings
-	if d.has(b) {
+	if d.includes(b) {
 		return
 	}
 	if slices.Contains(h.call.Avoid, b.member.Name) {
-		d.pass(b, ReasonTried)
+		d.skip(b, ReasonTried)
 		return
 	}
 	c := b.condition(h.now, s.ReportHalfLife, h.mean.depth)
 	if c.suspect {
-		d.pass(b, ReasonSuspect)
+		d.skip(b, ReasonSuspect)
 		return
 	}
-	k := Candidate{Backend: b.member.Name, Reason: reason, Wait: h.wait(c)}
+	k := Candidate{Backend: b.member.Name, Reason: reason, Wait: h.queueWait(c)}
 	switch s.Policy {
 	case PolicyMarigold:
-		k.Stall = h.stall(b, c, reason)
-		k.Batch = h.batch(c)
-		k.Score = s.StallWeight*(k.Stall+k.Wait) + s.BatchWeight*k.Batch + b.distance + h.stray(b, reason) - h.cached(b)
+		k.Stall = h.stallCost(b, c, reason)
+		k.Batch = h.batchCost(c)
+		k.Score = s.StallWeight*(k.Stall+k.Wait) + s.BatchWeight*k.Batch + b.distance + h.strayCost(b, reason) - h.prefixSaving(b)
 	case PolicyLeastLoaded:
 		k.Score = c.depth
 	default:
-		// The other baselines take what they look at first.
+		// The other baselines choose the first candidate they consider.
 		k.Score = float64(d.count)
 	}
-	h.keep(b, k)
+	h.addCandidate(b, k)
 }
 
-// keep notes the candidate. Where all storage is used, the worse of it and the
-// last one noted is dropped.
-func (h *choice) keep(b *backend, k Candidate) {
+// addCandidate stores the candidate. If the storage is full, the worse of it and the
+// last stored one is dropped.
+func (h *choice) addCandidate(b *backend, k Candidate) {
 	d := h.decision
 	better := h.best < 0 || k.Score < d.candidates[h.best].Score
 	if d.count == maxCandidates {
@@ -85,9 +87,9 @@
 	d.count++
 }
 
-// wait is the expected time in the queue: each place in a full batch becomes
-// free once in the time that a call runs.
-func (h *choice) wait(c condition) float64 {
+// queueWait returns the expected time in the queue, in seconds: each place in a full
+// batch is released once per mean duration of a call.
+func (h *choice) queueWait(c condition) float64 {
 	over := c.depth + 1 - c.maxBatch
 	if over <= 0 {
 		return 0
@@ -95,48 +97,48 @@
 	return over / c.maxBatch * h.mean.serviceTime
 }
 
-// stall is the expected time until the version is there, and what a cold start
-// costs others.
-func (h *choice) stall(b *backend, c condition, reason Reason) float64 {
+// stallCost returns the expected time until the version is available, plus the cost of
+// a cold start to others, in seconds.
+func (h *choice) stallCost(b *backend, c condition, reason Reason) float64 {
 	if h.call.Version == "" {
 		return 0
 	}
 	load := h.mean.loadTime
-	cold := load*(1+laneShare*c.loads) + pinShare*h.mean.serviceTime*max(1-c.room, 0)
+	cold := load*(1+queuedLoadFactor*c.loads) + slotWaitFactor*h.mean.serviceTime*max(1-c.room, 0)
 	if c.full {
-		cold += evictShare * load
+		cold += evictionFactor * load
 	}
 	p := h.version.find(b)
 	switch {
 	case p == nil && reason == ReasonPioneer:
-		// The calls that this home will serve share the cost of its load.
-		return cold / (1 + h.worth)
+		// The cost of the load is shared by the calls that this home will serve.
+		return cold / (1 + h.callsPerHome)
 	case p == nil:
 		return cold
 	case p.evidence == evidenceLoading:
 		passed := time.Duration(h.now.UnixNano() - p.at).Seconds()
-		return max(load-passed, lastShare*load)
+		return max(load-passed, minRemainingLoadFactor*load)
 	default:
 		return (1 - p.certainty(h.now, h.router.settings.ResidencyHalfLife)) * cold
 	}
 }
 
-// stray is what a cold start away from the version's homes costs the other
-// entries. It counts by the larger weight, so that no wish of this entry's own
-// outweighs it lightly.
-func (h *choice) stray(b *backend, reason Reason) float64 {
+// strayCost returns the cost to other entries of a cold start away from the version's
+// homes. It is scaled by the larger of the two weights, so that this entry's own
+// preferences rarely outweigh it.
+func (h *choice) strayCost(b *backend, reason Reason) float64 {
 	if h.call.Version == "" || reason == ReasonHome || reason == ReasonPioneer || h.version.find(b) != nil {
 		return 0
 	}
 	s := &h.router.settings
-	return strayShare * h.mean.loadTime * max(s.StallWeight, s.BatchWeight)
+	return strayLoadFactor * h.mean.loadTime * max(s.StallWeight, s.BatchWeight)
 }
 
-// batch is the engine time wasted by placing the call there. Up to the target
-// the emptier batch costs more; past the target each costs more than an empty
-// one, so that calls are packed to the target and then spill.
-func (h *choice) batch(c condition) float64 {
-	worst := batchShare * min(h.mean.loadTime, h.mean.serviceTime)
+// batchCost returns the engine time wasted by placing the call there, in seconds. Up to
+// the target fill an emptier batch costs more; beyond it every placement costs more
+// than an empty batch, so that calls are packed up to the target and then spill over.
+func (h *choice) batchCost(c condition) float64 {
+	worst := emptyBatchFactor * min(h.mean.loadTime, h.mean.serviceTime)
 	target := h.router.settings.TargetFill
 	fill := (c.depth + 1) / c.maxBatch
 	if fill <= target {
@@ -145,11 +147,12 @@
 	return worst * (1 + min((fill-target)/max(1-target, 0.01), 1))
 }
 
-// cached is the prompt's computation that a cached prefix saves, by how often
-// such a belief held lately: what the cache dropped is told late or never.
-func (h *choice) cached(b *backend) float64 {
-	if h.shard.holder(h.view, h.decision.prefix) != b {
+// prefixSaving returns the expected computation time saved by a cached prefix, in
+// seconds. It is scaled by the measured hit rate, because evictions from the cache are
+// reported late or never.
+func (h *choice) prefixSaving(b *backend) float64 {
+	if h.shard.prefixHolder(h.view, h.decision.prefix) != b {
 		return 0
 	}
-	return h.mean.hits * float64(h.call.PromptTokens) / h.router.settings.PrefillRate
+	return h.mean.hitRate * float64(h.call.PromptTokens) / h.router.settings.PrefillRate
 }
--- a/internal/coordination/router/settings.go
+++ b/internal/coordination/router/settings.go
@@ -21,57 +21,55 @@
 	DefaultMaxBatch          = 16
 )
 
-// Settings are a router's options. The zero value of a field means its
+// Settings are the options of a Router. A field with the zero value takes its
 // documented default.
 type Settings struct {
 	Policy Policy
 
-	// Region and FailureDomain are where the entry stands.
+	// Region and FailureDomain are the location of the entry.
 	Region        string
 	FailureDomain string
 
-	// StallWeight is what a second of expected stall costs; DefaultWeight by
-	// default.
+	// StallWeight is the cost of a second of expected stall; DefaultWeight by default.
 	StallWeight float64
-	// BatchWeight is what a second of wasted engine time costs; DefaultWeight
-	// by default.
+	// BatchWeight is the cost of a second of wasted engine time; DefaultWeight by
+	// default.
 	BatchWeight float64
 	// TargetFill is the share of a batch up to which calls are packed;
 	// DefaultTargetFill by default.
 	TargetFill float64
 
-	// Entries is the first guess of the number of entries that share the callers,
-	// by which the entry's own part of the demand for a version is multiplied; 1
-	// by default. Load reports replace it.
+	// Entries is the initial estimate of the number of entries sharing the callers, by
+	// which the entry's own part of the demand for a version is multiplied; 1 by
+	// default. It is replaced by an estimate from load reports.
 	Entries int
 
-	// LoadTime is the first guess of the stall of a cold start, ServiceTime of
-	// the time that a call runs. Both are replaced by what answers report.
+	// LoadTime is the initial estimate of the stall of a cold start, and ServiceTime
+	// that of a call's duration. Both are replaced by measurements from answers.
 	LoadTime    time.Duration
 	ServiceTime time.Duration
-	// PrefillRate is the number of prompt tokens that an engine computes in a
-	// second; a cached prefix saves that time.
+	// PrefillRate is the rate at which an engine computes prompts, in tokens per
+	// second. A cached prefix saves that time.
 	PrefillRate float64
 
-	// ReportHalfLife is the age at which half of a load report's difference
-	// from the pool's average is believed.
+	// ReportHalfLife is the age at which half of a load report's difference from the
+	// pool's average is taken into account.
 	ReportHalfLife time.Duration
 	// DemandHalfLife is the half-life of the measured demand of a version.
 	DemandHalfLife time.Duration
-	// ShrinkAfter is the time for which a version keeps its homes after demand
-	// last called for them.
+	// ShrinkAfter is how long a version keeps its homes after demand last required
+	// them.
 	ShrinkAfter time.Duration
-	// ResidencyHalfLife is the age at which half of an answer's evidence that
-	// its version is resident is believed.
+	// ResidencyHalfLife is the half-life of the certainty that a version is resident
+	// where it last answered.
 	ResidencyHalfLife time.Duration
-	// SuspectFor is the time for which a backend server is avoided on the
-	// entry's own evidence.
+	// SuspectFor is how long a backend server is avoided on the entry's own evidence.
 	SuspectFor time.Duration
 
-	// MaxVersions bounds the versions kept; the idle ones go first.
+	// MaxVersions bounds the number of versions kept; idle ones are evicted first.
 	MaxVersions int
 
-	// Seed seeds the random draws.
+	// Seed is the seed of the random choices.
 	Seed uint64
 }
 
--- a/internal/coordination/router/version.go
+++ b/internal/coordination/router/version.go
@@ -10,16 +10,16 @@
 // maxHomes bounds the homes of one version.
 const maxHomes = 8
 
-// certainty of a place, by what it rests on.
+// Certainty that a version is resident, by the kind of evidence.
 const (
 	hintCertainty   = 0.95
 	answerCertainty = 1.0
-	// agedCertainty is what an old answer is still worth: an eviction is told by
-	// the digests.
+	// agedCertainty is the certainty that an old answer decays to. It stays high
+	// because digests report evictions.
 	agedCertainty = 0.9
 )
 
-// evidence tells why a version is believed to be at a backend server.
+// evidence is the reason why a version is believed to be at a backend server.
 type evidence uint8
 
 const (
@@ -27,18 +27,18 @@
 	evidenceHint evidence = iota
 	// evidenceAnswer is an answer made with the version.
 	evidenceAnswer
-	// evidenceLoading is a call of the entry's own for which the version is
-	// being loaded.
+	// evidenceLoading is one of the entry's own calls, for which the version is being
+	// loaded.
 	evidenceLoading
 )
 
-// place is one backend server where a version is believed to be.
+// place is a backend server on which a version is believed resident.
 type place struct {
 	at int64
-	// generation fits the backend server's as long as the belief may hold: an
-	// engine that restarted is empty and has another generation.
+	// generation must match the backend server's for the place to be valid. An engine
+	// that restarted is empty and has another generation.
 	generation uint32
-	// pinned counts the entry's own calls in flight there.
+	// pinned is the number of the entry's own calls in flight there.
 	pinned   int32
 	index    uint16
 	evidence evidence
@@ -54,29 +54,31 @@
 			return answerCertainty
 		}
 		age := time.Duration(now.UnixNano() - p.at)
-		return agedCertainty + (answerCertainty-agedCertainty)*halved(age, halfLife)
+		return agedCertainty + (answerCertainty-agedCertainty)*decayFactor(age, halfLife)
 	default:
 		return 0
 	}
 }
 
-// version is what the entry knows about one version.
+// version is an entry's knowledge of one version.
 type version struct {
 	hash uint64
-	// rate is the decayed number of calls a second, as of ratedAt.
+	// rate is the decayed number of calls per second as of ratedAt, in Unix
+	// nanoseconds.
 	rate    float64
 	ratedAt int64
-	// neededAt is when demand last called for spread homes.
+	// neededAt is the time, in Unix nanoseconds, at which demand last required spread
+	// homes.
 	neededAt int64
-	// homesOf is the number of the pool for which homes are.
-	homesOf   uint64
+	// homesPool is the number of the pool for which homes was computed.
+	homesPool uint64
 	homes     [maxHomes]uint16
 	homeCount uint8
 	spread    uint8
 	places    []place
 }
 
-// call counts a call and returns the decayed rate in calls a second.
+// call counts a call and returns the decayed rate in calls per second.
 func (v *version) call(now time.Time, halfLife time.Duration) float64 {
 	v.decay(now, halfLife)
 	v.rate += math.Ln2 / halfLife.Seconds()
@@ -85,15 +87,16 @@
 
 func (v *version) decay(now time.Time, halfLife time.Duration) {
 	at := now.UnixNano()
-	v.rate *= halved(time.Duration(at-v.ratedAt), halfLife)
+	v.rate *= decayFactor(time.Duration(at-v.ratedAt), halfLife)
 	v.ratedAt = max(at, v.ratedAt)
 }
 
-// spreadTo sets the number of homes: up at once when demand fills those there
-// are, down by one only after demand stayed under for the whole of after. The
-// way down starts lower than the way up, so that demand near a boundary
-// doesn't load and unload.
-func (v *version) spreadTo(now time.Time, needed float64, after time.Duration) int {
+// updateSpread updates the number of homes and returns it. The number rises at once
+// when demand exceeds the capacity of the current homes, and falls by one after demand
+// has been lower for the whole of after. The threshold for shrinking is lower than that
+// for growing, so that demand near a boundary does not cause repeated loads and
+// evictions.
+func (v *version) updateSpread(now time.Time, needed float64, after time.Duration) int {
 	const shrinkShare = 0.7
 	at := now.UnixNano()
 	current := max(int(v.spread), 1)
@@ -123,9 +126,9 @@
 	return nil
 }
 
-// ensure returns the place at the backend server, made where there was none,
-// and whether it was made. It drops places whose generation has gone.
-func (v *version) ensure(w *view, b *backend, now time.Time) (*place, bool) {
+// findOrAdd returns the place at the backend server, adding it if there is none, and
+// reports whether it was added. Adding one removes places whose generation is outdated.
+func (v *version) findOrAdd(w *view, b *backend, now time.Time) (*place, bool) {
 	if p := v.find(b); p != nil {
 		return p, false
 	}
@@ -134,7 +137,7 @@
 	return &v.places[len(v.places)-1], true
 }
 
-// remove drops the place at the backend server.
+// remove deletes the place at the backend server.
 func (v *version) remove(b *backend) {
 	for i := range v.places {
 		if v.places[i].index == b.index && v.places[i].generation == b.generation {
@@ -156,11 +159,11 @@
 	v.places = kept
 }
 
-// setHomes finds the homes by rendezvous hashing: those of the pool's members
-// whose hash together with the version's is highest (Thaler and Ravishankar,
-// "Using name-based mappings to increase hit rates", 1998). All entries find
-// the same without a word between them. It looks at every member and therefore
-// runs only when the pool's members have changed.
+// setHomes computes the homes by rendezvous hashing: the pool's members with the
+// highest combined hash of version and member (Thaler and Ravishankar, "Using
+// name-based mappings to increase hit rates", 1998). All entries compute the same homes
+// without communicating. The cost is linear in the number of members, so it runs only
+// when the pool's members have changed.
 func (v *version) setHomes(p *pool) {
 	var weights [maxHomes]uint64
 	n := 0
@@ -177,5 +180,5 @@
 		weights[i], v.homes[i] = w, b.index
 	}
 	v.homeCount = uint8(n)
-	v.homesOf = p.number
+	v.homesPool = p.number
 }
--- a/internal/coordination/router/view.go
+++ b/internal/coordination/router/view.go
@@ -12,27 +12,27 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Seconds that a hop to another failure domain or region is taken to cost.
+// Estimated cost, in seconds, of a hop to another failure domain or region.
 const (
 	domainDistance = 0.002
 	regionDistance = 0.1
 )
 
-// ErrTooMany means that a view has more backend servers than a router numbers.
+// ErrTooMany means that a view has more backend servers than a router can index.
 const ErrTooMany = errors.ConstError("too many backend servers")
 
-// view is the membership at one moment. It never changes, so that a choice
-// reads it without a lock.
+// view is an immutable snapshot of the membership, so that choices read it without a
+// lock.
 type view struct {
-	// slots holds the memberships by their index; nil where one has ended.
+	// slots holds the memberships by index; nil for those that have ended.
 	slots []*backend
-	// serving tells, by index, who takes new work.
+	// serving reports, by index, whether a member accepts new calls.
 	serving []bool
 	byName  map[string]*backend
 	pools   map[Pool]*pool
 }
 
-// at returns the membership that a place meant, or nil where it has ended.
+// at returns the membership with the index and generation, or nil if it has ended.
 func (w *view) at(index uint16, generation uint32) *backend {
 	if int(index) >= len(w.slots) {
 		return nil
@@ -44,10 +44,10 @@
 	return b
 }
 
-// builder makes the next view from the last one.
+// builder builds the next view from the previous one.
 type builder struct {
 	settings   *Settings
-	last       *view
+	previous   *view
 	next       *view
 	averages   map[Pool]*averages
 	generation *uint32
@@ -58,9 +58,9 @@
 
 func (u *builder) build(members []indexer.Member) error {
 	u.next = &view{
-		slots:  make([]*backend, len(u.last.slots)),
+		slots:  make([]*backend, len(u.previous.slots)),
 		byName: make(map[string]*backend, len(members)),
-		pools:  make(map[Pool]*pool, len(u.last.pools)),
+		pools:  make(map[Pool]*pool, len(u.previous.pools)),
 	}
 	u.members = make(map[Pool][]*backend)
 	for _, m := range members {
@@ -79,13 +79,13 @@
 	return nil
 }
 
-// member takes over a membership that goes on, and makes a new one where the
-// epoch, the incarnation or the address is another: what was known of the old
-// one, residency above all, doesn't hold for the new one.
+// member reuses a continuing membership, and creates a new one if the epoch, the
+// incarnation or the address has changed: the state of the old one, in particular
+// residency, does not apply to the new one.
 func (u *builder) member(m indexer.Member) {
-	b := u.last.byName[m.Name]
+	b := u.previous.byName[m.Name]
 	key := poolOf(m.Spec)
-	// A membership that only turned to leaving goes on; it is in no pool.
+	// A membership that has only started leaving continues, but belongs to no pool.
 	if b == nil || !sameMembership(b.member.Spec, m.Spec) {
 		b = u.backend(m, key)
 		u.added = append(u.added, b)
@@ -124,8 +124,8 @@
 	return b
 }
 
-// assign gives each new membership an index, the one of the former membership
-// under its name first.
+// assign gives each new membership an index. A membership under a known name reuses the
+// index of the previous one.
 func (u *builder) assign() error {
 	isNew := make(map[*backend]bool, len(u.added))
 	for _, b := range u.added {
@@ -138,12 +138,12 @@
 	}
 	free := 0
 	for _, b := range u.added {
-		if old := u.last.byName[b.member.Name]; old != nil {
+		if old := u.previous.byName[b.member.Name]; old != nil {
 			b.index = old.index
 			u.next.slots[b.index] = b
 			continue
 		}
-		for free < len(u.next.slots) && (u.next.slots[free] != nil || u.taken(free)) {
+		for free < len(u.next.slots) && (u.next.slots[free] != nil || u.reserved(free)) {
 			free++
 		}
 		if free > math.MaxUint16 {
@@ -158,17 +158,17 @@
 	return nil
 }
 
-// taken reports whether the slot belongs to a name that has a new membership.
-func (u *builder) taken(slot int) bool {
-	if slot >= len(u.last.slots) || u.last.slots[slot] == nil {
+// reserved reports whether the slot belongs to a name that has a new membership.
+func (u *builder) reserved(slot int) bool {
+	if slot >= len(u.previous.slots) || u.previous.slots[slot] == nil {
 		return false
 	}
-	return u.next.byName[u.last.slots[slot].member.Name] != nil
+	return u.next.byName[u.previous.slots[slot].member.Name] != nil
 }
 
 func (u *builder) pool(key Pool, bs []*backend) *pool {
 	slices.SortFunc(bs, func(a, b *backend) int { return cmp.Compare(a.member.Name, b.member.Name) })
-	if old := u.last.pools[key]; old != nil && slices.Equal(old.members, bs) {
+	if old := u.previous.pools[key]; old != nil && slices.Equal(old.members, bs) {
 		return old
 	}
 	*u.number++
