--- a/internal/coordination/distributor/assembler.go
+++ b/internal/coordination/distributor/assembler.go
@@ -43,7 +43,7 @@
 	held := target.Revision()
 	switch {
 	case d.Reset:
-		if err := a.takePage(target, d); err != nil {
+		if err := a.applyPage(target, d); err != nil {
 			a.loading, a.pages = nil, nil
 			return AcknowledgeRevision{}, errors.Annotatef(err, "taking the whole state at revision %d", d.UpTo)
 		}
@@ -61,7 +61,7 @@
 // takePage takes in one page of a whole state. Nothing of it is in force before
 // the last page, and nothing at all where the target holds as much: half a state
 // is no state, and an older one would take back what is in force.
-func (a *Assembler) takePage(target Target, d Delta) error {
+func (a *Assembler) applyPage(target Target, d Delta) error {
 	if d.UpTo <= target.Revision() {
 		a.loading, a.pages = nil, nil
 		return nil
--- a/internal/coordination/distributor/feed.go
+++ b/internal/coordination/distributor/feed.go
@@ -51,14 +51,14 @@
 	// not need. A delta that named cursor as its beginning would look like a gap
 	// to a companion, which would leave its control host at every change of a
 	// workspace that follows one of an adapter.
-	told uint64
+	subscriberRevision uint64
 	// sent and taken count the deltas given out and acknowledged.
-	sent, taken uint64
+	sentBatches, acknowledgedBatches uint64
 	// acknowledged is the revision that the subscriber holds for certain.
 	acknowledged uint64
 
 	// reset is what is left of the whole state under way; nil where none is.
-	reset []storer.Resource
+	remaining []storer.Resource
 	// resetTo is the revision of that state.
 	resetTo uint64
 }
@@ -67,7 +67,7 @@
 func NewFeed(s FeedSettings) *Feed {
 	s.Window = cmp.Or(s.Window, DefaultWindow)
 	s.BatchLimit = cmp.Or(s.BatchLimit, DefaultBatchLimit)
-	return &Feed{settings: s, cursor: s.After, told: s.After, acknowledged: s.After}
+	return &Feed{settings: s, cursor: s.After, subscriberRevision: s.After, acknowledged: s.After}
 }
 
 // Next returns the next delta to send, and false where there is none now:
@@ -80,8 +80,8 @@
 	if f.Full() {
 		return Delta{}, false
 	}
-	if f.reset != nil {
-		return f.page(), true
+	if f.remaining != nil {
+		return f.nextPage(), true
 	}
 	if f.cursor == 0 && src.Revision() > 0 {
 		// A node with nothing takes the state and not its history, which can be
@@ -101,12 +101,12 @@
 		if len(kept) == 0 && f.settings.Scope != ScopeEntry {
 			// The subscriber needs nothing of this: it holds the revision
 			// without hearing of it.
-			f.settle()
+			f.settleAcknowledged()
 			continue
 		}
-		from := f.told
-		f.told = upTo
-		f.sent++
+		from := f.subscriberRevision
+		f.subscriberRevision = upTo
+		f.sentBatches++
 		return Delta{Last: true, From: from, UpTo: upTo, Changes: kept}, true
 	}
 	return Delta{}, false
@@ -133,44 +133,44 @@
 	}
 	f.resetTo = revision
 	if f.settings.Scope == ScopeEntry {
-		f.reset = all
+		f.remaining = all
 	} else {
-		f.reset = nil
+		f.remaining = nil
 		for _, r := range all {
 			if f.settings.Scope.Includes(r, f.settings.Backend) {
-				f.reset = append(f.reset, r)
+				f.remaining = append(f.remaining, r)
 			}
 		}
 	}
-	return f.page(), true
+	return f.nextPage(), true
 }
 
 // page gives out the next page of the whole state. A node applies the pages
 // together: half a state is no state.
-func (f *Feed) page() Delta {
-	n := min(len(f.reset), f.settings.BatchLimit)
-	d := Delta{Reset: true, UpTo: f.resetTo, Resources: f.reset[:n:n], Last: n == len(f.reset)}
-	f.reset = f.reset[n:]
+func (f *Feed) nextPage() Delta {
+	n := min(len(f.remaining), f.settings.BatchLimit)
+	d := Delta{Reset: true, UpTo: f.resetTo, Resources: f.remaining[:n:n], Last: n == len(f.remaining)}
+	f.remaining = f.remaining[n:]
 	if d.Last {
-		f.cursor, f.told = f.resetTo, f.resetTo
-		f.reset = nil
+		f.cursor, f.subscriberRevision = f.resetTo, f.resetTo
+		f.remaining = nil
 	}
-	f.sent++
+	f.sentBatches++
 	return d
 }
 
 // Acknowledge takes a subscriber's acknowledgement in. An older one that
 // arrives late changes nothing.
 func (f *Feed) Acknowledge(a AcknowledgeRevision) {
-	f.taken = max(f.taken, min(a.Batches, f.sent))
+	f.acknowledgedBatches = max(f.acknowledgedBatches, min(a.Batches, f.sentBatches))
 	f.acknowledged = max(f.acknowledged, min(a.Revision, f.cursor))
-	f.settle()
+	f.settleAcknowledged()
 }
 
 // settle notes that a subscriber with nothing under way holds all up to the
 // cursor.
-func (f *Feed) settle() {
-	if f.sent == f.taken && f.reset == nil && f.settings.Scope != ScopeEntry {
+func (f *Feed) settleAcknowledged() {
+	if f.sentBatches == f.acknowledgedBatches && f.remaining == nil && f.settings.Scope != ScopeEntry {
 		f.acknowledged = f.cursor
 	}
 }
@@ -179,7 +179,7 @@
 func (f *Feed) Acknowledged() uint64 { return f.acknowledged }
 
 // Full reports whether Next gives out nothing until an acknowledgement comes.
-func (f *Feed) Full() bool { return f.sent-f.taken >= uint64(f.settings.Window) }
+func (f *Feed) Full() bool { return f.sentBatches-f.acknowledgedBatches >= uint64(f.settings.Window) }
 
 // Unacknowledged returns the number of deltas under way.
-func (f *Feed) Unacknowledged() int { return int(f.sent - f.taken) }
+func (f *Feed) Unacknowledged() int { return int(f.sentBatches - f.acknowledgedBatches) }
--- a/internal/coordination/distributor/lease.go
+++ b/internal/coordination/distributor/lease.go
@@ -27,7 +27,7 @@
 }
 
 // pendingLimit bounds the pulses kept for a node that lags.
-const pendingLimit = 64
+const maxPendingPulses = 64
 
 // Pulse takes a pulse in that arrived at now, at a node that holds a revision.
 func (l *Lease) Pulse(now time.Time, p Pulse, held uint64) {
@@ -36,7 +36,7 @@
 	}
 	fresh := now.Add(-time.Duration(p.AgeMillis) * time.Millisecond)
 	if held < p.Revision {
-		if len(l.pending) < pendingLimit {
+		if len(l.pending) < maxPendingPulses {
 			l.pending = append(l.pending, pending{revision: p.Revision, fresh: fresh})
 		}
 		return
--- a/internal/coordination/distributor/tally.go
+++ b/internal/coordination/distributor/tally.go
@@ -15,10 +15,10 @@
 	MissingLimit = 100
 )
 
-type tallied struct {
+type nodeState struct {
 	node   NodeRevision
-	behind time.Time
-	gone   time.Time
+	caughtUpAt time.Time
+	disconnectedAt   time.Time
 }
 
 // Tally counts which of a control host's subscribers hold which revision.
@@ -27,25 +27,25 @@
 	// DefaultRetention by default.
 	Retention time.Duration
 
-	nodes map[string]*tallied
+	nodes map[string]*nodeState
 }
 
 // Observe takes in that a subscriber holds a revision, where the host holds
 // another.
 func (t *Tally) Observe(now time.Time, n NodeRevision, host uint64) {
 	if t.nodes == nil {
-		t.nodes = make(map[string]*tallied)
+		t.nodes = make(map[string]*nodeState)
 	}
 	e, ok := t.nodes[n.Node]
 	if !ok {
-		e = &tallied{behind: now}
+		e = &nodeState{caughtUpAt: now}
 		t.nodes[n.Node] = e
 	}
 	if n.Revision >= host {
-		e.behind = now
+		e.caughtUpAt = now
 	}
 	n.Connected = true
-	e.node, e.gone = n, time.Time{}
+	e.node, e.disconnectedAt = n, time.Time{}
 }
 
 // Disconnect takes in that a subscriber's connection ended. A node that said
@@ -60,7 +60,7 @@
 		return
 	}
 	e.node.Connected = false
-	e.gone = now
+	e.disconnectedAt = now
 }
 
 // Answer tells which of the nodes hold a revision. It forgets those that have
@@ -69,13 +69,13 @@
 	a := TallyAnswer{Host: host}
 	for name, e := range t.nodes {
 		switch {
-		case !e.gone.IsZero() && now.Sub(e.gone) >= cmp.Or(t.Retention, DefaultRetention):
+		case !e.disconnectedAt.IsZero() && now.Sub(e.disconnectedAt) >= cmp.Or(t.Retention, DefaultRetention):
 			delete(t.nodes, name)
 		case e.node.Connected && e.node.Revision >= revision:
 			a.Holding = append(a.Holding, name)
 		default:
 			n := e.node
-			n.BehindMillis = now.Sub(e.behind).Milliseconds()
+			n.BehindMillis = now.Sub(e.caughtUpAt).Milliseconds()
 			a.Missing = append(a.Missing, n)
 		}
 	}
--- a/internal/coordination/loader/action.go
+++ b/internal/coordination/loader/action.go
@@ -2,70 +2,70 @@
 
 import "time"
 
-// Action is something that the owner of a Table must do: one of PermitAction,
-// WithdrawAction, ReturnPermitAction, LoadAction, UnloadAction, ReadyAction, FailAction,
-// LostAction, ReadStateAction and FencedAction.
+// Action is an instruction that the owner of a Table must carry out: one of
+// PermitAction, WithdrawAction, ReturnPermitAction, LoadAction, UnloadAction,
+// ReadyAction, FailAction, LostAction, ReadStateAction and FencedAction.
 type Action interface{ action() }
 
-// PermitAction asks for a permit to load from the weight store. The owner calls
-// Permitted or PermitDenied once with its outcome.
+// PermitAction requests a permit to load from the weight store. The owner calls either
+// Permitted or PermitDenied once with the outcome.
 type PermitAction struct {
 	Version   string
 	Workspace string
 	Share     int
-	// Waiters is the number of requests that wait for the version; 0 for a
-	// prefetch, which yields to all others.
+	// Waiters is the number of requests that wait for the version; 0 for a prefetch,
+	// which yields to all others.
 	Waiters int
-	// Oldest is the time since when the first of them waits.
+	// Oldest is the time at which the longest-waiting of them began to wait.
 	Oldest time.Time
 }
 
-// WithdrawAction takes back the request for a permit which no call waits for any
-// more, or which was made for a prefetch that a call now waits for. The owner
-// calls Withdrawn, unless the request's outcome came first.
+// WithdrawAction withdraws the request for a permit, either because no call waits for
+// the version any more, or because the permit was requested for a prefetch and a call
+// now waits. The owner calls Withdrawn unless the outcome of the request arrives first.
 type WithdrawAction struct{ Version string }
 
-// ReturnPermitAction gives a permit back without a load.
+// ReturnPermitAction returns a permit without a load.
 type ReturnPermitAction struct{ Version string }
 
-// LoadAction orders the engine to load a version, under the permit that was
-// granted for it. The owner calls Loaded once with its outcome.
+// LoadAction orders the engine to load a version under the granted permit. The owner
+// calls Loaded once with the outcome.
 type LoadAction struct {
 	Fence   uint64
 	Version string
 	Source  string
 }
 
-// UnloadAction orders the engine to drop a version. The owner calls Unloaded
-// once with its outcome.
+// UnloadAction orders the engine to unload a version. The owner calls Unloaded once
+// with the outcome.
 type UnloadAction struct {
 	Fence   uint64
 	Version string
 }
 
-// ReadyAction tells that requests which wait for the version can now pin it.
+// ReadyAction reports that requests waiting for the version can now pin it.
 type ReadyAction struct{ Version string }
 
-// FailAction tells that a waiting request won't get its version now. It has not
-// run.
+// FailAction reports that a waiting request will not get its version now. The request
+// has not run.
 type FailAction struct {
 	Request string
 	Version string
-	// RetryAfter is the time after which a load will be tried again.
+	// RetryAfter is the time until the next load is attempted.
 	RetryAfter time.Duration
 	Cause      string
 }
 
-// LostAction tells that the engine under a pinned request restarted. The
-// request's pin has ended; the request may have run.
+// LostAction reports that the engine restarted under a pinned request. The pin has
+// ended; the request may have run.
 type LostAction struct{ Request string }
 
-// ReadStateAction asks the owner to read the engine's state and to call Observe
-// with it, because the outcome of an order is unknown.
+// ReadStateAction asks the owner to read the engine's state and to pass it to Observe,
+// because the outcome of an order is unknown.
 type ReadStateAction struct{}
 
-// FencedAction tells that the engine has obeyed a later giver of orders. The
-// owner must not go on under its present membership.
+// FencedAction reports that the engine has accepted orders from a later owner. The
+// owner must not continue under its current membership.
 type FencedAction struct{}
 
 func (PermitAction) action()       {}
--- a/internal/coordination/loader/bench_test.go
+++ b/internal/coordination/loader/bench_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// workload is a stream of requests in virtual time: Zipf popularity over the
-// adapters of several workspaces, which shifts at once in the middle, and a rush
-// by one workspace over cold adapters in the last quarter.
+// workload is a stream of requests in virtual time. The popularity of the adapters,
+// which belong to several workspaces, follows a Zipf distribution and shifts abruptly
+// halfway. In the last quarter, one workspace rushes over cold adapters.
 type workload struct {
 	adapters   int
 	workspaces int
@@ -29,8 +29,8 @@
 	waiting int
 }
 
-// runWorkload serves the workload with loads of 250 ms, one at a time, and
-// requests of 1.5 s, 16 at once.
+// runWorkload serves the workload with loads of 250 ms, one at a time, and requests of
+// 1.5 s, 16 at once per version.
 func runWorkload(w workload, seed uint64) figures {
 	random := rand.New(rand.NewPCG(seed, 1))
 	zipf := rand.NewZipf(random, 1.1, 3, uint64(w.adapters-1))
@@ -120,8 +120,8 @@
 	}
 }
 
-// BenchmarkTable measures one request's way through the table by the number of
-// adapters that it remembers.
+// BenchmarkTable measures the cost of one request in the table by the number of known
+// adapters.
 func BenchmarkTable(b *testing.B) {
 	for _, adapters := range []int{100, 3000, 61000} {
 		b.Run(fmt.Sprintf("adapters=%d/slots=16", adapters), func(b *testing.B) {
--- a/internal/coordination/loader/driver_test.go
+++ b/internal/coordination/loader/driver_test.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// driver carries out a table's actions with loads of 250 ms, one at a time, and
-// requests of runTime each, batch at once for each version.
+// driver carries out a table's actions. Loads take 250 ms each, one at a time; requests
+// take runTime each, up to batch at once per version.
 type driver struct {
 	table   *Table
 	now     time.Time
 	runTime time.Duration
-	// batch bounds the requests that run at once for one version; 0 means 1.
+	// batch is the maximum number of requests that run at once for one version; 0 means
+	// 1.
 	batch int
 
 	waiting  []Want
 	permits  []string
 	loading  *LoadAction
-	loadEnds time.Time
+	loadEnd  time.Time
 	running  map[string]time.Time
 	pinnedAt map[string]time.Time
 }
@@ -35,14 +36,14 @@
 			d.permits = append(d.permits, a.Version)
 		case LoadAction:
 			d.loading = &a
-			d.loadEnds = d.now.Add(250 * time.Millisecond)
+			d.loadEnd = d.now.Add(250 * time.Millisecond)
 		case UnloadAction:
 			d.apply(d.table.Unloaded(d.now, a.Version, a.Fence, OutcomeDone))
 		}
 	}
 }
 
-// run lets time pass in steps of 100 ms.
+// run advances the time in steps of 100 ms.
 func (d *driver) run(length time.Duration) {
 	for end := d.now.Add(length); d.now.Before(end); d.now = d.now.Add(100 * time.Millisecond) {
 		for request, ends := range d.running {
@@ -51,7 +52,7 @@
 				d.apply(d.table.Release(d.now, request))
 			}
 		}
-		if d.loading != nil && !d.now.Before(d.loadEnds) {
+		if d.loading != nil && !d.now.Before(d.loadEnd) {
 			a := *d.loading
 			d.loading = nil
 			d.apply(d.table.Loaded(d.now, a.Version, a.Fence, OutcomeDone, ""))
--- a/internal/coordination/loader/fairness.go
+++ b/internal/coordination/loader/fairness.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// workspaceActivity is how lately and how much a workspace asked for.
+// workspaceActivity tracks the recent demand and the loads of one workspace.
 type workspaceActivity struct {
 	activity
 	share int
-	// finish is the virtual time, in loads for a share of one, at which the
-	// workspace's last load counts as done.
+	// finish is the finish tag of the workspace's last load, in virtual time measured
+	// in loads for a share of one.
 	finish float64
 }
 
@@ -21,34 +21,33 @@
 	return a
 }
 
-// tag is the virtual time at which the next load of v's workspace begins: loads
-// go by start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996), so that
-// the workspace that asks for few of them goes first.
-func (t *Table) tag(v *version) float64 { return max(t.activity(v).finish, t.virtual) }
+// startTag returns the virtual time at which the next load of v's workspace begins.
+// Loads are ordered by start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996),
+// so that a workspace that requests few loads goes first.
+func (t *Table) startTag(v *version) float64 { return max(t.activity(v).finish, t.virtual) }
 
-// charge counts a load against the workspace of v.
+// charge accounts a load to the workspace of v.
 func (t *Table) charge(v *version) {
-	t.virtual = t.tag(v)
+	t.virtual = t.startTag(v)
 	t.activity(v).finish = t.virtual + 1/float64(v.share)
 }
 
-// fairness is the division of the slots among workspaces at one moment.
+// fairness is a snapshot of the division of slots among workspaces.
 //
-// Without it one workspace that calls hundreds of cold adapters takes every
-// slot, and the single call of another workspace stands behind all of them. It
-// restrains a workspace only where another one waits: a limit by share alone
-// would have a workspace with many hot adapters evict them one for the other
-// beside slots that nobody uses.
+// Without it, a workspace that calls hundreds of cold adapters occupies every slot, and
+// a single call of another workspace waits behind all of them. A workspace is only
+// restrained while others wait: a strict limit by share would make a workspace with
+// many hot adapters evict its own adapters while other slots stay unused.
 type fairness struct {
 	policy Policy
 	slots  int
-	// held counts the slots that each workspace holds or has been promised,
-	// slotted only those that it holds.
+	// held is the number of slots that each workspace holds or has been promised;
+	// slotted counts only those that it holds.
 	held    map[string]int
 	slotted map[string]int
-	// shares are those of the workspaces that wait for slots or use them.
+	// shares holds the shares of the workspaces that use slots or wait for them.
 	shares map[string]int
-	// starved are the workspaces that wait for a slot.
+	// starved is the set of workspaces that wait for a slot.
 	starved map[string]bool
 	total   int
 }
@@ -60,7 +59,7 @@
 	}
 	for name, a := range t.workspaces {
 		if a.demandNow(now, t.settings.HalfLife) >= activeDemand {
-			f.join(name, a.share)
+			f.addActive(name, a.share)
 		}
 	}
 	for _, v := range t.slotted {
@@ -71,11 +70,11 @@
 			}
 		}
 		if v.pinned() {
-			f.join(v.workspace, v.share)
+			f.addActive(v.workspace, v.share)
 		}
 	}
 	for _, v := range t.waiting {
-		f.join(v.workspace, v.share)
+		f.addActive(v.workspace, v.share)
 		if v.phase != PhaseResident && !now.Before(v.retryAt) {
 			f.starved[v.workspace] = true
 		}
@@ -83,30 +82,30 @@
 	return f
 }
 
-// activeDemand is the demand at which a workspace that neither waits nor runs
-// still counts as active: one request within the last two half-lives.
+// activeDemand is the demand from which a workspace without waiting or running requests
+// still counts as active. It corresponds to one request within the last two half-lives.
 const activeDemand = 0.25
 
-// join counts the workspace among the active ones.
-func (f *fairness) join(workspace string, share int) {
+// addActive adds the workspace to the active ones.
+func (f *fairness) addActive(workspace string, share int) {
 	if f.shares[workspace] < share {
 		f.total += share - f.shares[workspace]
 		f.shares[workspace] = share
 	}
 }
 
-// most is the number of slots that the workspace may hold: one is left for
-// others where others are active.
-func (f fairness) most(workspace string) int {
+// maxSlots returns the number of slots that the workspace may hold: all but one if
+// other workspaces are active.
+func (f fairness) maxSlots(workspace string) int {
 	if f.total == f.shares[workspace] || f.slots == 1 {
 		return f.slots
 	}
 	return f.slots - 1
 }
 
-// over tells whether the workspace of v holds more than its share, rounded up,
+// overShare reports whether the workspace of v holds more than its share, rounded up,
 // while others wait.
-func (f fairness) over(v *version) bool {
+func (f fairness) overShare(v *version) bool {
 	others := len(f.starved)
 	if f.starved[v.workspace] {
 		others--
@@ -117,12 +116,12 @@
 	return f.slotted[v.workspace]*f.total > f.slots*f.shares[v.workspace]+f.total-1
 }
 
-// mayGrow tells whether the workspace of v may hold one slot more.
+// mayGrow reports whether the workspace of v may hold one more slot.
 func (f fairness) mayGrow(v *version) bool {
-	return f.policy != PolicyDemand || f.held[v.workspace]+f.unheld(v) <= f.most(v.workspace)
+	return f.policy != PolicyDemand || f.held[v.workspace]+f.unheld(v) <= f.maxSlots(v.workspace)
 }
 
-// unheld is 1 where v itself does not count among the slots held yet.
+// unheld returns 1 if v is not counted in held yet, and 0 otherwise.
 func (f fairness) unheld(v *version) int {
 	if v.permit {
 		return 0
@@ -130,8 +129,8 @@
 	return 1
 }
 
-// mayTake tells whether v may take the slot of other: always one of its own
-// workspace, else only where it may grow.
-func (f fairness) mayTake(v, other *version) bool {
+// mayReplace reports whether v may take the slot of other: always within its own
+// workspace, otherwise only if its workspace may grow.
+func (f fairness) mayReplace(v, other *version) bool {
 	return v.workspace == other.workspace || f.mayGrow(v)
 }
--- a/internal/coordination/loader/observe.go
+++ b/internal/coordination/loader/observe.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// ObservedSlot is one occupied slot as the engine reports it.
+// ObservedSlot is one occupied slot as reported by the engine.
 type ObservedSlot struct {
 	Version string
 	Source  string
 	Loading bool
-	// InUse counts the accepted requests that use the version.
+	// InUse is the number of accepted requests that use the version.
 	InUse int
 }
 
-// Adopt takes over the state of a living engine at the companion's start. The
-// requests that use a version are those of an earlier companion: they pin it
-// until Observe reports them gone. A load under way is followed to its end by
-// Observe.
+// Adopt initializes the table with the state of a running engine when the companion
+// starts. Requests that use a version belong to an earlier companion; they pin the
+// version until Observe reports that they have ended. A load in progress is tracked to
+// its end by Observe.
 func (t *Table) Adopt(now time.Time, slots []ObservedSlot) {
 	for _, s := range slots {
 		v := t.version(Want{Version: s.Version, Source: s.Source, Workspace: WorkspaceOf(s.Version)})
-		v.foreign = s.InUse
+		v.foreignPins = s.InUse
 		v.residentSince = now
 		v.lastUsed = now
-		v.began = now
+		v.loadStarted = now
 		p := PhaseResident
 		if s.Loading {
 			p = PhaseLoading
 			v.fence = t.nextFence()
-			v.unsure = true
+			v.outcomeUnknown = true
 		}
 		t.setPhase(v, p)
 	}
@@ -43,10 +43,10 @@
 	return ""
 }
 
-// Observe compares the table with the engine's state, which was asked for when
-// Sequence was sequence. It settles the orders whose outcome is unknown and
-// takes down the pins of an earlier companion. What changed since is left
-// alone: the state may be older.
+// Observe compares the table with the engine's state, which was requested when Sequence
+// returned sequence. It settles orders whose outcome is unknown and removes pins of an
+// earlier companion. Versions changed after sequence are left unchanged, because the
+// state may be older.
 func (t *Table) Observe(now time.Time, sequence uint64, slots []ObservedSlot) []Action {
 	seen := make(map[string]ObservedSlot, len(slots))
 	for _, s := range slots {
@@ -56,24 +56,24 @@
 	for _, name := range sortedKeys(t.versions) {
 		v := t.versions[name]
 		s, present := seen[name]
-		if v.foreign > 0 {
-			v.foreign = min(v.foreign, s.InUse)
+		if v.foreignPins > 0 {
+			v.foreignPins = min(v.foreignPins, s.InUse)
 		}
 		if v.changed <= sequence {
-			actions = t.settle(now, v, s, present, actions)
+			actions = t.reconcile(now, v, s, present, actions)
 		}
 	}
 	for _, s := range slots {
 		if v := t.versions[s.Version]; v == nil || v.phase == PhaseEmpty && v.changed <= sequence && v.victim == nil {
-			actions = t.found(now, s, actions)
+			actions = t.adoptSlot(now, s, actions)
 		}
 	}
 	return t.plan(now, actions)
 }
 
-// settle brings one version in line with what the engine says of it.
-func (t *Table) settle(now time.Time, v *version, s ObservedSlot, present bool, actions []Action) []Action {
-	if v.phase != PhaseResident && !v.unsure {
+// reconcile updates one version to the engine's state.
+func (t *Table) reconcile(now time.Time, v *version, s ObservedSlot, present bool, actions []Action) []Action {
+	if v.phase != PhaseResident && !v.outcomeUnknown {
 		return actions
 	}
 	switch v.phase {
@@ -89,15 +89,15 @@
 		if !present {
 			return append(actions, t.unloaded(now, v)...)
 		}
-		// The order has not taken effect: give it again.
-		v.unsure = false
-		v.doubted = true
+		// The order has not taken effect; issue it again.
+		v.outcomeUnknown = false
+		v.unloadUncertain = true
 		v.fence = t.nextFence()
 		t.setPhase(v, PhaseEvicting)
 		return append(actions, UnloadAction{Fence: v.fence, Version: v.name})
 	case PhaseResident:
 		if !present {
-			actions = t.lose(v, actions)
+			actions = t.losePins(v, actions)
 			t.vacate(v)
 		}
 	case PhaseEmpty:
@@ -105,9 +105,9 @@
 	return actions
 }
 
-// found takes in a slot that the table did not know to be occupied, such as
-// that of a load given up for failed which took effect after all.
-func (t *Table) found(now time.Time, s ObservedSlot, actions []Action) []Action {
+// adoptSlot records an occupied slot that the table did not know of, for example that
+// of a load which took effect after it was considered failed.
+func (t *Table) adoptSlot(now time.Time, s ObservedSlot, actions []Action) []Action {
 	v := t.versions[s.Version]
 	if v == nil {
 		v = newVersion(s.Version)
@@ -118,25 +118,25 @@
 	v.lastUsed = now
 	if s.Loading {
 		v.fence = t.nextFence()
-		v.unsure = true
-		v.began = now
+		v.outcomeUnknown = true
+		v.loadStarted = now
 		t.setPhase(v, PhaseLoading)
 		return actions
 	}
 	return t.resident(now, v, actions)
 }
 
-// Restarted says that the engine began anew, empty. All pins are lost, the
-// waiters go on waiting, and answers to earlier orders will be ignored.
+// Restarted records that the engine restarted empty. All pins are lost, waiting
+// requests continue to wait, and outcomes of earlier orders will be ignored.
 func (t *Table) Restarted(now time.Time) []Action {
 	var actions []Action
-	var heirs []*version
+	var successors []*version
 	for _, name := range sortedKeys(t.slotted) {
 		v := t.slotted[name]
-		actions = t.lose(v, actions)
-		v.foreign = 0
-		if v.heir != nil {
-			heirs = append(heirs, v.heir)
+		actions = t.losePins(v, actions)
+		v.foreignPins = 0
+		if v.successor != nil {
+			successors = append(successors, v.successor)
 		}
 		if v.phase != PhaseEmpty {
 			t.vacate(v)
@@ -146,14 +146,14 @@
 		v.failures = 0
 		v.retryAt = time.Time{}
 	}
-	// The permits of the heirs were granted already; no one will grant them again.
-	for _, v := range heirs {
+	// The permits of the successors were already granted and will not be granted again.
+	for _, v := range successors {
 		actions = t.load(now, v, actions)
 	}
 	return t.plan(now, actions)
 }
 
-func (t *Table) lose(v *version, actions []Action) []Action {
+func (t *Table) losePins(v *version, actions []Action) []Action {
 	for _, request := range sortedKeys(v.pins) {
 		delete(v.pins, request)
 		delete(t.holders, request)
--- a/internal/coordination/loader/order.go
+++ b/internal/coordination/loader/order.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Permitted says that the permit asked for the version was granted. The slot is
-// chosen only now, since waiting for a permit may take long and evicting early
-// would cost requests their adapter for nothing.
+// Permitted records that the permit requested for the version was granted. The slot is
+// chosen only now, because waiting for a permit may take long, and an early eviction
+// would needlessly take the adapter from other requests.
 func (t *Table) Permitted(now time.Time, name string) []Action {
 	v := t.versions[name]
 	if v == nil || !v.permit || v.victim != nil {
 		return []Action{ReturnPermitAction{Version: name}}
 	}
 	if v.phase != PhaseEmpty {
-		return t.giveBack(now, v)
+		return t.returnPermit(now, v)
 	}
 	if len(v.waiters) == 0 && !t.worthPrefetch(now, v) {
-		return t.giveBack(now, v)
+		return t.returnPermit(now, v)
 	}
 	f := t.fairness(now)
-	if t.spare(v, f) <= 0 {
-		return t.giveBack(now, v)
+	if t.availableSlots(v, f) <= 0 {
+		return t.returnPermit(now, v)
 	}
 	if t.occupied() < t.settings.Slots {
 		return t.load(now, v, nil)
 	}
 	victim := t.victimFor(now, v)
 	if victim == nil {
-		return t.giveBack(now, v)
+		return t.returnPermit(now, v)
 	}
 	v.victim = victim
-	victim.heir = v
+	victim.successor = v
 	return t.plan(now, t.evict(victim))
 }
 
-// PermitDenied says that no permit could be had for the version. Its waiters
-// fail after the back-off's rules, as for a failed load.
+// PermitDenied records that no permit was available for the version. Its waiting
+// requests fail and the load backs off as after a failed load.
 func (t *Table) PermitDenied(now time.Time, name, cause string) []Action {
 	v := t.versions[name]
 	if v == nil || !v.permit || v.victim != nil {
@@ -49,12 +49,12 @@
 	return t.plan(now, t.fail(now, v, cause, nil))
 }
 
-// withdraw takes back the request for v's permit where it stands for what is no
-// longer so.
+// withdraw withdraws the request for v's permit if its reason no longer applies.
 //
-// A permit that comes for callers who have all left is given back, and the store
-// stands idle for the time of a load: in a rush that was one permit in twenty.
-// One asked for a prefetch yields to all others, also when a call waits by now.
+// A permit that arrives after all callers have left is returned, and the store is idle
+// for the time of a load; during a rush this affected one permit in twenty. A permit
+// requested for a prefetch yields to all others even if a call waits by now, so it has
+// to be requested anew.
 func (t *Table) withdraw(v *version, actions []Action) []Action {
 	if !v.permit || v.victim != nil || v.withdrawn || v.prefetch == (len(v.waiters) == 0) {
 		return actions
@@ -63,8 +63,8 @@
 	return append(actions, WithdrawAction{Version: v.name})
 }
 
-// Withdrawn says that the request for the version's permit was taken back
-// without a permit.
+// Withdrawn records that the request for the version's permit was withdrawn before a
+// permit was granted.
 func (t *Table) Withdrawn(now time.Time, name string) []Action {
 	v := t.versions[name]
 	if v == nil || !v.withdrawn {
@@ -74,9 +74,9 @@
 	return t.plan(now, nil)
 }
 
-// Loaded says how the load order with the fencing number ended. An answer to any
-// other order than the one in flight, such as one given in an earlier life, is
-// ignored.
+// Loaded records the outcome of the load order with the fencing number. The outcome of
+// any order other than the one in flight is ignored, for example that of an order
+// issued in an earlier incarnation of the engine.
 func (t *Table) Loaded(now time.Time, name string, fence uint64, o Outcome, cause string) []Action {
 	v := t.versions[name]
 	if v == nil || v.phase != PhaseLoading || v.fence != fence {
@@ -84,7 +84,7 @@
 	}
 	switch o {
 	case OutcomeDone:
-		v.loadTime = now.Sub(v.began)
+		v.loadTime = now.Sub(v.loadStarted)
 		return t.plan(now, append(t.resident(now, v, nil), t.evictReplaced(v)...))
 	case OutcomeFailed:
 		t.vacate(v)
@@ -93,12 +93,12 @@
 		t.vacate(v)
 		return t.fail(now, v, cause, []Action{FencedAction{}})
 	default:
-		v.unsure = true
+		v.outcomeUnknown = true
 		return []Action{ReadStateAction{}}
 	}
 }
 
-// Unloaded says how the unload order with the fencing number ended.
+// Unloaded records the outcome of the unload order with the fencing number.
 func (t *Table) Unloaded(now time.Time, name string, fence uint64, o Outcome) []Action {
 	v := t.versions[name]
 	if v == nil || v.phase != PhaseEvicting || v.fence != fence {
@@ -108,15 +108,15 @@
 	case OutcomeDone, OutcomeFailed:
 		return t.plan(now, t.unloaded(now, v))
 	case OutcomeFenced:
-		v.unsure = true
+		v.outcomeUnknown = true
 		return []Action{FencedAction{}}
 	default:
-		v.unsure = true
+		v.outcomeUnknown = true
 		return []Action{ReadStateAction{}}
 	}
 }
 
-func (t *Table) giveBack(now time.Time, v *version) []Action {
+func (t *Table) returnPermit(now time.Time, v *version) []Action {
 	t.setPermit(v, false)
 	return t.plan(now, []Action{ReturnPermitAction{Version: v.name}})
 }
@@ -124,8 +124,8 @@
 func (t *Table) load(now time.Time, v *version, actions []Action) []Action {
 	t.setPermit(v, false)
 	v.fence = t.nextFence()
-	v.unsure = false
-	v.began = now
+	v.outcomeUnknown = false
+	v.loadStarted = now
 	t.setPhase(v, PhaseLoading)
 	t.stats.Loads++
 	if len(v.waiters) == 0 {
@@ -136,7 +136,7 @@
 
 func (t *Table) evict(v *version) []Action {
 	v.fence = t.nextFence()
-	v.unsure = false
+	v.outcomeUnknown = false
 	t.setPhase(v, PhaseEvicting)
 	t.stats.Evictions++
 	return []Action{UnloadAction{Fence: v.fence, Version: v.name}}
@@ -144,7 +144,7 @@
 
 func (t *Table) resident(now time.Time, v *version, actions []Action) []Action {
 	v.fence = 0
-	v.unsure = false
+	v.outcomeUnknown = false
 	v.failures = 0
 	v.retryAt = time.Time{}
 	v.residentSince = now
@@ -152,13 +152,13 @@
 	return append(actions, ReadyAction{Version: v.name})
 }
 
-// unloaded hands the slot of v to its heir.
+// unloaded assigns the slot of v to its successor.
 func (t *Table) unloaded(now time.Time, v *version) []Action {
-	heir := v.heir
-	if v.unsure || v.doubted {
-		// An unload that was given up may still reach an engine that ignores
-		// fencing numbers, and drop the version after it was loaded and pinned
-		// anew. No load is ordered while that is possible.
+	successor := v.successor
+	if v.outcomeUnknown || v.unloadUncertain {
+		// An unload that was given up may still reach an engine that ignores fencing
+		// numbers, and remove the version after it was loaded and pinned again. No load
+		// is ordered while this is possible.
 		v.retryAt = now.Add(t.settings.OrderLife)
 	}
 	t.vacate(v)
@@ -167,24 +167,25 @@
 		t.stats.Regrets++
 		v.evictedAt = time.Time{}
 	}
-	if heir == nil {
+	if successor == nil {
 		return nil
 	}
-	return t.load(now, heir, nil)
+	return t.load(now, successor, nil)
 }
 
 func (t *Table) vacate(v *version) {
 	v.fence = 0
-	v.unsure = false
-	v.doubted = false
-	if v.heir != nil {
-		v.heir.victim = nil
-		v.heir = nil
+	v.outcomeUnknown = false
+	v.unloadUncertain = false
+	if v.successor != nil {
+		v.successor.victim = nil
+		v.successor = nil
 	}
 	t.setPhase(v, PhaseEmpty)
 }
 
-// fail backs off and tells all waiters of v that they have not run.
+// fail starts the back-off for v and fails all its waiting requests, which have not
+// run.
 func (t *Table) fail(now time.Time, v *version, cause string, actions []Action) []Action {
 	t.stats.Failures++
 	v.failures++
@@ -193,14 +194,15 @@
 	for _, request := range sortedKeys(v.waiters) {
 		delete(v.waiters, request)
 		delete(t.holders, request)
-		t.track(v)
+		t.updateIndex(v)
 		actions = append(actions, FailAction{Request: request, Version: v.name, RetryAfter: wait, Cause: cause})
 	}
 	return actions
 }
 
-// backoff doubles with each failure. The jitter, up to a half, keeps the
-// companions that met the same failure from asking the store at one moment.
+// backoff returns the wait after a number of consecutive failures. It doubles with each
+// failure; a jitter of up to one half keeps companions with the same failure from
+// retrying at the store simultaneously.
 func (t *Table) backoff(failures int) time.Duration {
 	wait := t.settings.BackoffInitial
 	for i := 1; i < failures && wait < t.settings.BackoffMax; i++ {
@@ -210,7 +212,8 @@
 	return wait/2 + time.Duration(t.random.Int64N(int64(wait/2)+1))
 }
 
-// sortedKeys makes the order of actions independent of that of maps.
+// sortedKeys returns the keys in sorted order, which makes the order of actions
+// independent of map iteration.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/coordination/loader/plan.go
+++ b/internal/coordination/loader/plan.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// plan asks for permits as far as slots can be had for them, and closes
-// residents where patience has run out.
+// plan requests permits as far as slots can be made available, and closes resident
+// versions when the patience of waiting requests has run out.
 func (t *Table) plan(now time.Time, actions []Action) []Action {
-	if !t.contended(now) {
+	if !t.needsPlanning(now) {
 		return actions
 	}
 	for {
@@ -15,62 +15,62 @@
 		}
 		t.setPermit(v, true)
 		t.charge(v)
-		t.asked++
+		t.permitsRequested++
 		actions = append(actions, PermitAction{
 			Version: v.name, Workspace: v.workspace, Share: v.share,
 			Waiters: len(v.waiters), Oldest: v.oldest(),
 		})
 	}
-	return t.settleClosing(now, actions)
+	return t.updateClosing(now, actions)
 }
 
-// contended tells whether any version waits for a slot or closes. Mostly none
-// does, and there is nothing to plan.
-func (t *Table) contended(now time.Time) bool {
+// needsPlanning reports whether any version waits for a slot or is closing. Usually
+// none does, and plan has nothing to do.
+func (t *Table) needsPlanning(now time.Time) bool {
 	for _, v := range t.waiting {
 		if v.pending(now) {
 			return true
 		}
 	}
-	return t.closings() > 0
+	return t.closingCount() > 0
 }
 
-// nextPending returns the version to ask a permit for, or nil.
+// nextPending returns the next version to request a permit for, or nil.
 func (t *Table) nextPending(now time.Time) *version {
 	f := t.fairness(now)
 	var best *version
 	for _, v := range t.waiting {
-		if v.pending(now) && t.standing(v) < t.permits && t.obtainable(v, f) && (best == nil || t.goesBefore(now, v, best)) {
+		if v.pending(now) && t.competingLoads(v) < t.maxPermits && t.hasSlotFor(v, f) && (best == nil || t.loadsBefore(now, v, best)) {
 			best = v
 		}
 	}
 	return best
 }
 
-// oldestTurn is the number of permits of which one goes to the longest waits, whoever
-// can still be served in time.
-const oldestTurn = 4
+// oldestFirstInterval is the number of permits out of which one goes to the longest
+// waits, regardless of which requests can still be served in time.
+const oldestFirstInterval = 4
 
-// goesBefore orders pending versions: first the workspace that had the fewest
-// loads for its share, then the one that most requests can still have in time, and
-// last the longest waits in sum.
+// loadsBefore orders pending versions: first by workspace, the one with the fewest
+// loads for its share first; then by the number of requests that can still be served in
+// time; then by total waiting time.
 //
-// After a loss of power more is asked for than the store brings for some seconds. In
-// the order of arrival each load serves requests that are late already, and makes
-// the next ones late too. Every few permits the longest waits go first, so that what
-// is late is served as well.
-func (t *Table) goesBefore(now time.Time, a, b *version) bool {
+// After a loss of power, demand exceeds the rate of the store for some seconds. In
+// order of arrival each load would serve requests that are already late, and make the
+// next ones late as well. The longest waits go first at a fixed interval, so that late
+// requests are served eventually.
+func (t *Table) loadsBefore(now time.Time, a, b *version) bool {
 	if t.settings.Policy == PolicyDemand {
-		x, y := t.tag(a), t.tag(b)
+		x, y := t.startTag(a), t.startTag(b)
 		if x != y {
 			return x < y
 		}
-		if t.asked%oldestTurn != 0 {
-			if m, n := a.inTime(now, t.settings), b.inTime(now, t.settings); m != n {
+		if t.permitsRequested%oldestFirstInterval != 0 {
+			if m, n := a.servableInTime(now, t.settings), b.servableInTime(now, t.settings); m != n {
 				return m > n
 			}
 		}
-		x, y = urgency(now, a), urgency(now, b)
+		x, y = waitWeight(now, a), waitWeight(now, b)
 		if x != y {
 			return x > y
 		}
@@ -81,34 +81,34 @@
 	return a.name < b.name
 }
 
-func urgency(now time.Time, v *version) float64 {
+func waitWeight(now time.Time, v *version) float64 {
 	return float64(len(v.waiters)) * (now.Sub(v.oldest()).Seconds() + 1)
 }
 
-// standing counts the loads that stand in the way of one for v: those under way,
-// and those asked for by its own workspace.
+// competingLoads returns the number of loads that count against the limit for v: those
+// in progress, and those requested by its own workspace.
 //
-// Were the permits counted that other workspaces wait for, a rush would fill the
-// count with requests that stand far down its own line at the control leader.
-// The quiet workspace, whose turn would come at once there, could not even ask.
-func (t *Table) standing(v *version) int {
+// If permits awaited by other workspaces were counted, a rush would use up the limit
+// with requests that are far back in its own queue at the control leader. A quiet
+// workspace, whose turn would come immediately there, could not even request a permit.
+func (t *Table) competingLoads(v *version) int {
 	n := 0
 	for _, other := range t.slotted {
-		if other.phase == PhaseLoading || other.victim != nil || other.permit && t.rivals(v, other) {
+		if other.phase == PhaseLoading || other.victim != nil || other.permit && t.competes(v, other) {
 			n++
 		}
 	}
 	return n
 }
 
-// rivals tells whether a permit asked for one of the versions keeps the other
-// from asking: always with the baseline, else only inside a workspace.
-func (t *Table) rivals(v, other *version) bool {
+// competes reports whether a permit requested for one of the versions blocks a request
+// for the other: always with the baseline policy, otherwise only within a workspace.
+func (t *Table) competes(v, other *version) bool {
 	return t.settings.Policy != PolicyDemand || v.workspace == other.workspace
 }
 
-// loads counts the loads asked for or under way.
-func (t *Table) loads() int {
+// pendingLoads returns the number of loads requested or in progress.
+func (t *Table) pendingLoads() int {
 	n := 0
 	for _, v := range t.slotted {
 		if v.permit || v.phase == PhaseLoading {
@@ -128,27 +128,27 @@
 	return n
 }
 
-// obtainable tells whether a slot can be had for v beyond those promised to
-// permits that its own workspace waits for. Which workspace gets a slot first is
-// decided by whose permit comes first.
-func (t *Table) obtainable(v *version, f fairness) bool {
+// hasSlotFor reports whether a slot is available for v beyond those promised to permits
+// that its own workspace waits for. Between workspaces, the slot goes to the one whose
+// permit is granted first.
+func (t *Table) hasSlotFor(v *version, f fairness) bool {
 	promised := 0
 	for _, other := range t.slotted {
-		if other.permit && other.victim == nil && t.rivals(v, other) {
+		if other.permit && other.victim == nil && t.competes(v, other) {
 			promised++
 		}
 	}
-	return t.spare(v, f) > promised
+	return t.availableSlots(v, f) > promised
 }
 
-// spare counts the slots that v could take now.
-func (t *Table) spare(v *version, f fairness) int {
+// availableSlots returns the number of slots that v could take now.
+func (t *Table) availableSlots(v *version, f fairness) int {
 	n := 0
 	if f.mayGrow(v) {
 		n = t.settings.Slots - t.occupied()
 	}
 	for _, other := range t.slotted {
-		if other.evictable() && f.mayTake(v, other) {
+		if other.evictable() && f.mayReplace(v, other) {
 			n++
 		}
 	}
@@ -160,14 +160,14 @@
 	f := t.fairness(now)
 	var best *version
 	for _, other := range t.slotted {
-		if other.evictable() && f.mayTake(v, other) && (best == nil || t.evictsBefore(now, other, best)) {
+		if other.evictable() && f.mayReplace(v, other) && (best == nil || t.evictsBefore(now, other, best)) {
 			best = other
 		}
 	}
 	return best
 }
 
-// evictsBefore orders victims: first those that close, then the least valuable.
+// evictsBefore orders victims: closing versions first, then by increasing value.
 func (t *Table) evictsBefore(now time.Time, a, b *version) bool {
 	if a.closing != b.closing {
 		return a.closing
@@ -184,12 +184,12 @@
 	return a.name < b.name
 }
 
-// settleClosing closes a resident for each pending version whose patience has
-// run out, and opens those that no one needs closed any more.
+// updateClosing closes a resident version for each pending version whose patience has
+// run out, and reopens versions that no longer need to be closed.
 //
-// Without it, versions with a steady stream of requests would keep their slots
-// for ever, and a request for any other version would never run.
-func (t *Table) settleClosing(now time.Time, actions []Action) []Action {
+// Otherwise versions with a steady stream of requests would keep their slots forever,
+// and requests for other versions would never run.
+func (t *Table) updateClosing(now time.Time, actions []Action) []Action {
 	f := t.fairness(now)
 	needed := 0
 	for _, name := range sortedKeys(t.waiting) {
@@ -198,14 +198,14 @@
 			continue
 		}
 		needed++
-		if t.closings() >= min(needed, t.settings.MaxPermits) {
+		if t.closingCount() >= min(needed, t.settings.MaxPermits) {
 			continue
 		}
 		if c := t.closable(now, v, f); c != nil {
 			c.closing = true
 		}
 	}
-	if needed > 0 || t.loads() > 0 {
+	if needed > 0 || t.pendingLoads() > 0 {
 		return actions
 	}
 	for _, name := range sortedKeys(t.slotted) {
@@ -217,7 +217,7 @@
 	return actions
 }
 
-func (t *Table) closings() int {
+func (t *Table) closingCount() int {
 	n := 0
 	for _, v := range t.slotted {
 		if v.closing {
@@ -227,12 +227,13 @@
 	return n
 }
 
-// closable returns the resident to close for v: one that v may take, resident
-// for a patience at least, the longest resident first.
+// closable returns the resident version to close for v, or nil. Candidates are versions
+// that v may replace and that have been resident for at least Settings.Patience; the
+// longest resident is preferred.
 func (t *Table) closable(now time.Time, v *version, f fairness) *version {
 	var best *version
 	for _, other := range t.slotted {
-		if other.phase != PhaseResident || other.closing || !f.mayTake(v, other) ||
+		if other.phase != PhaseResident || other.closing || !f.mayReplace(v, other) ||
 			now.Sub(other.residentSince) < t.settings.Patience {
 			continue
 		}
@@ -244,7 +245,7 @@
 }
 
 func closesBefore(a, b *version, f fairness) bool {
-	if x, y := f.over(a), f.over(b); x != y {
+	if x, y := f.overShare(a), f.overShare(b); x != y {
 		return x
 	}
 	if !a.residentSince.Equal(b.residentSince) {
--- a/internal/coordination/loader/prefetch.go
+++ b/internal/coordination/loader/prefetch.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// prefetchGain is how many times more valuable than its victim a version must
-// be to be loaded without a waiter. It keeps two versions of about the same
-// demand from replacing each other for ever.
-const prefetchGain = 2
+// prefetchValueRatio is the minimum ratio between the values of a prefetched version
+// and its victim. It prevents two versions of similar demand from replacing each other
+// repeatedly.
+const prefetchValueRatio = 2
 
-// prefetch asks for a permit for the most valuable version without a slot, when
-// nothing else is asked for and it is worth its victim.
+// prefetch requests a permit for the most valuable version without a slot if no other
+// load is pending and the version is worth evicting its victim.
 func (t *Table) prefetch(now time.Time, actions []Action) []Action {
-	if !t.settings.Prefetch || t.settings.Policy != PolicyDemand || t.loads() > 0 {
+	if !t.settings.Prefetch || t.settings.Policy != PolicyDemand || t.pendingLoads() > 0 {
 		return actions
 	}
 	var best *version
@@ -30,8 +30,8 @@
 	return append(actions, PermitAction{Version: best.name, Workspace: best.workspace, Share: best.share})
 }
 
-// worthPrefetch tells whether v is wanted often enough to be loaded before a
-// request waits for it.
+// worthPrefetch reports whether the demand for v justifies a load before any request
+// waits for it.
 func (t *Table) worthPrefetch(now time.Time, v *version) bool {
 	if !t.settings.Prefetch || v.demandNow(now, t.settings.HalfLife) < 1 {
 		return false
@@ -40,5 +40,5 @@
 		return true
 	}
 	victim := t.victimFor(now, v)
-	return victim != nil && v.value(now, t.settings) > prefetchGain*victim.value(now, t.settings)
+	return victim != nil && v.value(now, t.settings) > prefetchValueRatio*victim.value(now, t.settings)
 }
--- a/internal/coordination/loader/property_test.go
+++ b/internal/coordination/loader/property_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// model drives a table with random events against an engine of its own, and
-// checks at each order what the table must never do.
+// model drives a table with random events against a simulated engine, and checks the
+// invariants of the table at each order.
 type model struct {
 	t     *rapid.T
 	table *Table
@@ -19,19 +19,20 @@
 	slots int
 	next  int
 
-	// engine is what the engine holds.
+	// engine holds the versions resident at the engine.
 	engine map[string]bool
-	// orders are on their way, permits are asked for.
+	// orders holds the orders in flight, permits the versions for which a permit is
+	// requested.
 	orders  []Action
 	permits []string
-	// withdrawn are the permits whose requests are being taken back.
+	// withdrawn holds the versions whose permit requests are being withdrawn.
 	withdrawn map[string]bool
-	// waiting and pinned are the requests by id, with their versions.
+	// waiting and pinned map the IDs of requests to their versions.
 	waiting map[string]string
 	pinned  map[string]string
 	fence   uint64
-	// due tells that the table asked for the engine's state.
-	due bool
+	// stateRequested reports that the table requested the engine's state.
+	stateRequested bool
 }
 
 func TestPropertySlots(t *testing.T) {
@@ -43,17 +44,17 @@
 		m.table = NewTable(Settings{
 			Slots: m.slots, Prefetch: rapid.Bool().Draw(t, "prefetch"),
 			MaxPermits: rapid.IntRange(1, 3).Draw(t, "permits"),
-			// Short, so that residents close often.
+			// Short, so that resident versions are closed often.
 			Patience: 2 * time.Second,
 			Policy:   Policy(rapid.IntRange(0, 1).Draw(t, "policy")),
 		}, 1, rand.New(rand.NewPCG(1, 2)))
 		steps := map[string]func(*rapid.T){
-			"": m.check, "want": m.want, "pin": m.pin, "drop": m.drop, "permit": m.permit,
+			"": m.check, "want": m.want, "pin": m.pin, "drop": m.release, "permit": m.permit,
 			"answer": m.answer, "tick": m.tick, "observe": m.observe, "restart": m.restart,
 		}
-		// A restart is rare beside the others.
+		// The other steps are repeated, so that restarts are rare in comparison.
 		for _, again := range []string{"2", "3"} {
-			steps["want"+again], steps["pin"+again], steps["drop"+again] = m.want, m.pin, m.drop
+			steps["want"+again], steps["pin"+again], steps["drop"+again] = m.want, m.pin, m.release
 			steps["permit"+again], steps["answer"+again] = m.permit, m.answer
 			steps["tick"+again] = m.tick
 		}
@@ -95,7 +96,7 @@
 	m.pinned[request] = version
 }
 
-func (m *model) drop(*rapid.T) {
+func (m *model) release(*rapid.T) {
 	from := m.pinned
 	if rapid.Bool().Draw(m.t, "a waiter") {
 		from = m.waiting
@@ -111,7 +112,7 @@
 	m.permits = append(m.permits[:i], m.permits[i+1:]...)
 	if m.withdrawn[version] {
 		delete(m.withdrawn, version)
-		// The permit may have been on its way.
+		// The permit may have been granted already.
 		if m.draw("crossed", 2) == 0 {
 			m.apply(m.table.Withdrawn(m.now, version))
 			return
@@ -157,7 +158,7 @@
 }
 
 func (m *model) observe(*rapid.T) {
-	m.due = false
+	m.stateRequested = false
 	var slots []ObservedSlot
 	for _, version := range sortedKeys(m.engine) {
 		slots = append(slots, ObservedSlot{Version: version})
@@ -165,7 +166,7 @@
 	m.apply(m.table.Observe(m.now, m.table.Sequence(), slots))
 }
 
-// restart loses the orders on their way too: their connections are cut.
+// restart also drops the orders in flight, since their connections are closed.
 func (m *model) restart(*rapid.T) {
 	if m.draw("restart", 4) > 0 {
 		m.t.Skip("rare")
@@ -185,16 +186,16 @@
 			m.permits = append(m.permits, a.Version)
 		case WithdrawAction:
 			if m.withdrawn[a.Version] || !slices.Contains(m.permits, a.Version) {
-				m.t.Fatalf("%s is withdrawn without a request", a.Version)
+				m.t.Fatalf("%s withdrawn without a permit request", a.Version)
 			}
 			m.withdrawn[a.Version] = true
 		case LoadAction:
-			m.raise(a.Fence)
-			m.single(a.Version)
+			m.checkFence(a.Fence)
+			m.checkSingleOrder(a.Version)
 			m.orders = append(m.orders, a)
 		case UnloadAction:
-			m.raise(a.Fence)
-			m.single(a.Version)
+			m.checkFence(a.Fence)
+			m.checkSingleOrder(a.Version)
 			for request, version := range m.pinned {
 				if version == a.Version {
 					m.t.Fatalf("%s is unloaded under %s", version, request)
@@ -206,13 +207,13 @@
 		case LostAction:
 			delete(m.pinned, a.Request)
 		case ReadStateAction:
-			m.due = true
+			m.stateRequested = true
 		}
 	}
 }
 
-// single checks that no other order for the version is on its way.
-func (m *model) single(version string) {
+// checkSingleOrder checks that no other order for the version is in flight.
+func (m *model) checkSingleOrder(version string) {
 	for _, order := range m.orders {
 		if l, ok := order.(LoadAction); ok && l.Version == version {
 			m.t.Fatalf("two orders for %s at once", version)
@@ -223,7 +224,7 @@
 	}
 }
 
-func (m *model) raise(fence uint64) {
+func (m *model) checkFence(fence uint64) {
 	if fence <= m.fence {
 		m.t.Fatalf("fencing number %d after %d", fence, m.fence)
 	}
@@ -237,7 +238,7 @@
 			loading++
 		}
 	}
-	if len(m.engine)+loading > m.slots && !m.due {
+	if len(m.engine)+loading > m.slots && !m.stateRequested {
 		m.t.Fatalf("%d resident and %d loading in %d slots", len(m.engine), loading, m.slots)
 	}
 	for request, version := range m.pinned {
@@ -247,8 +248,8 @@
 	}
 }
 
-// settle lets the engine and the store work as they should, each request pin for
-// one second, and checks that all requests come to an end.
+// settle makes the engine and the store work without faults, with each request holding
+// its pin for one second, and checks that all requests end.
 func (m *model) settle() {
 	bound := m.now.Add(time.Duration(len(m.waiting)+2) * (DefaultPatience + 35*time.Second))
 	for len(m.waiting) > 0 {
@@ -268,7 +269,7 @@
 				m.apply(m.table.Permitted(m.now, version))
 			}
 			for _, order := range orders {
-				m.obey(order)
+				m.carryOut(order)
 			}
 		}
 		for _, request := range sortedKeys(m.waiting) {
@@ -283,7 +284,7 @@
 	}
 }
 
-func (m *model) obey(order Action) {
+func (m *model) carryOut(order Action) {
 	switch a := order.(type) {
 	case LoadAction:
 		m.engine[a.Version] = true
--- a/internal/coordination/loader/suite_test.go
+++ b/internal/coordination/loader/suite_test.go
@@ -29,8 +29,8 @@
 	return Want{Request: request, Workspace: WorkspaceOf(version), Version: version, Source: "weights/" + version}
 }
 
-// only returns the single action of its type.
-func only[A Action](actions []Action) A {
+// single returns the only action of the type.
+func single[A Action](actions []Action) A {
 	GinkgoHelper()
 	var found []A
 	for _, a := range actions {
@@ -42,11 +42,11 @@
 	return found[0]
 }
 
-// loadNow makes the version resident for the request, which then pins it.
-func loadNow(t *Table, now time.Time, request, version string) {
+// loadAndPin makes the version resident for the request, which then pins it.
+func loadAndPin(t *Table, now time.Time, request, version string) {
 	GinkgoHelper()
-	only[PermitAction](t.Want(now, want(request, version)))
-	load := only[LoadAction](t.Permitted(now, version))
-	only[ReadyAction](t.Loaded(now, version, load.Fence, OutcomeDone, ""))
+	single[PermitAction](t.Want(now, want(request, version)))
+	load := single[LoadAction](t.Permitted(now, version))
+	single[ReadyAction](t.Loaded(now, version, load.Fence, OutcomeDone, ""))
 	Expect(t.Pin(request)).To(BeTrue())
 }
--- a/internal/coordination/loader/table.go
+++ b/internal/coordination/loader/table.go
@@ -13,37 +13,38 @@
 	random   *rand.Rand
 
 	versions map[string]*version
-	// slotted are the versions which have a slot or are promised one by a
-	// permit, waiting those with waiters. Both are small beside versions, and
-	// every decision but a prefetch looks at them alone.
+	// slotted holds the versions that have a slot or are promised one by a permit;
+	// waiting holds those with waiting requests. Both are small compared to versions,
+	// and all decisions except prefetching iterate over them alone.
 	slotted map[string]*version
 	waiting map[string]*version
-	// workspaces remember how lately each workspace asked for anything.
+	// workspaces holds the recent activity of each workspace.
 	workspaces map[string]*workspaceActivity
-	// virtual is the tag of the last load asked for. It never goes back.
+	// virtual is the start tag of the last requested load. It never decreases.
 	virtual float64
 	// holders maps each request to the version that it waits for or pins.
 	holders map[string]*version
-	// fence is the last fencing number given; it only rises.
+	// fence is the last fencing number issued; it only increases.
 	fence uint64
-	// sequence rises with each change of a phase.
+	// sequence increases with each change of a phase.
 	sequence uint64
-	// permits bounds the loads under way, at most to Settings.MaxPermits.
-	permits int
-	// asked counts the permits asked for.
-	asked uint64
-	stats Stats
+	// maxPermits bounds the loads requested or in progress. It does not exceed
+	// Settings.MaxPermits.
+	maxPermits int
+	// permitsRequested is the number of permits requested so far.
+	permitsRequested uint64
+	stats            Stats
 }
 
-// Stats count what a table has done.
+// Stats holds counters of a table's operations.
 type Stats struct {
 	Loads     uint64
 	Failures  uint64
 	Evictions uint64
-	// Regrets counts evictions of a version that was wanted again within the
-	// regret window.
+	// Regrets counts evictions of a version that was requested again within the regret
+	// window.
 	Regrets uint64
-	// Prefetches counts the loads that no request waited for when they began.
+	// Prefetches counts the loads that no request waited for when they were ordered.
 	Prefetches uint64
 }
 
@@ -51,15 +52,15 @@
 type Want struct {
 	Request   string
 	Workspace string
-	// Share weighs the workspace; less than 1 means 1.
+	// Share is the weight of the workspace; values less than 1 mean 1.
 	Share   int
 	Version string
 	Source  string
-	// Due is the time by which the request wants its version; zero means none.
+	// Due is the time by which the request needs its version; zero means none.
 	Due time.Time
 }
 
-// Residency is one version's place in the table.
+// Residency is the state of one version in the table.
 type Residency struct {
 	Version string
 	Phase   Phase
@@ -68,49 +69,49 @@
 	Waiters int
 }
 
-// NewTable returns a table of empty slots. Its fencing numbers begin above
-// epoch<<32, so that those of a later membership are higher. It panics if
-// s.Slots is not positive or random is nil.
+// NewTable returns a table of empty slots. Its fencing numbers start above epoch<<32,
+// so that a later membership has higher ones. It panics if s.Slots is not positive or
+// random is nil.
 func NewTable(s Settings, epoch uint64, random *rand.Rand) *Table {
 	if random == nil {
 		panic("loader: no random source")
 	}
 	s = s.withDefaults()
 	return &Table{
-		settings: s,
-		permits:  s.MaxPermits,
-		random:   random,
-		versions: map[string]*version{}, slotted: map[string]*version{}, waiting: map[string]*version{},
+		settings:   s,
+		maxPermits: s.MaxPermits,
+		random:     random,
+		versions:   map[string]*version{}, slotted: map[string]*version{}, waiting: map[string]*version{},
 		workspaces: map[string]*workspaceActivity{},
 		holders:    map[string]*version{},
 		fence:      epoch << epochShift,
 	}
 }
 
-// epochShift leaves a membership 2^32 orders.
+// epochShift allows 2^32 orders per membership.
 const epochShift = 32
 
-// RaiseFence lifts the fencing numbers above those of the epoch, and above seen, the
-// highest that the engine reports. They never sink.
+// RaiseFence raises the fencing numbers above those of the epoch and above seen, the
+// highest number reported by the engine. They never decrease.
 func (t *Table) RaiseFence(epoch, seen uint64) {
 	t.fence = max(t.fence, epoch<<epochShift, seen)
 }
 
-// SetPermits bounds the loads that may be asked for or under way from now on, at
-// most to Settings.MaxPermits; 0 begins no more.
-func (t *Table) SetPermits(n int) { t.permits = min(n, t.settings.MaxPermits) }
+// SetPermits sets the number of loads that may be requested or in progress, at most
+// Settings.MaxPermits. With 0 no more loads are requested.
+func (t *Table) SetPermits(n int) { t.maxPermits = min(n, t.settings.MaxPermits) }
 
-// Fence returns the last fencing number given.
+// Fence returns the last fencing number issued.
 func (t *Table) Fence() uint64 { return t.fence }
 
 // Slots returns the number of slots.
 func (t *Table) Slots() int { return t.settings.Slots }
 
-// Stats returns the counts since the table began.
+// Stats returns the counters since the table was created.
 func (t *Table) Stats() Stats { return t.stats }
 
-// Sequence returns a number that rises with each change of a phase. Read it
-// before asking the engine for the state that Observe gets.
+// Sequence returns a number that increases with each change of a phase. It must be read
+// before requesting the engine state that is passed to Observe.
 func (t *Table) Sequence() uint64 { return t.sequence }
 
 // Phase returns the phase of the version.
@@ -121,20 +122,20 @@
 	return PhaseEmpty
 }
 
-// Ready tells whether the version can be pinned.
+// Ready reports whether the version can be pinned.
 func (t *Table) Ready(name string) bool {
 	v := t.versions[name]
 	return v != nil && v.phase == PhaseResident && !v.closing && !v.replaced
 }
 
-// OrderInFlight tells whether the order with the fencing number is the one in flight for
-// the version.
+// OrderInFlight reports whether the order with the fencing number is the one in flight
+// for the version.
 func (t *Table) OrderInFlight(name string, fence uint64) bool {
 	v := t.versions[name]
 	return v != nil && v.fence == fence
 }
 
-// LoadTime returns the expected time of a load of the version.
+// LoadTime returns the expected duration of a load of the version.
 func (t *Table) LoadTime(name string) time.Duration {
 	if v := t.versions[name]; v != nil {
 		return v.expectedLoad(t.settings)
@@ -150,7 +151,7 @@
 		if v.phase != PhaseEmpty {
 			dst = append(dst, Residency{
 				Version: v.name, Phase: v.phase, Closing: v.closing,
-				Pins: len(v.pins) + v.foreign, Waiters: len(v.waiters),
+				Pins: len(v.pins) + v.foreignPins, Waiters: len(v.waiters),
 			})
 		}
 	}
@@ -158,17 +159,17 @@
 	return dst
 }
 
-// Want makes the request wait for its version. A FailAction among the actions
-// means that it need not wait: the last load failed too short a time ago. It
-// panics if the request already waits or pins.
+// Want makes the request wait for its version. A FailAction among the actions means
+// that the request does not wait, because a failed load is still backing off. Want
+// panics if the request already waits for or pins a version.
 func (t *Table) Want(now time.Time, w Want) []Action {
 	if t.holders[w.Request] != nil {
 		panic("loader: request wants a second version")
 	}
 	v := t.version(w)
-	v.note(now, t.settings.HalfLife)
+	v.recordRequest(now, t.settings.HalfLife)
 	v.lastUsed = now
-	t.activity(v).note(now, t.settings.HalfLife)
+	t.activity(v).recordRequest(now, t.settings.HalfLife)
 	if !v.evictedAt.IsZero() && now.Sub(v.evictedAt) < t.settings.RegretWindow {
 		t.stats.Regrets++
 	}
@@ -179,13 +180,13 @@
 		}}
 	}
 	v.waiters[w.Request] = waiter{since: now, due: w.Due}
-	t.track(v)
+	t.updateIndex(v)
 	t.holders[w.Request] = v
 	return t.plan(now, t.withdraw(v, nil))
 }
 
-// Pin lets the waiting request use its version, and reports whether it may: not
-// if the version isn't resident or is closing.
+// Pin makes a waiting request use its version, and reports whether it does. It fails if
+// the version is not resident, is closing, or is being replaced.
 func (t *Table) Pin(request string) bool {
 	v := t.holders[request]
 	if v == nil || v.phase != PhaseResident || v.closing || v.replaced {
@@ -196,12 +197,12 @@
 	}
 	delete(v.waiters, request)
 	v.pins[request] = struct{}{}
-	t.track(v)
+	t.updateIndex(v)
 	return true
 }
 
-// Release ends the request's wait or its pin. Call it for a pin only when the
-// engine can no longer be working on the request. A load under way goes on.
+// Release ends the request's wait or its pin. For a pin it must only be called when the
+// engine can no longer be working on the request. A load in progress continues.
 func (t *Table) Release(now time.Time, request string) []Action {
 	v := t.holders[request]
 	if v == nil {
@@ -209,7 +210,7 @@
 	}
 	delete(t.holders, request)
 	delete(v.waiters, request)
-	t.track(v)
+	t.updateIndex(v)
 	if _, pinned := v.pins[request]; pinned {
 		delete(v.pins, request)
 		v.lastUsed = now
@@ -217,9 +218,9 @@
 	return t.plan(now, t.withdraw(v, t.evictReplaced(v)))
 }
 
-// Replace says that a later version takes the place of the one named: it takes no
-// new pin, and is evicted once no request uses it. An engine holds one version of
-// an adapter at a time, so that the later one can't be loaded before.
+// Replace records that a later version replaces the named one, which then takes no new
+// pins and is evicted once no request uses it. An engine holds one version of an
+// adapter at a time, so the later one cannot be loaded before that.
 func (t *Table) Replace(now time.Time, name string) []Action {
 	v := t.versions[name]
 	if v == nil || v.phase == PhaseEmpty {
@@ -236,28 +237,28 @@
 	return t.evict(v)
 }
 
-// Tick does what has become due: loads after a back-off, closing, prefetches.
-// Call it about once a second.
+// Tick performs what has become due: loads after a back-off, closing, and prefetches.
+// It should be called about once per second.
 func (t *Table) Tick(now time.Time) []Action {
 	for name, v := range t.versions {
-		if v.forgettable(now, t.settings.HalfLife) {
+		if v.removable(now, t.settings.HalfLife) {
 			delete(t.versions, name)
 		}
 	}
 	for name, a := range t.workspaces {
-		if a.demandNow(now, t.settings.HalfLife) < leastDemand && a.finish <= t.virtual {
+		if a.demandNow(now, t.settings.HalfLife) < minDemand && a.finish <= t.virtual {
 			delete(t.workspaces, name)
 		}
 	}
 	return t.prefetch(now, t.plan(now, nil))
 }
 
-// leastDemand is the demand below which an unused version is forgotten.
-const leastDemand = 1.0 / 64
+// minDemand is the demand below which an unused version or workspace is removed.
+const minDemand = 1.0 / 64
 
-func (v *version) forgettable(now time.Time, halfLife time.Duration) bool {
+func (v *version) removable(now time.Time, halfLife time.Duration) bool {
 	return v.phase == PhaseEmpty && !v.permit && len(v.waiters) == 0 &&
-		!now.Before(v.retryAt) && v.demandNow(now, halfLife) < leastDemand
+		!now.Before(v.retryAt) && v.demandNow(now, halfLife) < minDemand
 }
 
 func (t *Table) version(w Want) *version {
@@ -286,11 +287,11 @@
 	if p == PhaseEmpty {
 		v.replaced = false
 	}
-	t.track(v)
+	t.updateIndex(v)
 }
 
-// track keeps slotted and waiting in line with v.
-func (t *Table) track(v *version) {
+// updateIndex updates slotted and waiting for v.
+func (t *Table) updateIndex(v *version) {
 	if v.phase != PhaseEmpty || v.permit {
 		t.slotted[v.name] = v
 	} else {
@@ -307,7 +308,7 @@
 	v.permit = out
 	v.prefetch = out && len(v.waiters) == 0
 	v.withdrawn = false
-	t.track(v)
+	t.updateIndex(v)
 }
 
 func (t *Table) nextFence() uint64 {
@@ -328,12 +329,12 @@
 func (t *Table) ForeignPins() int {
 	n := 0
 	for _, v := range t.slotted {
-		n += v.foreign
+		n += v.foreignPins
 	}
 	return n
 }
 
-// FreeSlots returns the number of slots that are empty or could be evicted now.
+// FreeSlots returns the number of slots that are empty or evictable now.
 func (t *Table) FreeSlots() int {
 	n := t.settings.Slots - t.occupied()
 	for _, v := range t.slotted {
@@ -344,7 +345,8 @@
 	return n
 }
 
-// LoadsWaiting returns the number of versions that requests wait to be loaded.
+// LoadsWaiting returns the number of versions that requests wait for and that are not
+// resident.
 func (t *Table) LoadsWaiting() int {
 	n := 0
 	for _, v := range t.waiting {
--- a/internal/coordination/permitter/departures.go
+++ b/internal/coordination/permitter/departures.go
@@ -9,35 +9,35 @@
 	Expiry time.Duration
 
 	// watched is the time from which every departure was noted.
-	watched time.Time
-	left    map[string]time.Time
+	observedSince time.Time
+	departedAt    map[string]time.Time
 }
 
 // Reset begins anew at now: departures before it may have gone unseen.
 func (d *Departures) Reset(now time.Time) {
-	d.watched = now
-	d.left = make(map[string]time.Time)
+	d.observedSince = now
+	d.departedAt = make(map[string]time.Time)
 }
 
 // Record takes in that a companion's membership was seen to end at now. It is
 // never seen earlier than it ended.
 func (d *Departures) Record(now time.Time, companion string) {
-	for name, at := range d.left {
+	for name, at := range d.departedAt {
 		if now.Sub(at) >= d.Expiry {
-			delete(d.left, name)
+			delete(d.departedAt, name)
 		}
 	}
-	d.left[companion] = now
+	d.departedAt[companion] = now
 }
 
 // Holders returns the members and those that left within the life of a permit,
 // and false where others may have left unseen.
 func (d *Departures) Holders(now time.Time, members []string) ([]string, bool) {
-	if now.Sub(d.watched) < d.Expiry {
+	if now.Sub(d.observedSince) < d.Expiry {
 		return nil, false
 	}
 	holders := append([]string{}, members...)
-	for name, at := range d.left {
+	for name, at := range d.departedAt {
 		if now.Sub(at) < d.Expiry {
 			holders = append(holders, name)
 		}
--- a/internal/coordination/permitter/grant.go
+++ b/internal/coordination/permitter/grant.go
@@ -71,22 +71,22 @@
 			continue
 		}
 		start := max(l.finish, t.virtual)
-		calls := l.calls()
-		if best != nil && calls != bestCalls {
-			if calls {
+		hasCalls := l.hasCalls()
+		if best != nil && hasCalls != bestCalls {
+			if hasCalls {
 				best, bestStart, bestName, bestCalls = l, start, name, true
 			}
 			continue
 		}
 		if best == nil || start < bestStart || start == bestStart && name < bestName {
-			best, bestStart, bestName, bestCalls = l, start, name, calls
+			best, bestStart, bestName, bestCalls = l, start, name, hasCalls
 		}
 	}
 	return best
 }
 
 // calls reports whether calls wait for any of the lane's versions.
-func (l *lane) calls() bool {
+func (l *lane) hasCalls() bool {
 	for _, w := range l.requests {
 		if w.Waiters > 0 {
 			return true
@@ -99,7 +99,7 @@
 func (t *Table) grant(now time.Time, l *lane) Grant {
 	var first *waiting
 	for _, w := range l.requests {
-		if first == nil || t.before(now, w, first) {
+		if first == nil || t.precedes(now, w, first) {
 			first = w
 		}
 	}
@@ -123,7 +123,7 @@
 // before reports whether request a of a workspace goes before b: those for which
 // calls wait; of these the ones older than MaxAge first, by age; then by waiters,
 // and by age among equals.
-func (t *Table) before(now time.Time, a, b *waiting) bool {
+func (t *Table) precedes(now time.Time, a, b *waiting) bool {
 	if calls := a.Waiters > 0; calls != (b.Waiters > 0) {
 		return calls
 	}
--- a/internal/coordination/permitter/table.go
+++ b/internal/coordination/permitter/table.go
@@ -100,7 +100,7 @@
 	openAt time.Time
 	// unheard names the companions that may hold a permit of a former leader.
 	// Once it is empty the table grants before openAt.
-	unheard map[string]struct{}
+	unconfirmed map[string]struct{}
 }
 
 // NewTable returns the table of a leader that was elected in term at now.
@@ -121,9 +121,9 @@
 		next:     now.Add(s.interval()),
 	}
 	if holders != nil {
-		t.unheard = make(map[string]struct{}, len(holders))
+		t.unconfirmed = make(map[string]struct{}, len(holders))
 		for _, h := range holders {
-			t.unheard[h] = struct{}{}
+			t.unconfirmed[h] = struct{}{}
 		}
 	}
 	return t
@@ -173,7 +173,7 @@
 	key := target{companion: f.Companion, version: f.Version}
 	if h, ok := t.held[key]; ok && (f.Number == 0 || f.Number == h.grant.Number) {
 		if f.Number != 0 {
-			t.pace.finished(now.Sub(h.since), t.settings.interval())
+			t.pace.recordHeld(now.Sub(h.since), t.settings.interval())
 		}
 		delete(t.held, key)
 	}
@@ -207,7 +207,7 @@
 		// closed: its holder may go on as long as it reports.
 		t.openAt = now.Add(t.settings.Expiry)
 	case !foreign && r.Term >= t.term:
-		delete(t.unheard, r.Companion)
+		delete(t.unconfirmed, r.Companion)
 	}
 }
 
@@ -234,5 +234,5 @@
 
 // open reports whether no permit of a former leader can be in use.
 func (t *Table) open(now time.Time) bool {
-	return t.unheard != nil && len(t.unheard) == 0 || !now.Before(t.openAt)
+	return t.unconfirmed != nil && len(t.unconfirmed) == 0 || !now.Before(t.openAt)
 }
