--- a/internal/coordination/distributor/assembler.go
+++ b/internal/coordination/distributor/assembler.go
@@ -7,38 +7,39 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// ErrGap tells that a delta builds on a revision that the node does not hold:
-// the subscription must begin anew.
+// ErrGap means that a delta builds on a revision that the node does not hold. A new
+// subscription is required.
 const ErrGap = errors.ConstError("delta builds on a revision that is not held")
 
-// Target is where a node keeps its configuration. indexer.Index is one. Both
-// methods ignore or refuse what would go back.
+// Target stores the configuration of a node; indexer.Index implements it. Both methods
+// ignore or reject changes that would decrease the revision.
 type Target interface {
 	Revision() uint64
 	Apply(changes []storer.Change, upTo uint64) error
 	Reset(resources []storer.Resource, revision uint64) error
 }
 
-// PagedTarget is a Target that takes a whole state in page by page, and goes on
-// answering by what it holds until the last. indexer.Index is one.
+// PagedTarget is a Target that takes a whole state page by page and keeps answering
+// from its current state until the last page. indexer.Index implements it.
 type PagedTarget interface {
 	Target
 	Begin() *indexer.Loading
 }
 
-// Assembler takes the deltas of one subscription in, in order of arrival.
+// Assembler applies the deltas of one subscription in order of arrival.
 type Assembler struct {
-	// loading holds a reset under way at a PagedTarget; nil where none is.
+	// loading is the reset in progress at a PagedTarget, or nil.
 	loading *indexer.Loading
-	// pages collects the state of a reset for any other Target.
+	// pages collects the state of a reset for a Target that is not paged.
 	pages []storer.Resource
-	// batches counts the deltas taken in.
+	// batches is the number of deltas applied.
 	batches uint64
 }
 
-// ApplyDelta applies one delta to target, which must be the same each time, and
+// ApplyDelta applies one delta to target, which must be the same in each call, and
 // returns the acknowledgement to send. A delta that is not newer than target is
-// acknowledged and changes nothing.
+// acknowledged without effect. The error is ErrGap if the delta builds on a revision
+// that target does not hold.
 func (a *Assembler) ApplyDelta(target Target, d Delta) (AcknowledgeRevision, error) {
 	held := target.Revision()
 	switch {
@@ -58,9 +59,9 @@
 	return AcknowledgeRevision{Revision: target.Revision(), Batches: a.batches}, nil
 }
 
-// takePage takes in one page of a whole state. Nothing of it is in force before
-// the last page, and nothing at all where the target holds as much: half a state
-// is no state, and an older one would take back what is in force.
+// applyPage applies one page of a whole state. The state takes effect with the last
+// page only, since part of a state is not valid, and it is ignored if target is at
+// least as new, since an older state would revert what is in force.
 func (a *Assembler) applyPage(target Target, d Delta) error {
 	if d.UpTo <= target.Revision() {
 		a.loading, a.pages = nil, nil
@@ -76,9 +77,9 @@
 		a.pages = nil
 		return target.Reset(pages, d.UpTo)
 	}
-	// All pages held as resources would take several times the memory of the
-	// replica that is made of them, on every node of a region at once when its
-	// control hosts come back.
+	// Holding all pages as resources would take several times the memory of the replica
+	// built from them, on every node of a region at once when its control hosts
+	// recover.
 	if a.loading == nil {
 		a.loading = paged.Begin()
 	}
--- a/internal/coordination/distributor/assembler_benchmark_test.go
+++ b/internal/coordination/distributor/assembler_benchmark_test.go
@@ -10,10 +10,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// wholeTarget is a replica that gets a whole state at once.
+// wholeTarget is a Target that receives a whole state at once.
 type wholeTarget struct {
 	replica *indexer.Index
-	// loaded is called when all is there in both forms.
+	// loaded is called while the state is held in both forms.
 	loaded func()
 }
 
@@ -33,8 +33,8 @@
 	return l.Finish(revision)
 }
 
-// adapterPage returns the packed page of adapters from to to, with two versions
-// each.
+// adapterPage returns the packed page of adapters in the range [from, to), with two
+// versions each.
 func adapterPage(b *testing.B, from, to, last int) distributor.Packed {
 	b.Helper()
 	d := distributor.Delta{Reset: true, UpTo: uint64(last), Last: to == last}
@@ -63,30 +63,30 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkResetPeak gives the live heap in MB that a restarting node needs just
-// before it goes over to the whole state: with its pages taken in as they come,
-// and gathered first.
+// BenchmarkResetPeak reports the live heap, in MB, that a restarting node needs just
+// before it switches to the whole state, with pages applied as they arrive and with
+// pages collected first.
 func BenchmarkResetPeak(b *testing.B) {
 	for _, n := range []int{3000, 15000, 61000} {
 		b.Run(fmt.Sprintf("pages/adapters=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				before := heapInUse()
 				x := indexer.NewIndex(indexer.Settings{})
-				take(b, x, n, func() { b.ReportMetric(float64(heapInUse()-before)/1e6, "MB-peak") })
+				reset(b, x, n, func() { b.ReportMetric(float64(heapInUse()-before)/1e6, "MB-peak") })
 			}
 		})
 		b.Run(fmt.Sprintf("whole/adapters=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				before := heapInUse()
 				loaded := func() { b.ReportMetric(float64(heapInUse()-before)/1e6, "MB-peak") }
-				take(b, wholeTarget{replica: indexer.NewIndex(indexer.Settings{}), loaded: loaded}, n, func() {})
+				reset(b, wholeTarget{replica: indexer.NewIndex(indexer.Settings{}), loaded: loaded}, n, func() {})
 			}
 		})
 	}
 }
 
-// take resets target to n adapters, and calls beforeLast before the last page.
-func take(b *testing.B, target distributor.Target, n int, beforeLast func()) {
+// reset resets target to n adapters and calls beforeLast before the last page.
+func reset(b *testing.B, target distributor.Target, n int, beforeLast func()) {
 	b.Helper()
 	var a distributor.Assembler
 	const page = distributor.DefaultBatchLimit / 3
--- a/internal/coordination/distributor/codec.go
+++ b/internal/coordination/distributor/codec.go
@@ -7,13 +7,13 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Packed is a Delta on its way to a node. A delta goes to every entry, so what
-// it costs to write and read counts as often as there are entries: CBOR within
-// the JSON message takes less of both than JSON throughout. The measurement is
-// in docs/design/050-distribution.md.
+// Packed is the encoded form of a Delta sent to a node. A delta goes to every entry, so
+// the cost of encoding and decoding is multiplied by the number of entries. CBOR within
+// the JSON message is cheaper in both than JSON throughout; for the measurement see
+// docs/design/050-distribution.md.
 type Packed struct{ Data []byte }
 
-// wireDelta is a Delta in its packed form. The keys never change their meaning.
+// wireDelta is the encoding of a Delta. The meaning of the keys must never change.
 type wireDelta struct {
 	Reset     bool              `cbor:"1,keyasint,omitempty"`
 	Last      bool              `cbor:"2,keyasint,omitempty"`
@@ -23,8 +23,8 @@
 	Resources []storer.Resource `cbor:"6,keyasint,omitempty"`
 }
 
-// wireChange is a storer.Change; its revision is that of the resource unless it
-// was deleted.
+// wireChange is the encoding of a storer.Change. Its revision is that of the resource
+// unless the resource was deleted.
 type wireChange struct {
 	_        struct{} `cbor:",toarray"`
 	Revision uint64
@@ -32,7 +32,7 @@
 	Deleted  bool
 }
 
-// Pack returns d in the form that goes to a node.
+// Pack encodes d for sending to a node.
 func Pack(d Delta) (Packed, error) {
 	w := wireDelta{Reset: d.Reset, Last: d.Last, From: d.From, UpTo: d.UpTo, Resources: d.Resources}
 	for _, c := range d.Changes {
@@ -42,7 +42,7 @@
 	return Packed{Data: data}, errors.Annotatef(err, "pack delta from %d to %d", d.From, d.UpTo)
 }
 
-// Unpack is the inverse of Pack.
+// Unpack decodes a Delta encoded by Pack.
 func (p Packed) Unpack() (Delta, error) {
 	var w wireDelta
 	if err := cbor.Unmarshal(p.Data, &w); err != nil {
--- a/internal/coordination/distributor/feed.go
+++ b/internal/coordination/distributor/feed.go
@@ -12,16 +12,16 @@
 	DefaultBatchLimit = 512
 )
 
-// Source is the replicated state as a feed reads it. storer.Store is one.
+// Source is the replicated state read by a feed; storer.Store implements it.
 type Source interface {
 	// Revision returns the newest revision held.
 	Revision() uint64
-	// Since returns changes after a revision in order, at most limit, and the
-	// revision up to which they are complete. It returns false where the history
-	// no longer reaches back.
+	// Since returns at most limit changes after a revision, in order, and the revision
+	// up to which they are complete. It returns false if the history no longer covers
+	// the revision.
 	Since(after uint64, limit int) (changes []storer.Change, upTo uint64, ok bool)
-	// All returns the whole state and its revision. Feeds of several
-	// subscribers may share the slice.
+	// All returns the whole state and its revision. The slice may be shared by the
+	// feeds of several subscribers and must not be modified.
 	All() ([]storer.Resource, uint64)
 }
 
@@ -30,12 +30,11 @@
 	Scope Scope
 	// Backend is the name of a companion's own backend server.
 	Backend string
-	// After is the revision that the subscriber holds.
+	// After is the revision held by the subscriber.
 	After uint64
-	// Window is the number of deltas under way without acknowledgement;
-	// DefaultWindow by default.
+	// Window is the maximum number of unacknowledged deltas; DefaultWindow by default.
 	Window int
-	// BatchLimit is the number of changes or resources in one delta;
+	// BatchLimit is the maximum number of changes or resources per delta;
 	// DefaultBatchLimit by default.
 	BatchLimit int
 }
@@ -43,39 +42,41 @@
 // Feed is a control host's cursor for one subscriber.
 type Feed struct {
 	settings FeedSettings
-	// cursor is the revision up to which everything has been given out. It
-	// never falls below what the subscriber holds.
+	// cursor is the revision up to which everything has been emitted. It is never below
+	// the revision held by the subscriber.
 	cursor uint64
-	// told is the revision that the subscriber holds once it has taken all that
-	// was given out. It is behind cursor after changes that the subscriber does
-	// not need. A delta that named cursor as its beginning would look like a gap
-	// to a companion, which would leave its control host at every change of a
-	// workspace that follows one of an adapter.
+	// subscriberRevision is the revision held by the subscriber once it has applied all
+	// emitted deltas. It is behind cursor after changes that the subscriber does not
+	// need. If a delta started from cursor, a companion would treat it as a gap and
+	// leave its control host whenever a change of a workspace follows one of an
+	// adapter.
 	subscriberRevision uint64
-	// sent and taken count the deltas given out and acknowledged.
+	// sentBatches and acknowledgedBatches are the numbers of deltas emitted and
+	// acknowledged.
 	sentBatches, acknowledgedBatches uint64
-	// acknowledged is the revision that the subscriber holds for certain.
+	// acknowledged is the revision that the subscriber is known to hold.
 	acknowledged uint64
 
-	// reset is what is left of the whole state under way; nil where none is.
+	// remaining is the part of the whole state not emitted yet; nil if no reset is in
+	// progress.
 	remaining []storer.Resource
-	// resetTo is the revision of that state.
+	// resetTo is the revision of the whole state being emitted.
 	resetTo uint64
 }
 
-// NewFeed returns the feed of a new subscription.
+// NewFeed returns the feed for a new subscription.
 func NewFeed(s FeedSettings) *Feed {
 	s.Window = cmp.Or(s.Window, DefaultWindow)
 	s.BatchLimit = cmp.Or(s.BatchLimit, DefaultBatchLimit)
 	return &Feed{settings: s, cursor: s.After, subscriberRevision: s.After, acknowledged: s.After}
 }
 
-// Next returns the next delta to send, and false where there is none now:
-// nothing is new, the window is full, or the host is behind its subscriber.
+// Next returns the next delta to send. It returns false if there is none: nothing is
+// new, the window is full, or the host is behind its subscriber.
 //
-// A node that failed over to a host that is behind would go back to rules that
-// the operators replaced, if the host sent what it holds. So nothing is given
-// out until the host's revision has passed the subscriber's.
+// Nothing is emitted until the host's revision has passed the subscriber's. Otherwise a
+// node that failed over to a host that is behind would return to rules that the
+// operators have replaced.
 func (f *Feed) Next(src Source) (Delta, bool) {
 	if f.Full() {
 		return Delta{}, false
@@ -84,8 +85,8 @@
 		return f.nextPage(), true
 	}
 	if f.cursor == 0 && src.Revision() > 0 {
-		// A node with nothing takes the state and not its history, which can be
-		// many times as long.
+		// A node without configuration gets the state instead of the history, which can
+		// be many times as long.
 		return f.startReset(src)
 	}
 	for src.Revision() > f.cursor {
@@ -99,8 +100,8 @@
 		f.cursor = upTo
 		kept := f.inScope(changes)
 		if len(kept) == 0 && f.settings.Scope != ScopeEntry {
-			// The subscriber needs nothing of this: it holds the revision
-			// without hearing of it.
+			// The subscriber needs none of these changes and therefore holds the
+			// revision without receiving it.
 			f.settleAcknowledged()
 			continue
 		}
@@ -125,7 +126,7 @@
 	return kept
 }
 
-// startReset begins to give out the whole state.
+// startReset starts to emit the whole state.
 func (f *Feed) startReset(src Source) (Delta, bool) {
 	all, revision := src.All()
 	if revision <= f.cursor {
@@ -145,8 +146,8 @@
 	return f.nextPage(), true
 }
 
-// page gives out the next page of the whole state. A node applies the pages
-// together: half a state is no state.
+// nextPage emits the next page of the whole state. A node applies all pages together,
+// since part of a state is not valid.
 func (f *Feed) nextPage() Delta {
 	n := min(len(f.remaining), f.settings.BatchLimit)
 	d := Delta{Reset: true, UpTo: f.resetTo, Resources: f.remaining[:n:n], Last: n == len(f.remaining)}
@@ -159,27 +160,27 @@
 	return d
 }
 
-// Acknowledge takes a subscriber's acknowledgement in. An older one that
-// arrives late changes nothing.
+// Acknowledge records a subscriber's acknowledgement. An outdated one has no effect.
 func (f *Feed) Acknowledge(a AcknowledgeRevision) {
 	f.acknowledgedBatches = max(f.acknowledgedBatches, min(a.Batches, f.sentBatches))
 	f.acknowledged = max(f.acknowledged, min(a.Revision, f.cursor))
 	f.settleAcknowledged()
 }
 
-// settle notes that a subscriber with nothing under way holds all up to the
-// cursor.
+// settleAcknowledged records that a subscriber without deltas in flight holds
+// everything up to the cursor.
 func (f *Feed) settleAcknowledged() {
 	if f.sentBatches == f.acknowledgedBatches && f.remaining == nil && f.settings.Scope != ScopeEntry {
 		f.acknowledged = f.cursor
 	}
 }
 
-// Acknowledged returns the revision that the subscriber holds for certain.
+// Acknowledged returns the revision that the subscriber is known to hold.
 func (f *Feed) Acknowledged() uint64 { return f.acknowledged }
 
-// Full reports whether Next gives out nothing until an acknowledgement comes.
+// Full reports whether the window is full, so that Next emits nothing until the next
+// acknowledgement.
 func (f *Feed) Full() bool { return f.sentBatches-f.acknowledgedBatches >= uint64(f.settings.Window) }
 
-// Unacknowledged returns the number of deltas under way.
+// Unacknowledged returns the number of deltas in flight.
 func (f *Feed) Unacknowledged() int { return int(f.sentBatches - f.acknowledgedBatches) }
--- a/internal/coordination/distributor/feed_test.go
+++ b/internal/coordination/distributor/feed_test.go
@@ -14,8 +14,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// host is a control host's state: the revisions 1 to head, of which the history
-// holds those after floor. Each revision writes one workspace.
+// host is a control host's state with the revisions 1 to head, of which the history
+// covers those after floor. Each revision writes one workspace.
 type host struct{ head, floor uint64 }
 
 func written(revision uint64) storer.Resource {
@@ -50,7 +50,7 @@
 	return all, h.head
 }
 
-// node keeps what a node holds, and fails the test where that goes back.
+// node records what a node holds and fails the test if its revision decreases.
 type node struct {
 	revision uint64
 	shares   map[string]int
@@ -86,11 +86,11 @@
 }
 
 var _ = Describe("Feed", func() {
-	// Symptom: a rule that operators replaced is in force again at one entry.
-	// Sequence: the entry holds revision 40; its control host dies; the next
-	// one has only come to revision 30.
-	// Cause to prevent: a host that sends what it holds, whoever asks.
-	It("waits at a host that is behind its subscriber", func() {
+	// Guards against a replaced rule taking effect again at an entry. The entry holds
+	// revision 40 when its control host dies, and the next host has only reached
+	// revision 30. The fault would be a host that sends its state regardless of the
+	// subscriber's revision.
+	It("emits nothing at a host that is behind its subscriber", func() {
 		h := &host{head: 30, floor: 25}
 		f := distributor.NewFeed(distributor.FeedSettings{After: 40})
 		_, ok := f.Next(h)
@@ -102,7 +102,7 @@
 		Expect(d.UpTo).To(BeEquivalentTo(41))
 	})
 
-	It("gives a subscriber behind the history the whole state in pages", func() {
+	It("sends the whole state in pages to a subscriber that the history does not cover", func() {
 		h := &host{head: 100, floor: 90}
 		f := distributor.NewFeed(distributor.FeedSettings{After: 3, BatchLimit: 4})
 		first, _ := f.Next(h)
@@ -115,7 +115,7 @@
 		Expect(third.From).To(BeEquivalentTo(100))
 	})
 
-	It("stops at its window until the subscriber acknowledges", func() {
+	It("stops at a full window until the subscriber acknowledges", func() {
 		h := &host{head: 100}
 		f := distributor.NewFeed(distributor.FeedSettings{After: 1, Window: 2, BatchLimit: 10})
 		for range 2 {
@@ -129,19 +129,19 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("spares a companion what it does not need, and counts it as holding it", func() {
+	It("skips changes that a companion does not need, and counts them as held", func() {
 		f := distributor.NewFeed(distributor.FeedSettings{Scope: distributor.ScopeCompanion, Backend: "c", After: 1})
 		_, ok := f.Next(adapters{&host{head: 5}})
 		Expect(ok).To(BeFalse())
 		Expect(f.Acknowledged()).To(BeEquivalentTo(5))
 	})
 
-	// Symptom: companions leave their control hosts again and again, and stop
-	// loading for want of permits. Sequence: a workspace changes, then adapters,
-	// which the companion is spared, then a workspace again. Cause: the delta began
-	// at the feed's cursor, past what the companion had been told, which the
-	// companion took for a gap.
-	It("goes on where the subscriber stands after changes that it was spared", func() {
+	// Guards against companions repeatedly leaving their control hosts and, without
+	// permits, no longer loading. A workspace changes, then adapters, which the
+	// companion does not receive, then a workspace again. The fault was that the delta
+	// started from the feed's cursor, beyond the revision sent to the companion, which
+	// therefore detected a gap.
+	It("continues from the subscriber's revision after skipped changes", func() {
 		h := &host{head: 1}
 		f := distributor.NewFeed(distributor.FeedSettings{Scope: distributor.ScopeCompanion, Backend: "c"})
 		n := &node{shares: make(map[string]int), fatal: func(format string, args ...any) { Fail(fmt.Sprintf(format, args...)) }}
@@ -164,7 +164,7 @@
 	})
 })
 
-// adapters is a host whose changes are all of adapters.
+// adapters is a host all of whose changes concern adapters.
 type adapters struct{ *host }
 
 func (a adapters) Since(after uint64, limit int) ([]storer.Change, uint64, bool) {
@@ -175,10 +175,11 @@
 	return changes, upTo, ok
 }
 
-// A node that moves between hosts which are ahead or behind, with histories cut
-// anywhere and connections lost in the middle of a page, never goes back, and
-// holds exactly the state of its revision; the compact replica, which takes the
-// pages of a reset as they come, moves with it.
+// TestPropertyMonotone checks that a node's revision never decreases and that it holds
+// exactly the state of its revision, while it moves between hosts that are ahead or
+// behind, with arbitrarily compacted histories and connections lost in the middle of a
+// reset. The compact replica, which applies the pages of a reset as they arrive, must
+// match it.
 func TestPropertyMonotone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := []*host{{head: 5}, {head: 9}, {head: 2}}
@@ -210,11 +211,11 @@
 				}
 				a, err := assembler.ApplyDelta(n, under[0])
 				if err != nil {
-					t.Fatalf("delta refused: %v", err)
+					t.Fatalf("delta rejected: %v", err)
 				}
 				b, err := paged.ApplyDelta(x, under[0])
 				if err != nil || a != b {
-					t.Fatalf("the replica answered %v, %v instead of %v", b, err, a)
+					t.Fatalf("the replica returned %v, %v instead of %v", b, err, a)
 				}
 				under = under[1:]
 				feed.Acknowledge(a)
@@ -222,7 +223,7 @@
 					t.Fatalf("the host counts revision %d, the node holds %d", feed.Acknowledged(), n.revision)
 				}
 				if feed.Unacknowledged() > 3 {
-					t.Fatalf("%d deltas under way", feed.Unacknowledged())
+					t.Fatalf("%d deltas in flight", feed.Unacknowledged())
 				}
 				for r := n.revision; r > 0 && r+7 > n.revision; r-- {
 					if got := n.shares[written(r).Metadata.Name]; got != int(r) {
@@ -241,12 +242,10 @@
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-	// Symptom: an entry answers by replaced rules for as long as a partition
-	// lasts, and is ready all the while.
-	// Sequence: a control host is cut off from the leader, but not from the
-	// entry; its pulses go on.
-	// Cause to prevent: counting contact with a host for contact with the
-	// leader.
+	// Guards against an entry answering by replaced rules for the duration of a
+	// partition while it reports ready. A control host is partitioned from the leader
+	// but not from the entry, and its pulses continue. The fault would be to treat
+	// contact with a host as contact with the leader.
 	It("adds the age of the host's knowledge to that of the pulse", func() {
 		l := distributor.Lease{Duration: 10 * time.Second}
 		l.Pulse(at(0), distributor.Pulse{Revision: 4}, 4)
@@ -258,10 +257,9 @@
 		Expect(l.Valid(at(10))).To(BeFalse())
 	})
 
-	// Symptom: as above, though every process is connected.
-	// Sequence: the deltas to an entry stall while pulses arrive.
-	// Cause to prevent: a pulse that extends the trust in rules it does not
-	// belong to.
+	// Guards against the same failure with all processes connected: the deltas to an
+	// entry stall while pulses arrive. The fault would be a pulse that extends the
+	// lease of rules older than the pulse's revision.
 	It("counts a pulse only once the node holds the pulse's revision", func() {
 		l := distributor.Lease{Duration: 10 * time.Second}
 		l.Pulse(at(0), distributor.Pulse{Revision: 4}, 4)
@@ -272,7 +270,7 @@
 		Expect(l.Valid(at(15))).To(BeFalse())
 	})
 
-	It("is not valid before the first word of a leader", func() {
+	It("is not valid before the first contact with a leader", func() {
 		l := distributor.Lease{Duration: 10 * time.Second}
 		l.Pulse(at(0), distributor.Pulse{AgeMillis: -1}, 0)
 		Expect(l.Valid(at(0))).To(BeFalse())
@@ -280,7 +278,7 @@
 })
 
 var _ = Describe("Tally", func() {
-	It("counts a node by its best report over all hosts, and lists who lacks the revision since when", func() {
+	It("counts a node by its best report over all hosts, and lists the nodes that lack the revision", func() {
 		now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 		var left, right distributor.Tally
 		left.Observe(now, distributor.NodeRevision{Node: "moved", Revision: 3}, 3)
@@ -297,7 +295,7 @@
 		Expect(f.Unreachable).To(Equal([]string{"x"}))
 	})
 
-	It("reports a node that vanished until its retention, and forgets one that said goodbye", func() {
+	It("reports a vanished node for the retention time, and removes one that said goodbye", func() {
 		now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 		var t distributor.Tally
 		for _, n := range []string{"vanished", "stopped"} {
--- a/internal/coordination/distributor/lease.go
+++ b/internal/coordination/distributor/lease.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Lease tells whether a node may trust the configuration that it holds.
+// Lease determines whether a node may trust the configuration it holds.
 //
-// A node that is cut off can't know what the operators have accepted since. One
-// connected to a control host that is itself cut off can't either, though its
-// connection is alive; so each pulse tells the age of the host's own knowledge,
-// and the ages add up. The clock must be monotone: time.Time as time.Now gives
-// it.
+// A node that is partitioned from the control group cannot know what the operators have
+// accepted since. The same applies to a node connected to a control host that is itself
+// partitioned, although its connection is alive. Each pulse therefore carries the age
+// of the host's own state, and the ages add up. Times must have a monotonic clock
+// reading, as those returned by time.Now.
 type Lease struct {
-	// Duration is the age of knowledge up to which the node trusts its rules.
+	// Duration is the age of the state up to which the node trusts its rules.
 	Duration time.Duration
 
-	// fresh is the latest time at which the node is known to have held all that
-	// was committed. It never goes back.
+	// fresh is the latest time at which the node is known to have held everything
+	// committed. It never decreases.
 	fresh time.Time
-	// pending are pulses whose revision the node does not hold yet, in order of
+	// pending holds the pulses whose revision the node does not hold yet, in order of
 	// arrival.
 	pending []pending
 }
@@ -26,10 +26,10 @@
 	fresh    time.Time
 }
 
-// pendingLimit bounds the pulses kept for a node that lags.
+// maxPendingPulses bounds the pulses kept for a node that lags behind.
 const maxPendingPulses = 64
 
-// Pulse takes a pulse in that arrived at now, at a node that holds a revision.
+// Pulse records a pulse that arrived at now at a node holding the revision held.
 func (l *Lease) Pulse(now time.Time, p Pulse, held uint64) {
 	if p.AgeMillis < 0 {
 		return
@@ -44,7 +44,7 @@
 	l.extend(fresh)
 }
 
-// Applied takes in that the node now holds a revision.
+// Applied records that the node now holds the given revision.
 func (l *Lease) Applied(held uint64) {
 	kept := l.pending[:0]
 	for _, p := range l.pending {
@@ -57,7 +57,8 @@
 	l.pending = kept
 }
 
-// DiscardPending drops the pulses that wait for a revision: their subscription ended.
+// DiscardPending drops the pulses that wait for a revision. It is called when their
+// subscription has ended.
 func (l *Lease) DiscardPending() { l.pending = nil }
 
 func (l *Lease) extend(fresh time.Time) {
@@ -71,8 +72,7 @@
 	return !l.fresh.IsZero() && now.Sub(l.fresh) < l.Duration
 }
 
-// Age returns how old the node's knowledge is at now, and false where it has
-// none.
+// Age returns the age of the node's state at now, and false if it has none.
 func (l *Lease) Age(now time.Time) (time.Duration, bool) {
 	return now.Sub(l.fresh), !l.fresh.IsZero()
 }
--- a/internal/coordination/distributor/propose.go
+++ b/internal/coordination/distributor/propose.go
@@ -2,31 +2,31 @@
 
 import "marigoldpoint.example/marigoldpoint/internal/state/storer"
 
-// Propose submits a change. Any control host takes it, and forwards it to the
-// leader at most once.
+// Propose submits a change. Any control host accepts it and forwards it to the leader
+// at most once.
 type Propose struct {
-	// Envelope is the change as storer.Encode gives it.
+	// Envelope is the change as encoded by storer.Encode.
 	Envelope []byte
-	// TimeoutMillis is the time that the sender waits.
+	// TimeoutMillis is how long the sender waits, in milliseconds.
 	TimeoutMillis int64
-	// Forwarded tells that the sender is a control host.
+	// Forwarded reports that the sender is a control host.
 	Forwarded bool `json:",omitempty"`
 }
 
-// Proposed answers Propose once the change is committed and applied at the
-// leader.
+// Proposed is the answer to Propose, sent once the change is committed and applied at
+// the leader.
 type Proposed struct{ Result storer.Result }
 
-// Barrier asks the leader for a revision that covers all changes accepted
-// before.
+// Barrier requests a revision from the leader that covers all previously accepted
+// changes.
 type Barrier struct{ TimeoutMillis int64 }
 
-// BarrierPassed answers Barrier.
+// BarrierPassed is the answer to Barrier.
 type BarrierPassed struct{ Revision uint64 }
 
 //go:generate stringer -type=ReadKind -trimprefix=Read
 
-// ReadKind tells what a Read asks for.
+// ReadKind is the kind of a Read.
 type ReadKind int
 
 // The kinds of reads.
@@ -39,57 +39,58 @@
 	ReadSince
 )
 
-// Read reads the replicated state at a control host, at or after all that was
-// accepted before.
+// Read reads the replicated state at a control host, including all previously accepted
+// changes.
 type Read struct {
 	Kind ReadKind
-	// Key is the resource for ReadGet; its Kind and Workspace select for
-	// ReadList, and its Name is the last name of the page before.
+	// Key identifies the resource for ReadGet. For ReadList, its Kind and Workspace
+	// select the resources and its Name is the last name of the previous page.
 	Key storer.Key
-	// LastWorkspace is the workspace of the last resource of the page before, in
-	// a ReadList over all workspaces.
+	// LastWorkspace is the workspace of the last resource of the previous page in a
+	// ReadList over all workspaces.
 	LastWorkspace string `json:",omitempty"`
-	// After is the revision for ReadSince.
+	// After is the revision after which ReadSince returns changes.
 	After uint64
-	// Limit bounds the changes or resources of the answer; 0 means ReadLimit.
+	// Limit bounds the number of changes or resources in the answer; 0 means ReadLimit.
 	Limit int
-	// WaitMillis is how long ReadSince waits for a change.
+	// WaitMillis is how long ReadSince waits for a change, in milliseconds.
 	WaitMillis    int64
 	TimeoutMillis int64
-	// Behind spares the barrier: the answer may miss the latest changes.
+	// Behind skips the barrier: the answer may lack the latest changes.
 	Behind bool `json:",omitempty"`
 }
 
-// ReadLimit is the greatest number of resources or changes in one answer.
+// ReadLimit is the maximum number of resources or changes in one answer.
 const ReadLimit = 2048
 
-// ReadAnswer answers a Read.
+// ReadAnswer is the answer to Read.
 type ReadAnswer struct {
 	Resources []storer.Resource
 	Changes   []storer.Change
-	// Revision is the one up to which the answer is complete: a watcher may go
-	// on from it.
+	// Revision is the revision up to which the answer is complete. A watcher may
+	// continue from it.
 	Revision uint64
-	// More tells that a list goes on after the last name.
+	// More reports that the list continues after the last name.
 	More bool
-	// Compacted tells that ReadSince can't be answered: list again.
+	// Compacted reports that ReadSince cannot be answered because the history has been
+	// compacted. The caller must list again.
 	Compacted bool
 }
 
 //go:generate stringer -type=GroupAction -trimprefix=Group
 
-// GroupAction is what a GroupChange does.
+// GroupAction is the action of a GroupChange.
 type GroupAction int
 
 // The actions on a control group.
 const (
-	// GroupShow only reads.
+	// GroupShow only reads the group.
 	GroupShow GroupAction = iota
 	// GroupAdd adds a host, first as a learner.
 	GroupAdd
 	// GroupRemove removes a host.
 	GroupRemove
-	// GroupTransfer hands leadership to another host.
+	// GroupTransfer transfers leadership to another host.
 	GroupTransfer
 )
 
@@ -97,7 +98,7 @@
 type GroupChange struct {
 	Action GroupAction
 	Host   GroupHost
-	// TimeoutMillis is the time that the sender waits.
+	// TimeoutMillis is how long the sender waits, in milliseconds.
 	TimeoutMillis int64
 	Forwarded     bool `json:",omitempty"`
 }
@@ -110,9 +111,9 @@
 	Voter         bool
 }
 
-// Group describes the control group as one of its hosts sees it.
+// Group describes the control group as seen by one of its hosts.
 type Group struct {
-	// Host is the node name of the host that answered.
+	// Host is the node name of the answering host.
 	Host   string
 	Leader uint64
 	Term   uint64
--- a/internal/coordination/distributor/tally.go
+++ b/internal/coordination/distributor/tally.go
@@ -8,30 +8,30 @@
 
 // Defaults of a Tally.
 const (
-	// DefaultRetention is how long a node that left without a word is still
+	// DefaultRetention is how long a node that disconnected without a goodbye is still
 	// reported as missing.
 	DefaultRetention = 15 * time.Minute
-	// MissingLimit is the number of nodes listed in an InForce.
+	// MissingLimit is the maximum number of nodes listed in an InForce.
 	MissingLimit = 100
 )
 
 type nodeState struct {
-	node   NodeRevision
-	caughtUpAt time.Time
-	disconnectedAt   time.Time
+	node           NodeRevision
+	caughtUpAt     time.Time
+	disconnectedAt time.Time
 }
 
-// Tally counts which of a control host's subscribers hold which revision.
+// Tally records which of a control host's subscribers hold which revision.
 type Tally struct {
-	// Retention is how long a node that left without a word is still reported;
-	// DefaultRetention by default.
+	// Retention is how long a node that disconnected without a goodbye is still
+	// reported; DefaultRetention by default.
 	Retention time.Duration
 
 	nodes map[string]*nodeState
 }
 
-// Observe takes in that a subscriber holds a revision, where the host holds
-// another.
+// Observe records the revision held by a subscriber. host is the revision held by the
+// control host.
 func (t *Tally) Observe(now time.Time, n NodeRevision, host uint64) {
 	if t.nodes == nil {
 		t.nodes = make(map[string]*nodeState)
@@ -48,8 +48,8 @@
 	e.node, e.disconnectedAt = n, time.Time{}
 }
 
-// Disconnect takes in that a subscriber's connection ended. A node that said
-// goodbye is forgotten at once.
+// Disconnect records that a subscriber's connection ended. A node that said goodbye is
+// removed immediately.
 func (t *Tally) Disconnect(now time.Time, node string, goodbye bool) {
 	e, ok := t.nodes[node]
 	if !ok {
@@ -63,8 +63,8 @@
 	e.disconnectedAt = now
 }
 
-// Answer tells which of the nodes hold a revision. It forgets those that have
-// been gone for longer than Retention.
+// Answer reports which of the nodes hold a revision. It removes those that have been
+// disconnected for longer than Retention.
 func (t *Tally) Answer(now time.Time, host string, revision uint64) TallyAnswer {
 	a := TallyAnswer{Host: host}
 	for name, e := range t.nodes {
@@ -84,8 +84,8 @@
 	return a
 }
 
-// Merge adds the answers of all control hosts up. A node that moved from one
-// host to another is counted by its best report.
+// Merge combines the answers of all control hosts. A node that moved from one host to
+// another is counted by its best report.
 func Merge(revision uint64, answers []TallyAnswer, unreachable []string) InForce {
 	holding := make(map[string]struct{})
 	missing := make(map[string]NodeRevision)
