--- a/internal/coordination/permitter/departures.go
+++ b/internal/coordination/permitter/departures.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Departures remembers which companions stopped being members lately. A new
-// leader counts them among those that may hold a permit of its predecessor.
+// Departures records which companions ceased to be members recently. A new leader
+// counts them among those that may hold a permit of its predecessor.
 type Departures struct {
-	// Expiry is the life of a permit.
+	// Expiry is the lifetime of a permit.
 	Expiry time.Duration
 
-	// watched is the time from which every departure was noted.
+	// observedSince is the time since which every departure has been recorded.
 	observedSince time.Time
 	departedAt    map[string]time.Time
 }
 
-// Reset begins anew at now: departures before it may have gone unseen.
+// Reset discards all records at now. Earlier departures may have gone unobserved.
 func (d *Departures) Reset(now time.Time) {
 	d.observedSince = now
 	d.departedAt = make(map[string]time.Time)
 }
 
-// Record takes in that a companion's membership was seen to end at now. It is
-// never seen earlier than it ended.
+// Record records that a companion's membership was observed to end at now, which must
+// not be earlier than its actual end.
 func (d *Departures) Record(now time.Time, companion string) {
 	for name, at := range d.departedAt {
 		if now.Sub(at) >= d.Expiry {
@@ -30,8 +30,8 @@
 	d.departedAt[companion] = now
 }
 
-// Holders returns the members and those that left within the life of a permit,
-// and false where others may have left unseen.
+// Holders returns the members and the companions that left within the lifetime of a
+// permit. It returns false if others may have left unobserved.
 func (d *Departures) Holders(now time.Time, members []string) ([]string, bool) {
 	if now.Sub(d.observedSince) < d.Expiry {
 		return nil, false
--- a/internal/coordination/permitter/grant.go
+++ b/internal/coordination/permitter/grant.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// Grant returns the permits to give at now, in order. It ends the permits that
-// have expired.
+// Grant returns the permits to issue at now, in order. It also ends expired permits.
 func (t *Table) Grant(now time.Time) []Grant {
 	t.expire(now)
 	if !t.open(now) {
@@ -20,8 +19,8 @@
 	return grants
 }
 
-// Next returns the earliest time at which Grant may return something though
-// nothing else is called before, and false where there is none.
+// Next returns the earliest time at which Grant may return a permit without further
+// events, and false if there is none.
 func (t *Table) Next(now time.Time) (time.Time, bool) {
 	if t.Waiting() == 0 {
 		return time.Time{}, false
@@ -45,7 +44,7 @@
 	return at, true
 }
 
-// expire ends the permits whose holders have not reported them for Expiry.
+// expire ends the permits whose holders have not reported them within Settings.Expiry.
 func (t *Table) expire(now time.Time) {
 	for key, h := range t.held {
 		if now.Sub(h.reported) >= t.settings.Expiry {
@@ -54,10 +53,11 @@
 	}
 }
 
-// fairest returns the workspace with the lowest start tag among those whose calls
-// wait, or where none do among those with requests, or nil. So a prefetch is
-// loaded only while no call waits, whosever it is. Workspaces without requests are dropped once their finish
-// tag lies in the past, where it decides nothing any more.
+// fairest returns the workspace with the lowest start tag among those with waiting
+// calls, or, if there are none, among those with any requests; nil if there are no
+// requests. A prefetch is thus loaded only while no call of any workspace waits.
+// Workspaces without requests are dropped once their finish tag has passed and no
+// longer affects the order.
 func (t *Table) fairest() *lane {
 	var best *lane
 	var bestStart float64
@@ -85,7 +85,7 @@
 	return best
 }
 
-// calls reports whether calls wait for any of the lane's versions.
+// hasCalls reports whether calls wait for any of the lane's versions.
 func (l *lane) hasCalls() bool {
 	for _, w := range l.requests {
 		if w.Waiters > 0 {
@@ -95,7 +95,7 @@
 	return false
 }
 
-// grant gives a permit to the first request of a workspace.
+// grant issues a permit to the first request of a workspace.
 func (t *Table) grant(now time.Time, l *lane) Grant {
 	var first *waiting
 	for _, w := range l.requests {
@@ -120,9 +120,9 @@
 	return g
 }
 
-// before reports whether request a of a workspace goes before b: those for which
-// calls wait; of these the ones older than MaxAge first, by age; then by waiters,
-// and by age among equals.
+// precedes reports whether request a of a workspace is granted before b: requests with
+// waiting calls first; among these the ones older than Settings.MaxAge, by age; then by
+// the number of waiting calls, and by age among equals.
 func (t *Table) precedes(now time.Time, a, b *waiting) bool {
 	if calls := a.Waiters > 0; calls != (b.Waiters > 0) {
 		return calls
--- a/internal/coordination/permitter/pace.go
+++ b/internal/coordination/permitter/pace.go
@@ -2,38 +2,37 @@
 
 import "time"
 
-// The thresholds of a pace, as factors of the time that a load takes alone.
+// Thresholds of a pace, relative to the duration of an undisturbed load.
 const (
-	// widenBelow is where loads count as undisturbed by each other.
+	// widenRatio is the ratio up to which loads count as undisturbed.
 	widenRatio = 1.25
-	// narrowAbove is where they count as sharing the store.
+	// narrowRatio is the ratio above which loads count as sharing the store.
 	narrowRatio = 1.6
-	// aloneDrift is the part of a longer time by which the time alone rises, so
-	// that a store which has become slower for good is learnt.
+	// baselineDrift is the share of a longer duration by which the baseline rises, so
+	// that it adapts to a store that has become slower permanently.
 	baselineDrift = 1.0 / 32
-	// shortest is the part of the store's interval under which a permit tells
-	// nothing: its load failed or was not needed.
+	// minHeldShare is the share of the store's interval below which a permit's duration
+	// is ignored: its load failed or was not needed.
 	minHeldShare = 0.5
 )
 
-// pace decides how many permits are held at once.
+// pace limits how many permits are held at once.
 //
-// A load is a transfer from the store, which all loads share, and then an
-// activation, which is the engine's own affair. A companion learns only of the
-// load's end. Were the next permit to wait for it, the store would stand idle
-// during every activation: seen as load stalls beside a store that is used for
-// half of its rate. Grants are spaced by the store's rate, which is the time of
-// one transfer, so that transfers of a healthy store don't meet. Where the store
-// has become slower they do meet; that shows in longer loads, and the pace
-// narrows down to one load after the other.
+// A load consists of a transfer from the store, which is shared by all loads, and an
+// activation, which involves only the engine. A companion observes only the end of the
+// load. If the next permit waited for it, the store would be idle during every
+// activation, and loads would stall while the store runs at half of its rate. Grants
+// are spaced by the store's rate, that is, the duration of one transfer, so that
+// transfers of a healthy store do not overlap. If the store has become slower they do;
+// loads then take longer, and the pace narrows down to one load at a time.
 type pace struct {
 	minLimit, maxLimit int
-	// limit is the number of permits that may be held at once, from least to
-	// most.
+	// limit is the number of permits that may be held at once, from minLimit to
+	// maxLimit.
 	limit int
-	// alone is the time that a load takes undisturbed, 0 while not known.
+	// baseline is the duration of an undisturbed load; 0 while unknown.
 	baseline time.Duration
-	// undisturbed counts the loads in a row that took no longer than alone.
+	// undisturbedLoads is the number of consecutive loads that were not slowed down.
 	undisturbedLoads int
 }
 
@@ -41,8 +40,8 @@
 	return pace{minLimit: s.Parallel, maxLimit: s.Parallel * s.Overlap, limit: s.Parallel}
 }
 
-// finished takes in that a permit was held for a time. Interval is the store's
-// time for one transfer.
+// recordHeld records how long a permit was held. interval is the store's time for one
+// transfer.
 func (p *pace) recordHeld(held, interval time.Duration) {
 	if float64(held) < minHeldShare*float64(interval) {
 		return
--- a/internal/coordination/permitter/pace_test.go
+++ b/internal/coordination/permitter/pace_test.go
@@ -9,8 +9,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/permitter"
 )
 
-// store is a weight store that serves one transfer after the other, and engines
-// that activate what they fetched.
+// store models a weight store that serves transfers sequentially, and engines that
+// activate what they have fetched.
 type store struct {
 	transfer, activation time.Duration
 	free                 time.Time
@@ -28,8 +28,8 @@
 	s.ends[g] = s.free.Add(s.activation)
 }
 
-// run loads for a time and returns the number of loads begun, and of those that
-// met another transfer.
+// run simulates loads for the given length and returns the number of loads started and
+// how many of them overlapped with another transfer.
 func (s *store) run(t *permitter.Table, from time.Time, length time.Duration) (begun, met int) {
 	s.met = 0
 	for now := from; now.Before(from.Add(length)); now = now.Add(10 * time.Millisecond) {
@@ -51,27 +51,27 @@
 var _ = Describe("Pace", func() {
 	overlapping := permitter.Settings{Rate: 4, Overlap: 4, Expiry: time.Minute}
 
-	// Symptom: calls stall for loads while the store is used for half of its rate.
-	// Sequence: a load's transfer ends and its engine activates the adapter; the
-	// permit is held to the end; the next load waits for it. Cause: the permit
-	// covers work that the store has no part in.
-	It("has the store serve the next load while an engine activates", func() {
+	// Guards against calls stalling for loads while the store runs at half of its rate.
+	// After a load's transfer has ended, its engine activates the adapter; the permit
+	// is held to the end, and the next load waits for it. The fault was that the permit
+	// covers work that does not involve the store.
+	It("lets the store serve the next load while an engine activates", func() {
 		s := &store{transfer: 240 * time.Millisecond, activation: 300 * time.Millisecond, ends: map[permitter.Grant]time.Time{}}
 		t := permitter.NewTable(overlapping, 1, start, []string{})
 		begun, met := s.run(t, start.Add(time.Second), time.Minute)
-		Expect(begun).To(BeNumerically(">=", 220), "of 240 that the rate allows")
+		Expect(begun).To(BeNumerically(">=", 220), "of 240 allowed by the rate")
 		Expect(met).To(BeZero())
 
 		serial := &store{transfer: s.transfer, activation: s.activation, ends: map[permitter.Grant]time.Time{}}
 		one := permitter.NewTable(permitter.Settings{Rate: 4, Expiry: time.Minute}, 1, start, []string{})
 		begun, _ = serial.run(one, start.Add(time.Second), time.Minute)
-		Expect(begun).To(BeNumerically("<", 120), "one load after the other")
+		Expect(begun).To(BeNumerically("<", 120), "one load at a time")
 	})
 
-	// Symptom: every load takes several times as long as it should. Sequence: the
-	// store becomes four times slower; permits go on at the declared rate. Cause:
-	// the rate is believed rather than what loads show.
-	It("goes back to one load after the other at a store that became slow", func() {
+	// Guards against every load taking several times as long as necessary. The store
+	// becomes four times slower while permits continue at the declared rate. The fault
+	// was to rely on the declared rate instead of the measured loads.
+	It("returns to one load at a time when the store becomes slow", func() {
 		s := &store{transfer: 240 * time.Millisecond, activation: 300 * time.Millisecond, ends: map[permitter.Grant]time.Time{}}
 		t := permitter.NewTable(overlapping, 1, start, []string{})
 		s.run(t, start.Add(time.Second), 20*time.Second)
--- a/internal/coordination/permitter/permitter_benchmark_test.go
+++ b/internal/coordination/permitter/permitter_benchmark_test.go
@@ -8,8 +8,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/permitter"
 )
 
-// BenchmarkGrant measures a request, its grant and its finish, beside others
-// that wait.
+// BenchmarkGrant measures a request, its grant and its finish by the number of waiting
+// requests.
 func BenchmarkGrant(b *testing.B) {
 	for _, waiting := range []int{10, 300, 3000, 12000} {
 		b.Run(fmt.Sprintf("Waiting=%d", waiting), func(b *testing.B) {
--- a/internal/coordination/permitter/table.go
+++ b/internal/coordination/permitter/table.go
@@ -25,17 +25,17 @@
 	// at once; DefaultParallel by default.
 	Parallel int
 
-	// Overlap is the most permits that may be held for each of Parallel, where
-	// loads are seen not to disturb each other; DefaultOverlap, one load after
-	// the other, by default.
+	// Overlap is the maximum number of permits held for each of Parallel if loads are
+	// observed not to disturb each other; DefaultOverlap, one load at a time, by
+	// default.
 	Overlap int
 
-	// Expiry is the life of a permit whose holder no longer reports it;
+	// Expiry is the lifetime of a permit that its holder no longer reports;
 	// DefaultExpiry by default.
 	Expiry time.Duration
 
-	// MaxAge is the wait from which a request goes before all younger ones of
-	// its workspace; DefaultMaxAge by default.
+	// MaxAge is the wait after which a request precedes all younger ones of its
+	// workspace; DefaultMaxAge by default.
 	MaxAge time.Duration
 }
 
@@ -53,20 +53,20 @@
 type waiting struct {
 	Request
 
-	// since is when the request first came.
+	// since is the time at which the request first arrived.
 	since time.Time
-	// order tells requests with equal since apart.
+	// order distinguishes requests with equal since.
 	order uint64
 }
 
 type held struct {
 	grant Grant
-	// since is when the permit was granted.
+	// since is the time at which the permit was granted.
 	since time.Time
-	// reported is when the holder was last known to hold the permit.
+	// reported is the time at which the holder was last known to hold the permit.
 	reported time.Time
-	// confirmed is the sequence of the holder's first report of the permit; 0
-	// while there was none.
+	// confirmed is the sequence number of the holder's first report of the permit; 0
+	// before that.
 	confirmed uint64
 }
 
@@ -78,37 +78,38 @@
 	finish float64
 }
 
-// Table is the leader's list of requests and permits. Only the leader has one,
-// and it makes a new one each time it is elected.
+// Table is the leader's list of requests and permits. Only the leader has one, and it
+// creates a new one each time it is elected.
 type Table struct {
 	settings Settings
 	term     uint64
-	// counter is the number of grants of this term.
+	// counter is the number of grants in this term.
 	counter uint64
 	order   uint64
 
 	lanes map[string]*lane
-	// virtual is the start tag of the last grant. It never falls.
+	// virtual is the start tag of the last grant. It never decreases.
 	virtual float64
 	held    map[target]*held
 	// pace bounds the number of permits in held.
 	pace pace
-	// next is the earliest time of the next grant by the store's rate.
+	// next is the earliest time of the next grant at the store's rate.
 	next time.Time
 
-	// openAt is when the permits of former leaders have expired for certain.
+	// openAt is the time at which all permits of previous leaders have expired.
 	openAt time.Time
-	// unheard names the companions that may hold a permit of a former leader.
-	// Once it is empty the table grants before openAt.
+	// unconfirmed is the set of companions that may hold a permit of a previous leader.
+	// The table grants before openAt once the set is empty.
 	unconfirmed map[string]struct{}
 }
 
-// NewTable returns the table of a leader that was elected in term at now.
-// Holders names every companion that may hold a permit of a former leader; nil
-// means that they are not known, and an empty slice that there are none.
+// NewTable returns the table of a leader elected in term at now. holders lists every
+// companion that may hold a permit of a previous leader; nil means that they are
+// unknown, and an empty slice that there are none.
 //
-// Without the wait two leaders' permits would be in use at once: the store
-// serves both loads slowly, seen as a doubled stall time after elections.
+// Without the wait for previous permits, permits of two leaders would be in use at
+// once: the store would serve both loads slowly, which was observed as doubled stall
+// times after elections.
 func NewTable(s Settings, term uint64, now time.Time, holders []string) *Table {
 	s = s.withDefaults()
 	t := &Table{
@@ -129,7 +130,7 @@
 	return t
 }
 
-// interval is the time between two grants.
+// interval returns the time between two grants.
 func (s Settings) interval() time.Duration { return time.Duration(float64(time.Second) / s.Rate) }
 
 // Waiting returns the number of requests without a permit.
@@ -144,8 +145,8 @@
 // Held returns the number of permits in use.
 func (t *Table) Held() int { return len(t.held) }
 
-// Request takes a request in. Where its companion already has a permit for the
-// version, that is returned again: the answer that carried it was lost.
+// Request adds a request. If its companion already has a permit for the version, the
+// answer that carried the permit was lost, and the permit is returned again.
 func (t *Table) Request(now time.Time, r Request) (Grant, bool) {
 	key := target{companion: r.Companion, version: r.Version}
 	if h, ok := t.held[key]; ok {
@@ -167,8 +168,8 @@
 	return Grant{}, false
 }
 
-// Finish ends a permit or withdraws a request. A number that is not the
-// permit's own ends nothing.
+// Finish ends a permit or withdraws a request. A number other than that of the permit
+// has no effect.
 func (t *Table) Finish(now time.Time, f Finish) {
 	key := target{companion: f.Companion, version: f.Version}
 	if h, ok := t.held[key]; ok && (f.Number == 0 || f.Number == h.grant.Number) {
@@ -185,36 +186,36 @@
 	}
 }
 
-// Report is what a companion tells of its permits.
+// Report is a companion's report on the permits it holds.
 type Report struct {
 	Companion string
-	// Term is the newest leader's term of which the companion has heard: it
-	// takes no permit of an older one any more.
+	// Term is the latest leader's term known to the companion. It accepts no permit of
+	// an earlier one.
 	Term uint64
-	// Sequence rises with each report of the companion.
+	// Sequence increases with each report of the companion.
 	Sequence uint64
-	// Numbers are the permits that it holds.
+	// Numbers lists the permits held.
 	Numbers []uint64
 }
 
-// Report takes in what a companion holds.
+// Report records the permits held by a companion.
 func (t *Table) Report(now time.Time, r Report) {
 	t.reportOwn(now, r)
 	foreign := slices.ContainsFunc(r.Numbers, func(n uint64) bool { return Term(n) != t.term })
 	switch {
 	case foreign && !t.open(now):
-		// A permit of a former leader that is still in use keeps the table
-		// closed: its holder may go on as long as it reports.
+		// A permit of a previous leader that is still in use keeps the table closed,
+		// since its holder may continue as long as it reports the permit.
 		t.openAt = now.Add(t.settings.Expiry)
 	case !foreign && r.Term >= t.term:
 		delete(t.unconfirmed, r.Companion)
 	}
 }
 
-// reportOwn extends the permits of this term that a companion reports, and ends
-// those that it reported before and does not any more: the message that
-// finished them was lost. A report that is older than the first one of the
-// permit says nothing of it: it took a slower way.
+// reportOwn extends the permits of this term that a companion reports. It ends those
+// that were reported before and no longer are, because the message that finished them
+// was lost. A report older than the first one that includes the permit was delayed and
+// says nothing about it.
 func (t *Table) reportOwn(now time.Time, r Report) {
 	for key, h := range t.held {
 		if key.companion != r.Companion {
@@ -232,7 +233,7 @@
 	}
 }
 
-// open reports whether no permit of a former leader can be in use.
+// open reports whether no permit of a previous leader can be in use.
 func (t *Table) open(now time.Time) bool {
 	return t.unconfirmed != nil && len(t.unconfirmed) == 0 || !now.Before(t.openAt)
 }
--- a/internal/coordination/permitter/table_test.go
+++ b/internal/coordination/permitter/table_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// serve runs a table for n grants, each load taking as long as the rate allows,
-// and returns the versions in order. Before each grant it calls arrive.
+// serve runs a table for n grants, with each load taking as long as the rate allows,
+// and returns the versions in order. It calls arrive before each grant.
 func serve(t *permitter.Table, now time.Time, n int, arrive func(now time.Time, i int)) []string {
 	var order []string
 	for i := range n {
@@ -38,11 +38,11 @@
 }
 
 var _ = Describe("Table", func() {
-	// Symptom: a single call for a cold adapter waits for minutes.
-	// Sequence: one workspace asks for 300 cold adapters at once, with many
-	// waiters each; then another asks for one.
-	// Cause to prevent: ordering by waiters alone.
-	It("serves a quiet workspace next, whatever a rushing one has queued", func() {
+	// Guards against a single call for a cold adapter waiting for minutes. One
+	// workspace requests 300 cold adapters at once, with many waiting calls each; then
+	// another one requests a single adapter. The fault would be to order by waiting
+	// calls alone.
+	It("serves a quiet workspace next, regardless of the queue of a rushing one", func() {
 		t := permitter.NewTable(settings, 1, start, []string{})
 		for i := range 300 {
 			t.Request(start, request("rush", i, 50))
@@ -56,12 +56,11 @@
 		Expect(order[10:12]).To(ContainElement("quiet/a0@1"))
 	})
 
-	// Symptom: calls wait for loads while adapters are loaded that none waits for.
-	// Sequence: a workspace that was idle prefetches; another one, which has had
-	// many loads, has a call that waits.
-	// Cause to prevent: fairness between workspaces gives the idle one the turn,
-	// and age gives it to an old prefetch.
-	It("loads for a prefetch only while no call waits", func() {
+	// Guards against calls waiting for loads while adapters are loaded that no call
+	// waits for. A workspace that was idle prefetches, while a call waits in another
+	// one that has had many loads. The fault would be to give the turn to the idle
+	// workspace by fairness, or to an old prefetch by age.
+	It("grants a prefetch only while no call waits", func() {
 		t := permitter.NewTable(settings, 1, start, []string{})
 		t.Request(start, request("idle", 0, 0))
 		t.Request(start, request("busy", 10, 0))
@@ -74,11 +73,11 @@
 		Expect(order).To(HaveLen(3))
 	})
 
-	// Symptom: nothing loads for 30 s though the store is idle.
-	// Sequence: a grant's answer is lost with its connection; the companion
-	// asks again, or its waiters leave and it withdraws.
-	// Cause to prevent: a permit that nobody knows to hold.
-	It("gives a lost grant again, and takes it back from a companion that withdraws", func() {
+	// Guards against nothing loading for 30 s although the store is idle. The answer
+	// with a grant is lost with its connection; the companion repeats the request, or
+	// withdraws it when its waiting calls leave. The fault would be a permit that no
+	// companion knows it holds.
+	It("repeats a lost grant, and ends it when the companion withdraws", func() {
 		t := permitter.NewTable(settings, 1, start, []string{})
 		now := start.Add(time.Second)
 		t.Request(now, request("w", 0, 1))
@@ -91,7 +90,7 @@
 		Expect(t.Held()).To(BeZero())
 	})
 
-	It("ends a permit that nobody reports, and keeps one that is reported", func() {
+	It("ends a permit that is not reported, and keeps one that is", func() {
 		t := permitter.NewTable(settings, 1, start, []string{})
 		now := start.Add(time.Second)
 		t.Request(now, request("w", 0, 1))
@@ -104,13 +103,12 @@
 		Expect(t.Grant(now.Add(30 * time.Second))).To(HaveLen(1))
 	})
 
-	// Symptom: nothing loads for 30 s though the store is idle.
-	// Sequence: the message that finishes a permit is lost; the companion's
-	// reports go on without it. One of them took a slower way and is older than
-	// the permit.
-	// Cause to prevent: waiting for the expiry though the holder says it is
-	// done, and taking an old report for that.
-	It("ends a permit that its holder no longer reports, by the holder's order of reports", func() {
+	// Guards against nothing loading for 30 s although the store is idle. The message
+	// that finishes a permit is lost, and the companion's reports continue without the
+	// permit; one delayed report is older than the permit. The fault would be to wait
+	// for the expiry although the holder reports that it is done, or to accept the old
+	// report as evidence.
+	It("ends a permit that its holder no longer reports, in the order of the holder's reports", func() {
 		t := permitter.NewTable(settings, 1, start, []string{})
 		now := start.Add(time.Second)
 		t.Request(now, request("w", 0, 1))
@@ -124,11 +122,10 @@
 	})
 
 	Describe("after a change of leader", func() {
-		// Symptom: loads take twice their time after an election.
-		// Sequence: a companion holds a permit of the former leader, which the
-		// new one knows nothing of.
-		// Cause to prevent: a grant beside a permit that is still in use.
-		It("grants nothing while a former leader's permit may be in use", func() {
+		// Guards against loads taking twice their time after an election. A companion
+		// holds a permit of the previous leader that the new one does not know of. The
+		// fault would be a grant while that permit is still in use.
+		It("grants nothing while a previous leader's permit may be in use", func() {
 			t := permitter.NewTable(settings, 2, start, []string{"c", "d"})
 			t.Request(start, request("w", 0, 1))
 			now := start.Add(time.Second)
@@ -139,18 +136,18 @@
 			Expect(t.Grant(now)).To(HaveLen(1))
 		})
 
-		// Symptom: as above.
-		// Sequence: a companion reports that it holds nothing before it has
-		// heard of the new leader; the old leader's grant is still on its way.
-		// Cause to prevent: a report that does not rule out an older grant.
-		It("counts only reports made after the companion heard of the new term", func() {
+		// Guards against the same failure. A companion reports that it holds nothing
+		// before it knows of the new leader, while a grant of the old leader is in
+		// flight. The fault would be to accept a report that does not rule out an older
+		// grant.
+		It("counts only reports made after the companion learned of the new term", func() {
 			t := permitter.NewTable(settings, 2, start, []string{"c"})
 			t.Request(start, request("w", 0, 1))
 			t.Report(start, permitter.Report{Companion: "c", Term: 1, Sequence: 1})
 			Expect(t.Grant(start.Add(time.Second))).To(BeEmpty())
 		})
 
-		It("grants after the longest life where a holder stays silent or is not known", func() {
+		It("grants after the expiry time if a holder does not report or is unknown", func() {
 			for _, holders := range [][]string{nil, {"dead"}} {
 				t := permitter.NewTable(settings, 2, start, holders)
 				t.Request(start, request("w", 0, 1))
@@ -160,11 +157,11 @@
 		})
 	})
 
-	// Symptom: after an election nothing loads for the whole life of a permit.
-	// Sequence: the new leader's history does not reach back, as always in a
-	// group that has been up for long.
-	// Cause to prevent: counting every name that was ever a member.
-	It("counts as holders the members and those that left within the life of a permit", func() {
+	// Guards against nothing loading for the lifetime of a permit after an election.
+	// The new leader's history does not reach back, as is always the case in a group
+	// that has run for a long time. The fault would be to count every name that was
+	// ever a member.
+	It("counts as holders the members and those that left within the lifetime of a permit", func() {
 		d := permitter.Departures{Expiry: settings.Expiry}
 		d.Reset(start)
 		d.Record(start.Add(time.Second), "early")
@@ -176,15 +173,16 @@
 		Expect(holders).To(Equal([]string{"c", "late"}))
 	})
 
-	It("divides a rate that can't be had over the companions without contact", func() {
+	It("divides half of the rate among the companions without contact", func() {
 		Expect(permitter.FallbackRate(4, 20)).To(BeNumerically("~", 0.1))
 		Expect(permitter.FallbackRate(4, 0)).To(BeNumerically("~", 2))
 	})
 })
 
-// Starvation bound: while a workspace of share s has requests waiting, another
-// of share r gets at most ceil(r/s)+1 permits between two of its own. Inside a
-// workspace, a request older than MaxAge yields only to older ones.
+// TestPropertyStarvation checks the starvation bound: while a workspace of share s has
+// requests waiting, another one of share r gets at most ceil(r/s)+1 permits between two
+// of its own. Within a workspace, a request older than MaxAge yields only to older
+// ones.
 func TestPropertyStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := permitter.NewTable(settings, 1, start, []string{})
@@ -199,7 +197,7 @@
 		for range 80 {
 			now = now.Add(250 * time.Millisecond)
 			for w, share := range shares {
-				// w0 always has something waiting; the others come and go.
+				// w0 always has a request waiting; the others do not.
 				for n := rapid.IntRange(0, 3).Draw(t, "arrivals"); n > 0 || w == "w0" && n == 0; n-- {
 					r := request(w, next, rapid.IntRange(1, 90).Draw(t, "waiters"))
 					r.Share = share
@@ -231,16 +229,16 @@
 			delete(since, g.Version)
 			for v, s := range since {
 				if v[:2] == workspace && now.Sub(s) >= settings.MaxAge && s.Before(mine) {
-					t.Fatalf("%s of age %v passed over for %s of age %v", v, now.Sub(s), g.Version, now.Sub(mine))
+					t.Fatalf("%s of age %v was not granted before %s of age %v", v, now.Sub(s), g.Version, now.Sub(mine))
 				}
 			}
 		}
 	})
 }
 
-// Over any schedule of requests, reports, lost answers, finishes and elections,
-// at most one load runs at a time, loads start no faster than the rate, and
-// numbers rise.
+// TestPropertyOneAtATime checks over any schedule of requests, reports, lost answers,
+// finishes and elections that at most one load runs at a time, that loads start no
+// faster than the rate, and that numbers increase.
 func TestPropertyOneAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const companions = 3
@@ -256,7 +254,7 @@
 		heard := [companions]uint64{}
 		var lastNumber, sequence uint64
 		lastStart := start.Add(-time.Minute)
-		// expire has companions stop what they could not report for too long.
+		// expire stops the loads that companions could not report for too long.
 		expire := func() {
 			for i, l := range running {
 				if now.Sub(l.reported) >= settings.Expiry {
