--- a/internal/coordination/distributor/tally.go
+++ b/internal/coordination/distributor/tally.go
@@ -8,48 +8,48 @@
 
 // Defaults of a Tally.
 const (
-	// DefaultRetention is how long a node that left without a word is still
+	// DefaultRetention is how long a node that disconnected without a goodbye is still
 	// reported as missing.
 	DefaultRetention = 15 * time.Minute
-	// MissingLimit is the number of nodes listed in an InForce.
+	// MissingLimit is the maximum number of nodes listed in an InForce.
 	MissingLimit = 100
 )
 
-type tallied struct {
-	node   NodeRevision
-	behind time.Time
-	gone   time.Time
+type nodeState struct {
+	node           NodeRevision
+	caughtUpAt     time.Time
+	disconnectedAt time.Time
 }
 
-// Tally counts which of a control host's subscribers hold which revision.
+// Tally records which of a control host's subscribers hold which revision.
 type Tally struct {
-	// Retention is how long a node that left without a word is still reported;
-	// DefaultRetention by default.
+	// Retention is how long a node that disconnected without a goodbye is still
+	// reported; DefaultRetention by default.
 	Retention time.Duration
 
-	nodes map[string]*tallied
+	nodes map[string]*nodeState
 }
 
-// Observe takes in that a subscriber holds a revision, where the host holds
-// another.
+// Observe records the revision held by a subscriber. host is the revision held by the
+// control host.
 func (t *Tally) Observe(now time.Time, n NodeRevision, host uint64) {
 	if t.nodes == nil {
-		t.nodes = make(map[string]*tallied)
+		t.nodes = make(map[string]*nodeState)
 	}
 	e, ok := t.nodes[n.Node]
 	if !ok {
-		e = &tallied{behind: now}
+		e = &nodeState{caughtUpAt: now}
 		t.nodes[n.Node] = e
 	}
 	if n.Revision >= host {
-		e.behind = now
+		e.caughtUpAt = now
 	}
 	n.Connected = true
-	e.node, e.gone = n, time.Time{}
+	e.node, e.disconnectedAt = n, time.Time{}
 }
 
-// Disconnect takes in that a subscriber's connection ended. A node that said
-// goodbye is forgotten at once.
+// Disconnect records that a subscriber's connection ended. A node that said goodbye is
+// removed immediately.
 func (t *Tally) Disconnect(now time.Time, node string, goodbye bool) {
 	e, ok := t.nodes[node]
 	if !ok {
@@ -60,22 +60,22 @@
 		return
 	}
 	e.node.Connected = false
-	e.gone = now
+	e.disconnectedAt = now
 }
 
-// Answer tells which of the nodes hold a revision. It forgets those that have
-// been gone for longer than Retention.
+// Answer reports which of the nodes hold a revision. It removes those that have been
+// disconnected for longer than Retention.
 func (t *Tally) Answer(now time.Time, host string, revision uint64) TallyAnswer {
 	a := TallyAnswer{Host: host}
 	for name, e := range t.nodes {
 		switch {
-		case !e.gone.IsZero() && now.Sub(e.gone) >= cmp.Or(t.Retention, DefaultRetention):
+		case !e.disconnectedAt.IsZero() && now.Sub(e.disconnectedAt) >= cmp.Or(t.Retention, DefaultRetention):
 			delete(t.nodes, name)
 		case e.node.Connected && e.node.Revision >= revision:
 			a.Holding = append(a.Holding, name)
 		default:
 			n := e.node
-			n.BehindMillis = now.Sub(e.behind).Milliseconds()
+			n.BehindMillis = now.Sub(e.caughtUpAt).Milliseconds()
 			a.Missing = append(a.Missing, n)
 		}
 	}
@@ -84,8 +84,8 @@
 	return a
 }
 
-// Merge adds the answers of all control hosts up. A node that moved from one
-// host to another is counted by its best report.
+// Merge combines the answers of all control hosts. A node that moved from one host to
+// another is counted by its best report.
 func Merge(revision uint64, answers []TallyAnswer, unreachable []string) InForce {
 	holding := make(map[string]struct{})
 	missing := make(map[string]NodeRevision)
