--- a/internal/transport/relayer/attending_test.go
+++ b/internal/transport/relayer/attending_test.go
@@ -44,7 +44,7 @@
 		// detector names lines 249 and 228 of relayer.go; it needs no luck here, since
 		// every read without the lock races with the next write.
 		e := newPair(streamed, newBackend(stream), newBackend(stream))
-		e.relayer.WatchMeanwhile("s", 200)
+		e.relayer.WatchConcurrently("s", 200)
 	})
 
 	It("beat at the full pace where a call waits for its answer, and seldom else", func() {
--- a/internal/transport/relayer/call.go
+++ b/internal/transport/relayer/call.go
@@ -28,8 +28,8 @@
 	// answer may have; 0 means not told.
 	PromptTokens int
 	AnswerTokens int
-	// Counted tells that the caller gave these two.
-	Counted bool
+	// TokensKnown tells that the caller gave these two.
+	TokensKnown bool
 	// ExpectedTokens is the caller's own guess at the size of the answer; 0 means
 	// not told. It is right at the median, and often far off.
 	ExpectedTokens int
@@ -39,8 +39,8 @@
 type Attempt struct {
 	// Workspace is the one that the caller's key belongs to; empty where none is needed.
 	Workspace string
-	// Left is the time that the backend server has.
-	Left time.Duration
+	// TimeLeft is the time that the backend server has.
+	TimeLeft time.Duration
 	// Incarnation is the incarnation of the backend server that is meant.
 	Incarnation string
 	// Version is the adapter's; 0 means that none is meant.
@@ -50,12 +50,12 @@
 	// Backup is where the backend server keeps a copy of the request's memory;
 	// empty means nowhere.
 	Backup string
-	// From is where the request's memory was kept, for a request that goes on
+	// ResumeFrom is where the request's memory was kept, for a request that goes on
 	// from it; empty means that it begins anew.
-	From string
-	// After is the last event that the caller has; empty means as the caller
+	ResumeFrom string
+	// LastEvent is the last event that the caller has; empty means as the caller
 	// sent it.
-	After string
+	LastEvent string
 }
 
 // Head is what an answer's head tells.
@@ -64,16 +64,16 @@
 	Request string
 	// NotRun means that the backend server has not run the request.
 	NotRun bool
-	// Elsewhere means that another incarnation of the backend server than the one meant
+	// OtherIncarnation means that another incarnation of the backend server than the one meant
 	// has answered; it has not run the request.
-	Elsewhere bool
+	OtherIncarnation bool
 	// Signed means that the backend server has run it and vouches for the answer.
 	Signed bool
 	// Calls is the number of calls at the backend server; negative means not
 	// told.
 	Calls int
-	// Keep is for how long the connection may stay idle; 0 means not told.
-	Keep time.Duration
+	// KeepAlive is for how long the connection may stay idle; 0 means not told.
+	KeepAlive time.Duration
 }
 
 // Translator knows the protocol of callers and backend servers.
--- a/internal/transport/relayer/export_test.go
+++ b/internal/transport/relayer/export_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// FallSilent does what the relayer does once an engine's host has been silent for
+// MarkSilent does what the relayer does once an engine's host has been silent for
 // longer than any attempt there has lasted.
-func (r *Relayer) FallSilent(service, name string) {
+func (r *Relayer) MarkSilent(service, name string) {
 	now := r.settings.Now().Add(time.Hour)
 	r.settings.Placer.Suspect(service, name, now)
 	r.abandon(now, name)
 }
 
-// WatchMeanwhile has the companion of the first member of a service watched again and
+// WatchConcurrently has the companion of the first member of a service watched again and
 // again, while it is asked as often whether it tells its state.
-func (r *Relayer) WatchMeanwhile(service string, times int) {
+func (r *Relayer) WatchConcurrently(service string, times int) {
 	m := r.settings.View().Members(service)[0]
 	var both sync.WaitGroup
 	both.Go(func() {
--- a/internal/transport/relayer/fixture_test.go
+++ b/internal/transport/relayer/fixture_test.go
@@ -40,7 +40,7 @@
 	ms, err := strconv.Atoi(r.Header.Get("Deadline"))
 	c := relayer.Call{ID: r.Header.Get("Id"), Host: r.Host, Path: r.URL.Path, Deadline: time.Duration(ms) * time.Millisecond}
 	c.Model, c.Adapter, _ = strings.Cut(r.Header.Get("Model"), "/")
-	c.PromptTokens, c.AnswerTokens, c.Counted = 100, 100, true
+	c.PromptTokens, c.AnswerTokens, c.TokensKnown = 100, 100, true
 	c.Key = tracker.DigestKey(r.Header.Get("Key"))
 	// A guess that isn't told is 0.
 	c.ExpectedTokens, _ = strconv.Atoi(r.Header.Get("Expected"))
@@ -52,16 +52,16 @@
 	h.Set("Workspace", a.Workspace)
 	h.Set("Expect-Life", a.Incarnation)
 	h.Set("Backup", a.Backup)
-	h.Set("From", a.From)
+	h.Set("From", a.ResumeFrom)
 	h.Set("Version", strconv.FormatUint(a.Version, 10))
-	if a.After != "" {
-		h.Set("After", a.After)
+	if a.LastEvent != "" {
+		h.Set("After", a.LastEvent)
 	}
 	return h
 }
 
 func (translator) Head(_ int, h http.Header) relayer.Head {
-	return relayer.Head{Request: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Elsewhere: h.Get("Not-Run") == "elsewhere", Signed: h.Get("Signed") != "", Calls: -1}
+	return relayer.Head{Request: h.Get("Id"), NotRun: h.Get("Not-Run") != "", OtherIncarnation: h.Get("Not-Run") == "elsewhere", Signed: h.Get("Signed") != "", Calls: -1}
 }
 
 func (translator) AnswerHeader(h http.Header) http.Header {
@@ -224,7 +224,7 @@
 			defer e.mu.Unlock()
 			return cmp.Or(e.companions[m.Name], companion)
 		},
-		Random: random, Log: zerolog.New(e.log), Tell: e.tell, Control: &e.control, KeyLease: keyLease,
+		Random: random, Log: zerolog.New(e.log), Propose: e.tell, Control: &e.control, KeyLease: keyLease,
 		Now: func() time.Time { return time.Now().Add(time.Duration(e.later.Load())) },
 	})
 	e.server = httptest.NewServer(e.relayer)
--- a/internal/transport/relayer/keys.go
+++ b/internal/transport/relayer/keys.go
@@ -120,7 +120,7 @@
 // tokens returns the call's tokens, of prompt and answer together, and -1 where the caller
 // gave none.
 func (c *Call) tokens() int {
-	if !c.Counted {
+	if !c.TokensKnown {
 		return -1
 	}
 	return c.PromptTokens + c.AnswerTokens
--- a/internal/transport/relayer/relayer.go
+++ b/internal/transport/relayer/relayer.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// Stopping tells the relayer that what is in progress at a time will be cut.
-func (r *Relayer) Stopping(at time.Time) { r.stopAt.Store(at.UnixNano()) }
+// SetStopTime tells the relayer that what is in progress at a time will be cut.
+func (r *Relayer) SetStopTime(at time.Time) { r.stopAt.Store(at.UnixNano()) }
 
 // Close ends the watch over companions and waits. Calls in progress are their
 // server's to end.
--- a/internal/transport/relayer/run.go
+++ b/internal/transport/relayer/run.go
@@ -190,7 +190,7 @@
 // attempt has the call admitted, and hands it to the backend server chosen.
 func (j *job) attempt() verdict {
 	r := j.relayer
-	a := Attempt{Workspace: j.workspaceName(), Incarnation: j.choice.Incarnation, Urgency: -1, After: j.lastEvent, From: j.from}
+	a := Attempt{Workspace: j.workspaceName(), Incarnation: j.choice.Incarnation, Urgency: -1, LastEvent: j.lastEvent, ResumeFrom: j.from}
 	followed, ctx, end := r.follows(j)
 	defer end()
 	if j.service.Engine != nil {
@@ -224,7 +224,7 @@
 		return verdictBarred
 	}
 	a.Backup = j.chooseBackup()
-	a.Left = j.deadline.Sub(r.settings.Now())
+	a.TimeLeft = j.deadline.Sub(r.settings.Now())
 	followed.handOver()
 	v := j.send(ctx, a, followed)
 	j.paid = followed.paid.Load()
--- a/internal/transport/relayer/send.go
+++ b/internal/transport/relayer/send.go
@@ -26,14 +26,14 @@
 		r.settings.Placer.Loaded(r.settings.Now(), &j.choice, head.Calls)
 	}
 	if head.NotRun {
-		if head.Elsewhere {
+		if head.OtherIncarnation {
 			// The backend server that was meant never got it.
 			j.sent--
 			j.count(endElsewhere)
 		} else {
 			j.count(endUnread)
 		}
-		if j.service.Engine == nil && !head.Elsewhere {
+		if j.service.Engine == nil && !head.OtherIncarnation {
 			r.settings.Placer.TurnedAway(r.settings.Now(), &j.choice)
 		}
 		j.discard(conn, response, head)
@@ -143,7 +143,7 @@
 		conn.Abort()
 		return
 	}
-	conn.Finish(response, head.Keep)
+	conn.Finish(response, head.KeepAlive)
 }
 
 // keep reads a backend server's own failure, which is the caller's answer if no
@@ -154,7 +154,7 @@
 		conn.Abort()
 		return j.unanswered(errors.Annotatef(exchanger.ErrSent, "%v", err))
 	}
-	conn.Finish(response, head.Keep)
+	conn.Finish(response, head.KeepAlive)
 	header := j.relayer.settings.Translator.AnswerHeader(response.Header)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	j.failed = &kept{status: response.StatusCode, header: header, body: body}
@@ -175,7 +175,7 @@
 		conn.Abort()
 		return j.unanswered(errors.Annotatef(exchanger.ErrSent, "%v", err))
 	}
-	conn.Finish(response, head.Keep)
+	conn.Finish(response, head.KeepAlive)
 	j.count(endAnswered)
 	j.survived()
 	j.release(placer.EndingWell)
--- a/internal/transport/relayer/settings.go
+++ b/internal/transport/relayer/settings.go
@@ -78,8 +78,8 @@
 	// CompanionAddress returns where the companion of a backend server listens.
 	CompanionAddress func(tracker.Member) string
 
-	// Tell has the replicated state take a change in; nil means that there is none.
-	Tell func(ctx context.Context, c storer.Command) error
+	// Propose has the replicated state take a change in; nil means that there is none.
+	Propose func(ctx context.Context, c storer.Command) error
 
 	AdmitTimeout  time.Duration
 	RetryRatio    float64
--- a/internal/transport/relayer/silence_test.go
+++ b/internal/transport/relayer/silence_test.go
@@ -83,7 +83,7 @@
 		answered := e.askMeanwhile()
 		var got string
 		Eventually(func() bool {
-			e.relayer.FallSilent("s", "b0")
+			e.relayer.MarkSilent("s", "b0")
 			select {
 			case got = <-answered:
 				return true
@@ -121,7 +121,7 @@
 		e := newPair(resumable, b0, b1)
 		answered := e.askMeanwhile()
 		Eventually(b0.runs.Load).Should(BeEquivalentTo(1))
-		e.relayer.FallSilent("s", "b0")
+		e.relayer.MarkSilent("s", "b0")
 		Eventually(answered).Should(Receive(HaveSuffix("id: 2\ndata: x\n\n")))
 		Eventually(b0.left).Should(Receive(), "the engine is told")
 	})
@@ -135,7 +135,7 @@
 		e := newPair(streamed, b0, b1)
 		answered := e.askMeanwhile()
 		Eventually(b0.runs.Load).Should(BeEquivalentTo(1))
-		e.relayer.FallSilent("s", "b0")
+		e.relayer.MarkSilent("s", "b0")
 		close(answer)
 		Eventually(answered).Should(Receive(HaveSuffix("id: 2\ndata: x\n\n")))
 		Expect(b1.runs.Load()).To(BeZero())
@@ -158,7 +158,7 @@
 		first := make([]byte, len("id: 1\ndata: x\n\n"))
 		_, err := io.ReadFull(answer.Body, first)
 		Expect(err).NotTo(HaveOccurred())
-		e.relayer.FallSilent("s", "b0")
+		e.relayer.MarkSilent("s", "b0")
 		close(resume)
 		Expect(read(answer)).To(HaveSuffix("id: 2\ndata: x\n\n"))
 		Expect(b1.runs.Load()).To(BeZero())
@@ -183,7 +183,7 @@
 	It("calls go past it from then on", func() {
 		b0, b1 := newBackend(stream), newBackend(stream)
 		e := newPair(streamed, b0, b1)
-		e.relayer.FallSilent("s", "b0")
+		e.relayer.MarkSilent("s", "b0")
 		Expect(read(e.ask(ctx, map[string]string{"Model": "m/a1"}))).NotTo(BeEmpty())
 		Expect(b0.runs.Load()).To(BeZero())
 	})
--- a/internal/transport/relayer/stream.go
+++ b/internal/transport/relayer/stream.go
@@ -66,7 +66,7 @@
 		conn.Abort()
 		return j.brokenOff(io.ErrUnexpectedEOF)
 	}
-	conn.Finish(response, head.Keep)
+	conn.Finish(response, head.KeepAlive)
 	j.count(endAnswered)
 	j.survived()
 	j.release(placer.EndingWell)
--- a/internal/transport/relayer/suspect.go
+++ b/internal/transport/relayer/suspect.go
@@ -71,12 +71,12 @@
 
 // tell has control take a change in.
 func (r *Relayer) tell(c storer.Command) {
-	if r.settings.Tell == nil {
+	if r.settings.Propose == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.root, tellTimeout)
 	defer cancel()
-	if err := r.settings.Tell(ctx, c); err != nil {
+	if err := r.settings.Propose(ctx, c); err != nil {
 		// What this entry has seen goes on to count here.
 		r.settings.Log.Warn().Err(err).Msg("control was not told of a request's ends or answers")
 	}
