--- a/internal/transport/gatekeeper/connection_test.go
+++ b/internal/transport/gatekeeper/connection_test.go
@@ -62,7 +62,7 @@
 			<-conn.Done()
 		}
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
-			e.pieces.Put(streamed(d.Request, d.Attempt, "one", "two")[0])
+			e.pieces.Deliver(streamed(d.Request, d.Attempt, "one", "two")[0])
 			lose(conn)
 			return nil
 		}
--- a/internal/transport/gatekeeper/fixture_test.go
+++ b/internal/transport/gatekeeper/fixture_test.go
@@ -341,7 +341,7 @@
 	*gatekeeper.Entry
 	url      string
 	recorder *recorder.Recorder
-	pieces   *gatekeeper.Pieces
+	pieces   *gatekeeper.PieceRouter
 }
 
 // entry starts an entry that callers reach by HTTP.
@@ -350,7 +350,7 @@
 	if change != nil {
 		change(&s)
 	}
-	pieces := gatekeeper.NewPieces()
+	pieces := gatekeeper.NewPieceRouter()
 	fork := func() *rand.Rand { return rand.New(rand.NewPCG(w.random.Uint64(), 2)) }
 	events := recorder.NewRecorder(recorder.Settings{Node: "entry"})
 	pool := dialer.NewPool(dialer.Settings{Random: fork(), Messenger: messenger.Settings{
--- a/internal/transport/gatekeeper/pieces.go
+++ b/internal/transport/gatekeeper/pieces.go
@@ -10,16 +10,16 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// pieceShards is the number of shards of Pieces.
+// pieceShards is the number of shards of a PieceRouter.
 const pieceShards = 16
 
 // inboxLimit bounds the bytes that wait in one inbox. Companions send only so
 // much before it is acknowledged; a piece beyond is dropped and asked for later.
 const inboxLimit = 16 << 20
 
-// Pieces hands the pieces of answers that arrive on any connection to the
+// PieceRouter hands the pieces of answers that arrive on any connection to the
 // attempts which wait for them. It is the messenger.Handler of an entry's pool.
-type Pieces struct {
+type PieceRouter struct {
 	shards [pieceShards]pieceShard
 }
 
@@ -48,9 +48,9 @@
 	lost bool
 }
 
-// NewPieces returns a Pieces that nobody waits at.
-func NewPieces() *Pieces {
-	p := &Pieces{}
+// NewPieceRouter returns a PieceRouter without open inboxes.
+func NewPieceRouter() *PieceRouter {
+	p := &PieceRouter{}
 	for i := range p.shards {
 		p.shards[i].inboxes = make(map[attemptID]*inbox)
 	}
@@ -58,7 +58,7 @@
 }
 
 // Handle takes a piece. One that nobody waits for is late and dropped.
-func (p *Pieces) Handle(_ context.Context, _ *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
+func (p *PieceRouter) Handle(_ context.Context, _ *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
 	if method != messenger.MethodPiece {
 		return nil, messenger.NewRefusal(messenger.ReasonUnsupported, string(method))
 	}
@@ -66,12 +66,12 @@
 	if err := messenger.Decode(params, &piece); err != nil {
 		return nil, err
 	}
-	p.Put(piece)
+	p.Deliver(piece)
 	return nil, nil
 }
 
-// Put hands the piece to its attempt.
-func (p *Pieces) Put(piece messenger.Piece) {
+// Deliver hands the piece to its attempt.
+func (p *PieceRouter) Deliver(piece messenger.Piece) {
 	id := attemptID{piece.Request, piece.Attempt}
 	s := p.shard(id)
 	s.mu.Lock()
@@ -82,11 +82,11 @@
 	}
 }
 
-func (p *Pieces) shard(id attemptID) *pieceShard {
+func (p *PieceRouter) shard(id attemptID) *pieceShard {
 	return &p.shards[xxhash.Sum64String(id.request)%pieceShards]
 }
 
-func (p *Pieces) open(id attemptID) *inbox {
+func (p *PieceRouter) open(id attemptID) *inbox {
 	box := &inbox{arrived: make(chan struct{}, 1)}
 	s := p.shard(id)
 	s.mu.Lock()
@@ -95,7 +95,7 @@
 	return box
 }
 
-func (p *Pieces) close(id attemptID) {
+func (p *PieceRouter) close(id attemptID) {
 	s := p.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/gatekeeper/settings.go
+++ b/internal/transport/gatekeeper/settings.go
@@ -54,7 +54,7 @@
 }
 
 // Pool opens connections to companions; a *dialer.Pool whose messages go to
-// Pieces.
+// a PieceRouter.
 type Pool interface {
 	Conn(ctx context.Context, address string) (*messenger.Conn, error)
 }
@@ -95,7 +95,7 @@
 	Control Control
 	Pool    Pool
 	// Pieces takes the pieces that arrive on the pool's connections.
-	Pieces *Pieces
+	Pieces *PieceRouter
 	// Recorder and Registerer may be nil.
 	Recorder   *recorder.Recorder
 	Registerer prometheus.Registerer
--- a/internal/transport/starter/roles.go
+++ b/internal/transport/starter/roles.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	pieces := gatekeeper.NewPieces()
+	pieces := gatekeeper.NewPieceRouter()
 	p.pool = dialer.NewPool(dialer.Settings{
 		Messenger: p.messenger(pieces), Random: p.fork(), Dial: p.dialPeers(configurer.RoleCompanion),
 	})
