--- a/internal/transport/requester/backup.go
+++ b/internal/transport/requester/backup.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Imported tells what became of a back-up's lines.
-type Imported struct {
+// ImportResult tells what became of a back-up's lines.
+type ImportResult struct {
 	// Declared counts the resources in force as the back-up has them.
 	Declared int
 	// Refused tells why the others are not, by their names.
@@ -106,13 +106,13 @@
 // twice. An empty identity means a new one.
 //
 // An error tells that it broke off; refusals of single resources are in Imported.
-func (c *Client) Import(ctx context.Context, r io.Reader, identity string) (Imported, error) {
+func (c *Client) Import(ctx context.Context, r io.Reader, identity string) (ImportResult, error) {
 	if identity == "" {
 		identity = rand.Text()
 	}
 	resources, err := readBackup(r)
 	if err != nil {
-		return Imported{}, err
+		return ImportResult{}, err
 	}
 	i := importer{client: c, identity: identity}
 	for _, step := range importSteps(resources) {
@@ -182,7 +182,7 @@
 
 	mu sync.Mutex
 	// imported is guarded by mu.
-	imported Imported
+	imported ImportResult
 }
 
 // declare carries out one step.
--- a/internal/transport/requester/requester_test.go
+++ b/internal/transport/requester/requester_test.go
@@ -133,12 +133,12 @@
 		for range 3 {
 			fresh.lose <- struct{}{}
 		}
-		Expect(fresh.Import(ctx, strings.NewReader(backup), "first")).To(Equal(requester.Imported{Declared: 8}))
+		Expect(fresh.Import(ctx, strings.NewReader(backup), "first")).To(Equal(requester.ImportResult{Declared: 8}))
 		Expect(fresh.lose).To(BeEmpty())
 		Expect(fresh.export()).To(Equal(backup))
 
 		again := fresh.store.Revision()
-		Expect(fresh.Import(ctx, strings.NewReader(backup), "first")).To(Equal(requester.Imported{Declared: 8}))
+		Expect(fresh.Import(ctx, strings.NewReader(backup), "first")).To(Equal(requester.ImportResult{Declared: 8}))
 		Expect(fresh.store.Revision()).To(Equal(again))
 	})
 
