--- a/internal/transport/companion/dispatch.go
+++ b/internal/transport/companion/dispatch.go
@@ -135,7 +135,7 @@
 
 // resume gives the rest of an answer to a new connection.
 func (c *Companion) resume(conn link, r messenger.Resume) (messenger.Accepted, *messenger.Refusal) {
-	answer, err := c.buffer.Find(c.settings.Now(), streamer.ID{Request: r.Request, Attempt: r.Attempt})
+	answer, err := c.buffer.FindOrBar(c.settings.Now(), streamer.ID{Request: r.Request, Attempt: r.Attempt})
 	switch {
 	case err == nil:
 		c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindResumed, Request: r.Request, Backend: c.settings.Node})
@@ -198,7 +198,7 @@
 	id := streamer.ID{Request: x.Request, Attempt: x.Attempt}
 	// A notification can overtake the dispatch, which is handled in a goroutine
 	// of its own. Find bars the attempt then, or it would run for nobody.
-	answer, err := c.buffer.Find(c.settings.Now(), id)
+	answer, err := c.buffer.FindOrBar(c.settings.Now(), id)
 	if err != nil {
 		return
 	}
--- a/internal/transport/streamer/assembler.go
+++ b/internal/transport/streamer/assembler.go
@@ -8,11 +8,11 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// ErrTooMuch means that more bytes wait for a missing piece than the limit.
-const ErrTooMuch = errors.ConstError("too many bytes wait for a missing piece")
+// ErrEarlyLimit means that more bytes wait for a missing piece than the limit.
+const ErrEarlyLimit = errors.ConstError("too many bytes wait for a missing piece")
 
-// ErrContradiction means that two pieces tell different things of one answer.
-const ErrContradiction = errors.ConstError("pieces of one answer contradict each other")
+// ErrInconsistentPieces means that two pieces tell different things of one answer.
+const ErrInconsistentPieces = errors.ConstError("pieces of one answer contradict each other")
 
 // Assembler puts the pieces of one answer in order. It is not safe for
 // concurrent use.
@@ -78,13 +78,13 @@
 func (a *Assembler) ends(p messenger.Piece) error {
 	to := p.Offset + int64(len(p.Data))
 	if p.Offset < 0 || a.end != nil && to > a.length {
-		return errors.Trace(ErrContradiction)
+		return errors.Trace(ErrInconsistentPieces)
 	}
 	if p.End == nil {
 		return nil
 	}
 	if a.end != nil && to != a.length || to < a.next {
-		return errors.Trace(ErrContradiction)
+		return errors.Trace(ErrInconsistentPieces)
 	}
 	a.end = p.End
 	a.length = to
@@ -118,7 +118,7 @@
 	}
 	a.earlyBytes += int64(len(p.Data))
 	if a.earlyBytes > a.limit {
-		return errors.Trace(ErrTooMuch)
+		return errors.Trace(ErrEarlyLimit)
 	}
 	a.early = slices.Insert(a.early, at, p)
 	return nil
--- a/internal/transport/streamer/buffer.go
+++ b/internal/transport/streamer/buffer.go
@@ -28,8 +28,8 @@
 	ErrReplaced = errors.ConstError("reader replaced")
 	// ErrAbandoned means that nobody took the answer for too long.
 	ErrAbandoned = errors.ConstError("nobody takes the answer")
-	// ErrTooMany means that no more attempts can be remembered now.
-	ErrTooMany = errors.ConstError("too many attempts remembered")
+	// ErrTooManyBarred means that no more attempts can be remembered now.
+	ErrTooManyBarred = errors.ConstError("too many attempts remembered")
 )
 
 // Defaults of Settings.
@@ -137,10 +137,10 @@
 	s.remove(id.Request, func(a *Answer) bool { return a.id == id })
 }
 
-// Find returns the answer to an attempt. An unknown one is barred: should its
+// FindOrBar returns the answer to an attempt. An unknown one is barred: should its
 // dispatch arrive late, it is refused. So ErrNeverSeen is certain, also for a
 // dispatch that is still on its way.
-func (b *Buffer) Find(now time.Time, id ID) (*Answer, error) {
+func (b *Buffer) FindOrBar(now time.Time, id ID) (*Answer, error) {
 	s := b.shard(id.Request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	}
 	if _, barred := s.barred[id]; !barred {
 		if b.barred.Load() >= int64(b.settings.MaxBarred) {
-			return nil, errors.Trace(ErrTooMany)
+			return nil, errors.Trace(ErrTooManyBarred)
 		}
 		b.barred.Add(1)
 	}
--- a/internal/transport/streamer/buffer_test.go
+++ b/internal/transport/streamer/buffer_test.go
@@ -25,7 +25,7 @@
 		// new connection, hears "never seen", and reports it; the dispatch arrives.
 		// Cause: the companion forgot what it had said.
 		b := NewBuffer(Settings{})
-		_, err := b.Find(start, id)
+		_, err := b.FindOrBar(start, id)
 		Expect(errors.Is(err, ErrNeverSeen)).To(BeTrue())
 		_, err = b.Begin(id, false)
 		Expect(errors.Is(err, ErrBarred)).To(BeTrue())
@@ -36,12 +36,12 @@
 	It("rather leaves a question open than forget a barred attempt", func() {
 		b := NewBuffer(Settings{MaxBarred: 1, Retention: time.Minute})
 		other := ID{Request: "r2", Attempt: 1}
-		_, err := b.Find(start, id)
+		_, err := b.FindOrBar(start, id)
 		Expect(errors.Is(err, ErrNeverSeen)).To(BeTrue())
-		_, err = b.Find(start, other)
-		Expect(errors.Is(err, ErrTooMany)).To(BeTrue())
+		_, err = b.FindOrBar(start, other)
+		Expect(errors.Is(err, ErrTooManyBarred)).To(BeTrue())
 		b.Sweep(start.Add(2 * time.Minute))
-		_, err = b.Find(start, other)
+		_, err = b.FindOrBar(start, other)
 		Expect(errors.Is(err, ErrNeverSeen)).To(BeTrue())
 	})
 
