--- a/internal/transport/relayer/attemptend.go
+++ b/internal/transport/relayer/attemptend.go
@@ -2,41 +2,43 @@
 
 //go:generate stringer -type=attemptEnd -trimprefix=end
 
-// attemptEnd tells how one attempt at a call ended.
+// attemptEnd is the way in which one attempt at a call ended. The names of the values
+// are written to metrics.
 type attemptEnd int
 
 const (
-	// endAnswered means that the whole answer came.
+	// endAnswered means that the backend server's answer was received in full.
 	endAnswered attemptEnd = iota
-	// endFailed means that the backend server answered with a failure of its own.
+	// endFailed means that the backend server answered with an error of its own.
 	endFailed
-	// endUnread means that it refused the call unread.
+	// endUnread means that the backend server refused the call without reading it.
 	endUnread
-	// endElsewhere means that another incarnation of it answered than the one meant.
+	// endElsewhere means that a different incarnation of the backend server answered.
 	endElsewhere
-	// endNotSent means that no byte of it left.
+	// endNotSent means that no byte of the call was sent.
 	endNotSent
 	// endBroken means that the connection ended before any part of the answer was
-	// passed on.
+	// forwarded to the caller.
 	endBroken
-	// endCut means that it ended after that.
+	// endCut means that the connection ended after part of the answer was forwarded.
 	endCut
-	// endGivenUp means that the caller or the time was gone.
+	// endGivenUp means that the caller disconnected, the deadline passed or the request
+	// was quarantined.
 	endGivenUp
 )
 
-// count counts the end of an attempt.
+// count adds an ended attempt to the metrics.
 func (j *job) count(e attemptEnd) {
 	j.relayer.metrics.attempts.WithLabelValues(j.service.Name, e.String()).Inc()
 }
 
-// broke returns how an attempt without a whole answer ended.
-func (j *job) broke() attemptEnd {
+// brokenEnd returns the end of an attempt whose answer was not received in full.
+func (j *job) brokenEnd() attemptEnd {
 	if j.progressed() {
 		return endCut
 	}
 	return endBroken
 }
 
-// progressed reports whether any part of the present attempt's answer was passed on.
-func (j *job) progressed() bool { return j.bytes > j.bytesBefore }
+// progressed reports whether any part of the current attempt's answer was forwarded.
+func (j *job) progressed() bool { return j.bytes > j.bytesBeforeAttempt }
--- a/internal/transport/relayer/attending.go
+++ b/internal/transport/relayer/attending.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// attendTime is for how long all companions are attended after one of them has fallen
-// silent: a heartbeat of the full pace, its answer, and what the watcher waits.
-const attendTime = time.Second
+// fullPaceDuration is how long all companions send heartbeats at the full pace after
+// one of them fell silent: the time for a heartbeat at that pace, its reply, and the
+// watcher's silence limit.
+const fullPaceDuration = time.Second
 
-// attend has the companion of an engine at which a call waits beat at the full pace, so
-// that it is known soon whether its host stands still.
-func (r *Relayer) attend(name string) {
+// useFullPace makes an engine's companion send heartbeats at the full pace while a call
+// waits there, so that a stalled host is detected soon.
+func (r *Relayer) useFullPace(name string) {
 	r.watchedMu.Lock()
 	defer r.watchedMu.Unlock()
 	if c, is := r.watched[name]; is {
@@ -16,18 +17,18 @@
 	}
 }
 
-// attendThose sets the paces: the full one for companions at whose engines calls wait
-// for their first event, or whose next heartbeat is overdue, and for all of them where
-// one has fallen silent lately: what took its host, a cut or a middle box that has lost
-// its table, has as a rule taken others too, and each would else cost a call half a
-// second. The caller holds watchedMu.
-func (r *Relayer) attendThose(now time.Time, waiting map[string]struct{}) {
-	doubt := now.Before(r.doubtUntil)
+// setPaces sets the heartbeat pace of each companion. Those whose engine has calls
+// waiting for their first event, or whose next heartbeat is overdue, use the full pace.
+// After one companion fell silent all of them do until fullPaceUntil: a network
+// partition, or a middlebox that lost its table, usually affects several hosts, and
+// each would otherwise delay a call by half a second. The caller holds watchedMu.
+func (r *Relayer) setPaces(now time.Time, waiting map[string]struct{}) {
+	fullPaceForAll := now.Before(r.fullPaceUntil)
 	for name, c := range r.watched {
 		silence, _ := c.conn.Silence()
 		_, waits := waiting[name]
 		switch {
-		case waits, doubt, silence > 0 && !c.conn.Attended():
+		case waits, fullPaceForAll, silence > 0 && !c.conn.Attended():
 			c.conn.Attend()
 		case c.conn.Answered():
 			c.conn.Rest()
@@ -35,25 +36,26 @@
 	}
 }
 
-// doubtAll has all companions attended where one is silent that was not at the last
-// poll. The caller holds watchedMu.
-func (r *Relayer) doubtAll(now time.Time, silent map[string]string) {
+// noteNewlySilent makes all companions use the full pace for a while if one is silent
+// that was not at the last poll. The caller holds watchedMu.
+func (r *Relayer) noteNewlySilent(now time.Time, silent map[string]string) {
 	for name := range silent {
-		if _, known := r.silentLast[name]; !known {
-			r.doubtUntil = now.Add(attendTime)
+		if _, known := r.previouslySilent[name]; !known {
+			r.fullPaceUntil = now.Add(fullPaceDuration)
 		}
 	}
-	r.silentLast = silent
+	r.previouslySilent = silent
 }
 
-// waiting returns the engines at which a call waits for the first part of its answer.
-func (r *Relayer) waiting() map[string]struct{} {
+// enginesWaiting returns the engines at which a call waits for the first part of its
+// answer.
+func (r *Relayer) enginesWaiting() map[string]struct{} {
 	names := make(map[string]struct{})
 	r.attemptsMu.Lock()
 	defer r.attemptsMu.Unlock()
 	for name, attempts := range r.attempts {
 		for a := range attempts {
-			if !a.began.Load() {
+			if !a.started.Load() {
 				names[name] = struct{}{}
 				break
 			}
--- a/internal/transport/relayer/attending_test.go
+++ b/internal/transport/relayer/attending_test.go
@@ -9,13 +9,13 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// The paces that an entry tells a companion, as they travel: a list of one truth value.
+// Encoded paces that an entry sends to a companion: a CBOR array of one boolean.
 const (
 	fullPace  = "\x81\xf5"
 	quietPace = "\x81\xf4"
 )
 
-// lastPace returns the pace told last, or nothing.
+// lastPace returns the pace that was sent last, or "" if none was.
 func (e *entry) lastPace() string {
 	_, told, found := bytes.Cut(e.sent.Contents(), []byte(messenger.MethodPace))
 	for found {
@@ -33,26 +33,22 @@
 }
 
 var _ = Describe("Connections to companions", func() {
-	It("are read and replaced under one lock", func() {
-		// Symptom: the race detector stops a run in a hundred under load: a write in
-		// watch, a read in told. An engine's companion may be taken for one that tells
-		// its state on the connection in use when it does not, and what the entry
-		// believes of the engine grows old.
-		// Events: one look at all companions asks whether one tells its state, while
-		// the former look's task has just reached it again.
-		// Cause: told gave the lock back before it read the connection. The race
-		// detector names lines 249 and 228 of relayer.go; it needs no luck here, since
-		// every read without the lock races with the next write.
+	It("are read and replaced under the same lock", func() {
+		// Guards against a data race: subscribed read the connection of a companion
+		// after it had released the lock, while subscribe replaced it. An entry could
+		// then take a companion for subscribed that was not, and use outdated state of
+		// its engine. The race detector stopped one run in a hundred under load; this
+		// test triggers it reliably, since every read without the lock races with the
+		// next write.
 		e := newPair(streamed, newBackend(stream), newBackend(stream))
 		e.relayer.WatchConcurrently("s", 200)
 	})
 
-	It("beat at the full pace where a call waits for its answer, and seldom else", func() {
-		// Symptom: four of five messages between 68 entries and 117 companions are
+	It("use the full heartbeat pace only while a call waits for its answer", func() {
+		// Guards against heartbeats at the full pace on every connection. An entry has
+		// calls at a tenth of the engines, but keeps a connection to the companions of
+		// all; between 68 entries and 117 companions four of five messages were
 		// heartbeats.
-		// Events: an entry has calls at a tenth of the engines, and keeps a connection
-		// to the companions of all.
-		// Cause: all connections beat as if a call waited there.
 		hold := make(chan struct{})
 		e := newPair(streamed, newBackend(stream), newBackend(stream))
 		e.admit = func(m messenger.Admit) (messenger.Admitted, error) {
@@ -61,7 +57,7 @@
 		}
 		Eventually(e.lastPace).Should(Equal(quietPace))
 		Consistently(e.lastPace).ShouldNot(Equal(fullPace))
-		answered := e.askMeanwhile()
+		answered := e.callAsync()
 		Eventually(e.lastPace).Should(Equal(fullPace))
 		close(hold)
 		Eventually(answered).Should(Receive())
--- a/internal/transport/relayer/backup.go
+++ b/internal/transport/relayer/backup.go
@@ -6,57 +6,56 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/placer"
 )
 
-// backupRatio is the size of a prompt, in answers, up to which a copy of a
-// request's memory is kept at a second engine. The copy costs by its size, and is
-// worth the time for which the answer may break: a long prompt with a short answer
-// is cheaper to lose.
-const backupRatio = 4
+// maxBackupRatio is the largest ratio of prompt tokens to answer tokens at which a
+// second engine keeps a copy of a request's KV cache. The cost of the copy grows with
+// the prompt, its benefit with the time that the answer takes: a long prompt with a
+// short answer is cheaper to lose.
+const maxBackupRatio = 4
 
-// lossMemory is for how long after the loss of a stream further losses are expected:
-// what breaks streams lasts for some seconds. On a day without losses copies would
-// cost a hundredth of what the streams are worth, for nothing.
-const lossMemory = 6 * time.Second
+// lossWindow is how long further losses are expected after a stream was lost: the
+// causes last for some seconds. Without this window, copies on a day without losses
+// would cost a hundredth of what the streams are worth, for no benefit.
+const lossWindow = 6 * time.Second
 
-// noteLoss remembers that a stream broke.
-func (r *Relayer) noteLoss() { r.lostAt.Store(r.settings.Now().UnixNano()) }
+// recordStreamLoss records the time at which a stream broke.
+func (r *Relayer) recordStreamLoss() { r.lastStreamLossAt.Store(r.settings.Now().UnixNano()) }
 
 func (r *Relayer) lossesExpected() bool {
-	return r.settings.Now().UnixNano()-r.lostAt.Load() < int64(lossMemory)
+	return r.settings.Now().UnixNano()-r.lastStreamLossAt.Load() < int64(lossWindow)
 }
 
-// chooseBackup picks the engine that is to keep a copy of the request's memory, and
-// returns its address; empty where none is to be kept.
+// chooseBackup selects the engine that keeps a copy of the request's KV cache, stores
+// it in j.backup and returns its address; it returns "" if no copy is to be kept.
 //
-// An engine that is lost takes its streams with it, which may run once only. A
-// stream that goes on from the copy is the same run, and its caller sees no more
-// than a pause.
+// The streams of a lost engine may run only once. A stream that resumes from the copy
+// is the same run, and its caller sees only a pause.
 func (j *job) chooseBackup() string {
 	j.backup = placer.Choice{}
 	c := j.call
-	if !j.relayer.lossesExpected() || !j.route.Stream || c.AnswerTokens == 0 || c.PromptTokens > backupRatio*c.AnswerTokens || j.service.Engine == nil {
+	if !j.relayer.lossesExpected() || !j.route.Stream || c.AnswerTokens == 0 || c.PromptTokens > maxBackupRatio*c.AnswerTokens || j.service.Engine == nil {
 		return ""
 	}
 	r := j.relayer
-	if !r.settings.Placer.Second(r.settings.Now(), j.wanted(), &j.choice, &j.backup) {
+	if !r.settings.Placer.Second(r.settings.Now(), j.placerCall(), &j.choice, &j.backup) {
 		return ""
 	}
 	return j.backup.Address
 }
 
-// backupDelay is the time after a stream's first event from which a copy is counted
-// on: engines send what is new several times a second.
-const backupDelay = 400 * time.Millisecond
+// backupReadyDelay is the time after a stream's first event from which its copy is
+// assumed to exist: engines send new state several times a second.
+const backupReadyDelay = 400 * time.Millisecond
 
-// resume reports whether the request can go on from the copy of its memory, and makes
-// the next attempt do so.
+// resume reports whether the request can resume from the copy of its KV cache, and if
+// so makes the next attempt do so.
 //
-// Without a copy the second engine refuses the request, unless it is lost in that
-// moment: nobody could then tell whether it had begun anew. So a request goes on
-// only where its copy must have come.
+// A second engine that has no copy refuses the request, unless that engine is lost at
+// the same moment: then it would not be known whether the request had started again. A
+// request is therefore resumed only if its copy must have arrived.
 func (j *job) resume() bool {
-	if j.backup.Name == "" || !j.began || j.relayer.settings.Now().Sub(j.firstAt) < backupDelay {
+	if j.backup.Name == "" || !j.headerSent || j.relayer.settings.Now().Sub(j.firstEventAt) < backupReadyDelay {
 		return false
 	}
-	j.from = j.backup.Address + "/" + j.call.ID
+	j.resumeFrom = j.backup.Address + "/" + j.call.ID
 	return true
 }
--- a/internal/transport/relayer/budget.go
+++ b/internal/transport/relayer/budget.go
@@ -6,89 +6,90 @@
 	"time"
 )
 
-// budget bounds what is sent again to each service, as a share of the calls for it
-// in a sliding window. All entries draw on what a service bears, so that each
-// keeps to its own part.
+// budget limits retries for each service to a share of its calls in a sliding window.
+// The slack of a service is divided evenly among the entries.
 type budget struct {
 	ratio, slack float64
 	window       time.Duration
-	// entries is the number of entries that share slack, as far as it is known.
+	// entries is the number of entries that share slack, as last reported.
 	entries atomic.Int64
 
 	mu sync.Mutex
-	// services holds the counts by service; guarded by mu.
-	services map[string]*spending
+	// usageByService is guarded by mu.
+	usageByService map[string]*usage
 }
 
 const (
-	// assumedEntries is the number of entries before it was told.
-	assumedEntries = 8
-	// leastEntries keeps the part of an entry small that some have just left: they
-	// may be back, with counts of their own.
-	leastEntries = 4
+	// defaultEntries is assumed until the number of entries is reported.
+	defaultEntries = 8
+	// minEntries is the lower bound on the number of entries. It limits each entry's
+	// part of the slack while others are gone for a short time: they may return with
+	// counts of their own.
+	minEntries = 4
 )
 
-// share tells the budget how many entries draw on it.
-func (b *budget) share(entries int) { b.entries.Store(int64(max(entries, leastEntries))) }
+// setEntries sets the number of entries that share the slack.
+func (b *budget) setEntries(entries int) { b.entries.Store(int64(max(entries, minEntries))) }
 
-// spending is what one service got: counts of buckets, the newest first.
-type spending struct {
-	calls, again [budgetBuckets]float64
-	// at is when the newest bucket began.
-	at time.Time
+// usage holds the calls and retries of one service, by bucket, newest first.
+type usage struct {
+	calls, repeats [budgetBuckets]float64
+	// bucketStart is the start of the newest bucket.
+	bucketStart time.Time
 }
 
-// budgetBuckets is the number of parts of the window. A window that slides by
-// whole parts counts up to one part too much, which errs to the safe side.
+// budgetBuckets is the number of buckets in the window. The counted window may exceed
+// the configured one by up to one bucket, which errs on the safe side.
 const budgetBuckets = 10
 
 func newBudget(ratio, slack float64, window time.Duration) *budget {
-	b := &budget{ratio: ratio, slack: slack, window: window, services: make(map[string]*spending)}
-	b.entries.Store(assumedEntries)
+	b := &budget{ratio: ratio, slack: slack, window: window, usageByService: make(map[string]*usage)}
+	b.entries.Store(defaultEntries)
 	return b
 }
 
-// spending has no lock of its own. The caller holds mu.
-func (b *budget) spending(now time.Time, service string) *spending {
-	s := b.services[service]
+// usage returns the usage of a service with its buckets advanced to now. The caller
+// holds mu, and while it uses the result.
+func (b *budget) usage(now time.Time, service string) *usage {
+	s := b.usageByService[service]
 	if s == nil {
-		s = &spending{at: now}
-		b.services[service] = s
+		s = &usage{bucketStart: now}
+		b.usageByService[service] = s
 	}
 	part := b.window / (budgetBuckets - 1)
-	for shifted := 0; now.Sub(s.at) >= part; shifted++ {
+	for shifted := 0; now.Sub(s.bucketStart) >= part; shifted++ {
 		if shifted == budgetBuckets {
-			s.at = now
+			s.bucketStart = now
 			break
 		}
 		copy(s.calls[1:], s.calls[:budgetBuckets-1])
-		copy(s.again[1:], s.again[:budgetBuckets-1])
-		s.calls[0], s.again[0] = 0, 0
-		s.at = s.at.Add(part)
+		copy(s.repeats[1:], s.repeats[:budgetBuckets-1])
+		s.calls[0], s.repeats[0] = 0, 0
+		s.bucketStart = s.bucketStart.Add(part)
 	}
 	return s
 }
 
-// call counts a call for a service.
+// call counts a call to a service.
 func (b *budget) call(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spending(now, service).calls[0]++
+	b.usage(now, service).calls[0]++
 }
 
-// take reports whether a call may be sent once more, and counts it.
-func (b *budget) take(now time.Time, service string) bool {
+// takeRetry reports whether the budget allows one more retry, and if so counts it.
+func (b *budget) takeRetry(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.spending(now, service)
-	calls, again := 0.0, 0.0
+	s := b.usage(now, service)
+	calls, repeats := 0.0, 0.0
 	for i := range s.calls {
 		calls += s.calls[i]
-		again += s.again[i]
+		repeats += s.repeats[i]
 	}
-	if again+1 > b.ratio*calls+b.slack/float64(b.entries.Load()) {
+	if repeats+1 > b.ratio*calls+b.slack/float64(b.entries.Load()) {
 		return false
 	}
-	s.again[0]++
+	s.repeats[0]++
 	return true
 }
--- a/internal/transport/relayer/budget_test.go
+++ b/internal/transport/relayer/budget_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestBudgetIsShared: symptom: backend servers that fail are given more calls again
-// than the operators allow. Sequence: many entries retry at once, each as if the
-// whole budget were its own. Cause: an entry did not know how many others draw on it.
+// TestBudgetIsShared guards against entries that each use the whole retry budget: when
+// many retry at once, failing backend servers get more retries than the operators
+// allow.
 func TestBudgetIsShared(t *testing.T) {
 	const slack, window = 56, 10 * time.Second
 	now := time.Unix(0, 0)
@@ -15,40 +15,40 @@
 		again := 0
 		for range entries {
 			b := newBudget(0, slack, window)
-			b.share(entries)
-			for b.take(now, "s") {
+			b.setEntries(entries)
+			for b.takeRetry(now, "s") {
 				again++
 			}
 		}
 		if again > slack {
-			t.Errorf("%d entries sent %d again, more than %d", entries, again, slack)
+			t.Errorf("%d entries made %d retries, more than %d", entries, again, slack)
 		}
 	}
 }
 
-// TestBudgetSlides compares the budget with a count of all sendings: in no window
-// are there more than allowed.
+// TestBudgetSlides compares the budget with a count of all retries: no window contains
+// more than allowed.
 func TestBudgetSlides(t *testing.T) {
 	const slack, window = 40, 10 * time.Second
 	b := newBudget(0.1, slack, window)
-	b.share(4)
+	b.setEntries(4)
 	var calls, again []time.Time
 	now := time.Unix(0, 0)
 	for range 4000 {
 		now = now.Add(10 * time.Millisecond)
 		b.call(now, "s")
 		calls = append(calls, now)
-		if b.take(now, "s") {
+		if b.takeRetry(now, "s") {
 			again = append(again, now)
 		}
 	}
 	for _, end := range again {
 		if sent, allowed := within(again, end, window), 0.1*float64(within(calls, end, window))+slack/4; float64(sent) > allowed {
-			t.Fatalf("%d sent again in the window that ends at %v, more than %.1f", sent, end.Sub(time.Unix(0, 0)), allowed)
+			t.Fatalf("%d retries in the window that ends at %v, more than %.1f", sent, end.Sub(time.Unix(0, 0)), allowed)
 		}
 	}
 	if len(again) == 0 {
-		t.Error("nothing was sent again")
+		t.Error("no retry was made")
 	}
 }
 
--- a/internal/transport/relayer/call.go
+++ b/internal/transport/relayer/call.go
@@ -8,82 +8,82 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// Call is what the relayer needs to know of a caller's request.
+// Call holds what the relayer needs from a caller's request.
 type Call struct {
-	// ID is the caller's name for this attempt of its own.
+	// ID is the caller's identifier of this attempt.
 	ID string
 	// Host and Path select the route.
 	Host string
 	Path string
-	// Key stands for the key that the caller brings; zero means none.
+	// Key is the digest of the caller's key; the zero value means that there is none.
 	Key tracker.KeyDigest
-	// Deadline is how long the caller waits; 0 means not told.
+	// Deadline is how long the caller waits for the answer; 0 means unspecified.
 	Deadline time.Duration
 	// Model and Adapter are empty where the call needs none.
 	Model   string
 	Adapter string
-	// Parts are the shared parts of the prompt in order.
+	// Parts are the shared parts of the prompt, in order.
 	Parts []messenger.Part
-	// PromptTokens is the size of the prompt, AnswerTokens the most that the
-	// answer may have; 0 means not told.
+	// PromptTokens is the length of the prompt, AnswerTokens the maximum length of the
+	// answer, both in tokens; 0 means unspecified.
 	PromptTokens int
 	AnswerTokens int
-	// TokensKnown tells that the caller gave these two.
+	// TokensKnown means that the caller specified PromptTokens and AnswerTokens.
 	TokensKnown bool
-	// ExpectedTokens is the caller's own guess at the size of the answer; 0 means
-	// not told. It is right at the median, and often far off.
+	// ExpectedTokens is the caller's estimate of the length of the answer, in tokens; 0
+	// means unspecified. Its median is correct, but single estimates are often far off.
 	ExpectedTokens int
 }
 
-// Attempt is what a backend server is told beside the caller's own request.
+// Attempt holds what a backend server receives in addition to the caller's request.
 type Attempt struct {
-	// Workspace is the one that the caller's key belongs to; empty where none is needed.
+	// Workspace is the workspace of the caller's key; empty if no key is needed.
 	Workspace string
-	// TimeLeft is the time that the backend server has.
+	// TimeLeft is the time that the backend server has to answer.
 	TimeLeft time.Duration
-	// Incarnation is the incarnation of the backend server that is meant.
+	// Incarnation is the incarnation of the backend server that the call is meant for.
 	Incarnation string
-	// Version is the adapter's; 0 means that none is meant.
+	// Version is the version of the adapter; 0 means none.
 	Version uint64
-	// Urgency ranges from 0, first, to 9; negative means none.
+	// Urgency ranges from 0, the most urgent, to 9; a negative value means none.
 	Urgency int
-	// Backup is where the backend server keeps a copy of the request's memory;
-	// empty means nowhere.
+	// Backup is the address at which the backend server keeps a copy of the request's
+	// KV cache; empty means that it keeps none.
 	Backup string
-	// ResumeFrom is where the request's memory was kept, for a request that goes on
-	// from it; empty means that it begins anew.
+	// ResumeFrom names the copy of the request's KV cache to resume from; empty means
+	// that the request starts anew.
 	ResumeFrom string
-	// LastEvent is the last event that the caller has; empty means as the caller
-	// sent it.
+	// LastEvent is the id of the last event that the caller received; empty means that
+	// the caller's own header is forwarded.
 	LastEvent string
 }
 
-// Head is what an answer's head tells.
+// Head holds the metadata from an answer's header.
 type Head struct {
-	// Request is the id of the request that is answered; empty means not told.
+	// Request is the id of the request that is answered; empty means unspecified.
 	Request string
-	// NotRun means that the backend server has not run the request.
+	// NotRun means that the backend server did not run the request.
 	NotRun bool
-	// OtherIncarnation means that another incarnation of the backend server than the one meant
-	// has answered; it has not run the request.
+	// OtherIncarnation means that a different incarnation of the backend server
+	// answered; it did not run the request.
 	OtherIncarnation bool
-	// Signed means that the backend server has run it and vouches for the answer.
+	// Signed means that the backend server ran the request and vouches for the answer.
 	Signed bool
-	// Calls is the number of calls at the backend server; negative means not
-	// told.
+	// Calls is the number of calls in progress at the backend server; a negative value
+	// means unspecified.
 	Calls int
-	// KeepAlive is for how long the connection may stay idle; 0 means not told.
+	// KeepAlive is how long the connection may stay idle; 0 means unspecified.
 	KeepAlive time.Duration
 }
 
-// Translator knows the protocol of callers and backend servers.
+// Translator implements the protocol of callers and backend servers.
 type Translator interface {
-	// Call reads a caller's request.
+	// Call parses a caller's request.
 	Call(r *http.Request) (Call, error)
-	// Header returns the head of the request to a backend server.
+	// Header returns the header of the request to a backend server.
 	Header(received http.Header, a Attempt) http.Header
-	// Head reads the head of an answer.
+	// Head parses the header of an answer.
 	Head(status int, h http.Header) Head
-	// AnswerHeader returns the head of the answer to the caller.
+	// AnswerHeader returns the header of the answer to the caller.
 	AnswerHeader(h http.Header) http.Header
 }
--- a/internal/transport/relayer/doc.go
+++ b/internal/transport/relayer/doc.go
@@ -1,15 +1,15 @@
-// Package relayer is an entry for opaque calls: it takes callers' requests,
-// chooses a backend server for each, hands them over unchanged, and gives the
-// answers back as they come.
+// Package relayer implements an entry for opaque calls: it receives callers' requests,
+// chooses a backend server for each, forwards them unchanged, and returns the answers
+// as they arrive.
 //
-// It knows no name of the protocol that callers and backend servers speak: a
-// Translator reads what it needs from a request, and writes what a backend server
-// must be told.
+// The package contains no name of the protocol between callers and backend servers: a
+// Translator reads the required fields from a request, and writes the header for the
+// backend server.
 //
-// # What may be repeated
+// # Retries
 //
-// A call that may run once goes to another backend server only where the one
-// before has said that it did not run, or where no byte of it was sent. After
-// anything else its caller is told at once that the outcome is unknown. A call that
-// may be repeated is tried again while attempts, time and the retry budget last.
+// A call that may run only once is sent to another backend server only if the previous
+// one reported that it did not run the call, or if no byte of the call was sent. In
+// every other case the caller is told at once that the outcome is unknown. A call that
+// may be repeated is retried while attempts, time and the retry budget last.
 package relayer
--- a/internal/transport/relayer/fixture_test.go
+++ b/internal/transport/relayer/fixture_test.go
@@ -33,7 +33,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/relayer"
 )
 
-// translator is a small protocol of its own.
+// translator implements a minimal protocol for tests.
 type translator struct{}
 
 func (translator) Call(r *http.Request) (relayer.Call, error) {
@@ -42,7 +42,7 @@
 	c.Model, c.Adapter, _ = strings.Cut(r.Header.Get("Model"), "/")
 	c.PromptTokens, c.AnswerTokens, c.TokensKnown = 100, 100, true
 	c.Key = tracker.DigestKey(r.Header.Get("Key"))
-	// A guess that isn't told is 0.
+	// A missing estimate is 0.
 	c.ExpectedTokens, _ = strconv.Atoi(r.Header.Get("Expected"))
 	return c, err
 }
@@ -70,14 +70,14 @@
 	return out
 }
 
-// backend is a backend server that answers by a script.
+// backend is a backend server that answers with a script.
 type backend struct {
 	network net.Listener
-	// runs counts the requests that it began.
+	// runs counts the requests that were read.
 	runs   atomic.Int64
 	script func(c net.Conn, r *http.Request)
-	// left is given a value when a connection ends.
-	left chan struct{}
+	// disconnected receives a value when a connection ends.
+	disconnected chan struct{}
 }
 
 func newBackend(script func(c net.Conn, r *http.Request)) *backend {
@@ -85,7 +85,7 @@
 	network, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = network.Close() })
-	b := &backend{network: network, script: script, left: make(chan struct{}, 64)}
+	b := &backend{network: network, script: script, disconnected: make(chan struct{}, 64)}
 	go func() {
 		for {
 			conn, err := network.Accept()
@@ -101,7 +101,7 @@
 func (b *backend) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
-		b.left <- struct{}{}
+		b.disconnected <- struct{}{}
 	}()
 	reader := bufio.NewReader(conn)
 	for {
@@ -117,13 +117,14 @@
 	}
 }
 
-// end ends the process: nobody takes connections any more.
-func (b *backend) end(c net.Conn) {
+// shutDown simulates the end of the process: the connection is closed and no further
+// connections are accepted.
+func (b *backend) shutDown(c net.Conn) {
 	_ = b.network.Close()
 	_ = c.Close()
 }
 
-// text writes a whole answer.
+// text returns a script that writes a complete answer.
 func text(status, header, body string) func(net.Conn, *http.Request) {
 	return func(c net.Conn, r *http.Request) {
 		_, _ = io.WriteString(c, "HTTP/1.1 "+status+" x\r\nId: "+r.Header.Get("Id")+"\r\n"+header+
@@ -133,7 +134,7 @@
 
 const signed = "Signed: yes\r\n"
 
-// events begins a stream and writes the events from first to last.
+// events starts a stream and writes the events from first to last.
 func events(c net.Conn, r *http.Request, first, last int) {
 	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\n"+signed+"Transfer-Encoding: chunked\r\n\r\n")
 	for i := first; i <= last; i++ {
@@ -144,45 +145,46 @@
 
 func endStream(c net.Conn) { _, _ = io.WriteString(c, "0\r\n\r\n") }
 
-// entry is a relayer behind an HTTP server, before backend servers.
+// entry is a relayer behind an HTTP server, with its backend servers.
 type entry struct {
 	relayer *relayer.Relayer
 	server  *httptest.Server
 	tracker *tracker.Tracker
 	view    uint64
-	// untrusted means that what is known may be old.
+	// untrusted means that the replicated state may be outdated.
 	untrusted atomic.Bool
-	// later is added to the relayer's clock, in nanoseconds.
-	later    atomic.Int64
-	mu       sync.Mutex
-	admitted []messenger.Admit
-	placer   *placer.Placer
-	released []string
-	// admit is what companions do.
+	// clockOffset is added to the relayer's clock, in nanoseconds.
+	clockOffset atomic.Int64
+	mu          sync.Mutex
+	admitted    []messenger.Admit
+	placer      *placer.Placer
+	released    []string
+	// admit implements the admission of all companions.
 	admit func(messenger.Admit) (messenger.Admitted, error)
-	// companions holds the addresses of companions that are not the common one, by the
-	// backend server's name; guarded by mu.
+	// companions overrides the addresses of companions, by the backend server's name;
+	// guarded by mu.
 	companions map[string]string
-	// unansweredDials counts the dials to unanswered.
-	unansweredDials atomic.Int64
-	// spoiled counts down with each request written to a backend server; the connection
-	// of the one that brings it to 0 ends before any byte is taken.
-	spoiled atomic.Int64
-	// sent is what companions were sent.
+	// unansweredDialCount counts the dials to unansweredAddress.
+	unansweredDialCount atomic.Int64
+	// resetCountdown is decremented by each write to a backend server; the connection
+	// of the write that brings it to 0 is reset before any byte is sent.
+	resetCountdown atomic.Int64
+	// sent records the bytes sent to companions.
 	sent *gbytes.Buffer
-	// log is what the relayer writes.
+	// log records the relayer's log.
 	log *gbytes.Buffer
-	// told are the changes that the replicated state was asked to take in, and tellErr is
-	// what it answers; guarded by mu.
-	told    []storer.Command
-	tellErr error
-	// keyed are the workspaces; nil means that callers need no key. Guarded by mu.
-	keyed []tracker.Workspace
-	// control stands in for the control hosts.
+	// proposed holds the commands proposed to the replicated state, and proposeErr the
+	// error that they get; guarded by mu.
+	proposed   []storer.Command
+	proposeErr error
+	// workspaces are the configured workspaces; nil means that callers need no key.
+	// Guarded by mu.
+	workspaces []tracker.Workspace
+	// control is a test double for the control hosts.
 	control control
 }
 
-// newEntry returns an entry before the backends, of which the route tells more.
+// newEntry returns an entry with the given route, engine and backend servers.
 func newEntry(route tracker.Route, engine *tracker.Engine, backends ...*backend) *entry {
 	GinkgoHelper()
 	e := &entry{
@@ -202,7 +204,7 @@
 			defer e.mu.Unlock()
 			r := &tracker.Routing{
 				Number: e.view, Routes: []tracker.Route{route}, Services: []tracker.Service{{Name: "s", Engine: engine}},
-				Keyed: e.keyed != nil, Workspaces: e.keyed,
+				Keyed: e.workspaces != nil, Workspaces: e.workspaces,
 			}
 			err := r.Compile()
 			return r, err
@@ -224,8 +226,8 @@
 			defer e.mu.Unlock()
 			return cmp.Or(e.companions[m.Name], companion)
 		},
-		Random: random, Log: zerolog.New(e.log), Propose: e.tell, Control: &e.control, KeyLease: keyLease,
-		Now: func() time.Time { return time.Now().Add(time.Duration(e.later.Load())) },
+		Random: random, Log: zerolog.New(e.log), Propose: e.propose, Control: &e.control, KeyLease: keyLease,
+		Now: func() time.Time { return time.Now().Add(time.Duration(e.clockOffset.Load())) },
 	})
 	e.server = httptest.NewServer(e.relayer)
 	DeferCleanup(func() {
@@ -245,29 +247,29 @@
 	return e
 }
 
-// reconfigure puts a configuration with some workspaces in force.
-func (e *entry) reconfigure(keyed []tracker.Workspace) {
+// reconfigure applies a configuration with the given workspaces.
+func (e *entry) reconfigure(workspaces []tracker.Workspace) {
 	GinkgoHelper()
 	e.mu.Lock()
-	e.keyed = keyed
+	e.workspaces = workspaces
 	e.mu.Unlock()
 	e.put(storer.KindRouting, storer.RoutingName, storer.RoutingSpec{Number: e.view + 1})
 }
 
-// tell keeps what the replicated state is told.
-func (e *entry) tell(_ context.Context, c storer.Command) error {
+// propose records the command.
+func (e *entry) propose(_ context.Context, c storer.Command) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.told = append(e.told, c)
-	return e.tellErr
+	e.proposed = append(e.proposed, c)
+	return e.proposeErr
 }
 
-// ends returns the ends that were told.
-func (e *entry) ends() []storer.CountEnds {
+// crashes returns the ends of incarnations that were proposed.
+func (e *entry) crashes() []storer.CountEnds {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var all []storer.CountEnds
-	for _, c := range e.told {
+	for _, c := range e.proposed {
 		if end, ok := c.(storer.CountEnds); ok {
 			all = append(all, end)
 		}
@@ -275,12 +277,12 @@
 	return all
 }
 
-// cleared returns the requests that were told to be answered.
+// cleared returns the names of the requests whose suspicion was cleared.
 func (e *entry) cleared() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var all []string
-	for _, c := range e.told {
+	for _, c := range e.proposed {
 		if answered, ok := c.(storer.ClearSuspects); ok {
 			all = append(all, answered.Names...)
 		}
@@ -302,7 +304,8 @@
 	})
 }
 
-// companion serves admissions for all backend servers.
+// companion starts a companion that admits calls for all backend servers, and returns
+// its address.
 func (e *entry) companion() string {
 	GinkgoHelper()
 	network, err := net.Listen("tcp", "127.0.0.1:0")
@@ -332,13 +335,13 @@
 	return network.Addr().String()
 }
 
-// unanswered is an address at which nobody answers a dial.
-const unanswered = "unanswered:1"
+// unansweredAddress is an address at which a dial gets no answer.
+const unansweredAddress = "unanswered:1"
 
 // dial opens a connection to a companion.
 func (e *entry) dial(ctx context.Context, address string) (net.Conn, error) {
-	if address == unanswered {
-		e.unansweredDials.Add(1)
+	if address == unansweredAddress {
+		e.unansweredDialCount.Add(1)
 		return nil, os.ErrDeadlineExceeded
 	}
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
@@ -354,24 +357,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return spoilable{TCPConn: conn.(*net.TCPConn), entry: e}, nil
+	return resettable{TCPConn: conn.(*net.TCPConn), entry: e}, nil
 }
 
-// spoilable is a connection that its other end may reset just before it is written to.
-type spoilable struct {
+// resettable is a connection that may be reset just before a write.
+type resettable struct {
 	*net.TCPConn
 	entry *entry
 }
 
-func (s spoilable) Write(p []byte) (int, error) {
-	if s.entry.spoiled.Add(-1) == 0 {
+func (s resettable) Write(p []byte) (int, error) {
+	if s.entry.resetCountdown.Add(-1) == 0 {
 		_ = s.Close()
 		return 0, syscall.ECONNRESET
 	}
 	return s.TCPConn.Write(p)
 }
 
-// recorded is a connection that keeps what is written.
+// recorded is a connection that records the bytes written.
 type recorded struct {
 	net.Conn
 	sent *gbytes.Buffer
@@ -385,16 +388,15 @@
 // quietInterval is longer than any test.
 const quietInterval = time.Hour
 
-// attend has the companion of a backend server listen elsewhere.
-func (e *entry) attend(name, address string) {
+// setCompanion sets the address of a backend server's companion.
+func (e *entry) setCompanion(name, address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.companions[name] = address
 }
 
-// ask sends a request and returns the answer's head; its body is the caller's to
-// read.
-func (e *entry) ask(ctx context.Context, header map[string]string) *http.Response {
+// call sends a request and returns the answer. The caller reads its body.
+func (e *entry) call(ctx context.Context, header map[string]string) *http.Response {
 	GinkgoHelper()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.server.URL+"/a/b?c", strings.NewReader("body"))
 	Expect(err).NotTo(HaveOccurred())
@@ -417,8 +419,8 @@
 	return string(body)
 }
 
-// place has an engine's companion report.
-func (e *entry) place(m tracker.Member) {
+// reportState reports an idle engine's state, as its companion does.
+func (e *entry) reportState(m tracker.Member) {
 	e.placer.Report(time.Now(), "s", placer.EngineState{
 		Name: m.Name, Incarnation: m.Spec.Incarnation, Life: 1, Sequence: 1, Whole: true, Models: []string{"m"}, MaxAdapters: 8,
 	})
--- a/internal/transport/relayer/keys.go
+++ b/internal/transport/relayer/keys.go
@@ -8,26 +8,26 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// knowledgeWait is how long a call is held for the answer of a control host: some round
-// trips. Another entry does better by then.
-const knowledgeWait = 300 * time.Millisecond
+// controlReplyTimeout is how long a call waits for a control host's reply: some round
+// trips. After that the caller is better served by another entry.
+const controlReplyTimeout = 300 * time.Millisecond
 
-// bar tells why a call may not go on.
-type bar struct {
-	status int
-	reason string
-	after  time.Duration
+// rejection is the reason for which a call may not proceed.
+type rejection struct {
+	status     int
+	reason     string
+	retryAfter time.Duration
 }
 
-// KeysTrusted reports whether calls with a key may be let through: what is known of the
-// keys is young enough, or none are needed.
+// KeysTrusted reports whether calls with a key may be admitted: the known keys are
+// recent enough, or no key is needed.
 func (r *Relayer) KeysTrusted() bool {
 	v := r.settings.View().Routing
-	return v == nil || !v.Keyed || r.keysKnown()
+	return v == nil || !v.Keyed || r.keysFresh()
 }
 
-// keysKnown reports whether the age of what is known of the keys is within their lease.
-func (r *Relayer) keysKnown() bool {
+// keysFresh reports whether the age of the known keys is within their lease.
+func (r *Relayer) keysFresh() bool {
 	if r.settings.Control == nil || r.settings.KeyLease <= 0 {
 		return true
 	}
@@ -35,8 +35,9 @@
 	return ok && age < r.settings.KeyLease
 }
 
-// knownSince reports whether all that was accepted before a time is known.
-func (r *Relayer) knownSince(at time.Time) bool {
+// stateNewerThan reports whether everything that was accepted before the given time is
+// known.
+func (r *Relayer) stateNewerThan(at time.Time) bool {
 	if r.settings.Control == nil {
 		return true
 	}
@@ -44,12 +45,12 @@
 	return ok && age < r.settings.Now().Sub(at)
 }
 
-// identify finds the route, and the workspace by the caller's key. A key that is not known
-// may be in force elsewhere already: it is refused on knowledge that is younger than the
-// call.
+// identify finds the route, and the workspace of the caller's key. A key that is
+// unknown here may already be in force at another entry: it is refused only based on
+// state that is newer than the call.
 func (j *job) identify() error {
 	r := j.relayer
-	ctx, cancel := context.WithTimeout(j.ctx, knowledgeWait)
+	ctx, cancel := context.WithTimeout(j.ctx, controlReplyTimeout)
 	defer cancel()
 	for {
 		routing := r.Routing()
@@ -62,19 +63,19 @@
 		}
 		j.workspace, j.number = routing.Workspace(j.call.Key), routing.Number
 		switch {
-		case j.workspace != nil && r.keysKnown():
+		case j.workspace != nil && r.keysFresh():
 			return nil
-		case j.workspace == nil && r.knownSince(j.arrived):
+		case j.workspace == nil && r.stateNewerThan(j.arrived):
 			return j.refuse(http.StatusUnauthorized, "unknown key", 0)
 		case r.settings.Control == nil || !r.settings.Control.AwaitReport(ctx):
-			return j.refuse(http.StatusServiceUnavailable, "what is known of keys is too old", elsewhereAfter)
+			return j.refuse(http.StatusServiceUnavailable, "the known keys are too old", retryElsewhereDelay)
 		}
 	}
 }
 
-// barred returns why the call may not be handed over any more, or nil. Its key may have
-// been taken away while the call waited or this host stood still.
-func (j *job) barred() *bar {
+// checkKey returns why the call may not be sent any more, or nil if it may. Its key may
+// have been revoked while the call waited or this host was stalled.
+func (j *job) checkKey() *rejection {
 	if j.workspace == nil {
 		return nil
 	}
@@ -85,23 +86,23 @@
 	case !routing.Keyed || route != nil && route.Public:
 		return nil
 	case routing.Workspace(j.call.Key) == nil:
-		return &bar{status: http.StatusUnauthorized, reason: "the key was taken away"}
-	case !r.keysKnown():
-		return &bar{status: http.StatusServiceUnavailable, reason: "what is known of keys is too old", after: elsewhereAfter}
+		return &rejection{status: http.StatusUnauthorized, reason: "the key was revoked"}
+	case !r.keysFresh():
+		return &rejection{status: http.StatusServiceUnavailable, reason: "the known keys are too old", retryAfter: retryElsewhereDelay}
 	}
 	return nil
 }
 
-// refuseBarred answers a call that may not go on.
-func (j *job) refuseBarred(b *bar) {
-	if j.mayHaveRun || j.began {
-		j.exhausted(b.reason)
+// refuseRejected answers a call that may not proceed.
+func (j *job) refuseRejected(b *rejection) {
+	if j.mayHaveRun || j.headerSent {
+		j.answerExhausted(b.reason)
 		return
 	}
-	_ = j.refuse(b.status, b.reason, b.after)
+	_ = j.refuse(b.status, b.reason, b.retryAfter)
 }
 
-// workspaceName returns the name of the caller's workspace; empty where it needs none.
+// workspaceName returns the name of the caller's workspace, or "" if there is none.
 func (j *job) workspaceName() string {
 	if j.workspace == nil {
 		return ""
@@ -109,7 +110,8 @@
 	return j.workspace.Name
 }
 
-// priority returns the call's rank, 0 first: the workspace's, or else the route's.
+// priority returns the priority of the call, where 0 comes first: that of the workspace
+// if it has one, or else that of the route.
 func (j *job) priority() int {
 	if j.workspace != nil && j.workspace.Ranked {
 		return j.workspace.Priority
@@ -117,8 +119,8 @@
 	return j.route.Priority
 }
 
-// tokens returns the call's tokens, of prompt and answer together, and -1 where the caller
-// gave none.
+// tokens returns the sum of prompt and answer tokens, or -1 if the caller did not
+// specify them.
 func (c *Call) tokens() int {
 	if !c.TokensKnown {
 		return -1
@@ -126,8 +128,9 @@
 	return c.PromptTokens + c.AnswerTokens
 }
 
-// caller tells callers apart: by workspace, or by what they bring where no key is needed.
-func (j *job) caller() string {
+// callerID identifies the caller: by workspace, or by the key that it sent if no key is
+// needed.
+func (j *job) callerID() string {
 	if j.workspace == nil && j.call.Key != (tracker.KeyDigest{}) {
 		return string(j.call.Key[:])
 	}
--- a/internal/transport/relayer/keys_test.go
+++ b/internal/transport/relayer/keys_test.go
@@ -17,16 +17,16 @@
 
 const keyLease = 4 * time.Second
 
-// control stands in for the control hosts, as an entry's client shows them.
+// control is a test double for the control hosts as seen through an entry's client.
 type control struct {
 	mu sync.Mutex
-	// age is that of what is known, and answers has a report answered, after which the
-	// knowledge is young; both guarded by mu.
+	// age is the age of the known state. If answers is set, reports are answered and
+	// then set age to 0. Both are guarded by mu.
 	age     time.Duration
 	answers bool
-	// decision is what becomes of calls with a quota; guarded by mu.
+	// decision is the result for calls with a quota; guarded by mu.
 	decision bucketer.Decision
-	// balance is what was spent less what was given back; guarded by mu.
+	// balance is the amount spent minus the amount refunded; guarded by mu.
 	balance float64
 }
 
@@ -90,38 +90,39 @@
 		e = newEntry(tracker.Route{}, &tracker.Engine{Models: []tracker.Model{{Name: "m"}}}, b)
 		e.control.decision = bucketer.Decision{Admitted: true}
 		e.reconfigure(keyed("k"))
-		e.place(e.tracker.View().Members("s")[0])
+		e.reportState(e.tracker.View().Members("s")[0])
 	})
 
-	It("opens what its workspace may use", func() {
-		Expect(e.ask(ctx, with("k")).StatusCode).To(Equal(http.StatusOK))
+	It("gives access to what its workspace may use", func() {
+		Expect(e.call(ctx, with("k")).StatusCode).To(Equal(http.StatusOK))
 		Expect(e.control.spent()).To(BeEquivalentTo(200))
 	})
 
-	// Guards against 401 for a key that is in force elsewhere already.
-	It("is refused as unknown only on knowledge younger than the call", func() {
+	// Guards against 401 for a key that is already in force at another entry.
+	It("is refused as unknown only by state newer than the call", func() {
 		e.control.set(time.Second, false)
-		Expect(e.ask(ctx, with("other")).StatusCode).To(Equal(http.StatusServiceUnavailable))
+		Expect(e.call(ctx, with("other")).StatusCode).To(Equal(http.StatusServiceUnavailable))
 		e.control.set(time.Second, true)
-		Expect(e.ask(ctx, with("other")).StatusCode).To(Equal(http.StatusUnauthorized))
+		Expect(e.call(ctx, with("other")).StatusCode).To(Equal(http.StatusUnauthorized))
 		Expect(b.runs.Load()).To(BeZero())
 	})
 
-	// Guards against runs of revoked keys at an entry that is cut off, or stood still.
-	It("opens nothing where what is known is too old", func() {
+	// Guards against runs with revoked keys at an entry that was partitioned or
+	// stalled.
+	It("is refused if the known keys are too old", func() {
 		e.control.set(keyLease, false)
-		refused := e.ask(ctx, with("k"))
+		refused := e.call(ctx, with("k"))
 		Expect(refused.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(refused.Header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(e.relayer.KeysTrusted()).To(BeFalse())
 		e.control.set(keyLease-time.Millisecond, false)
-		Expect(e.ask(ctx, with("k")).StatusCode).To(Equal(http.StatusOK))
+		Expect(e.call(ctx, with("k")).StatusCode).To(Equal(http.StatusOK))
 		Expect(e.relayer.KeysTrusted()).To(BeTrue())
 	})
 
-	DescribeTable("is looked at again right before the call is handed over",
-		// Guards against runs of calls whose key was taken away, or whose entry lost contact,
-		// while they waited for their adapter.
+	DescribeTable("is checked again right before the call is sent",
+		// Guards against runs of calls whose key was revoked, or whose entry lost
+		// contact, while they waited for their adapter.
 		func(meanwhile func(), status int) {
 			e.admit = func(m messenger.Admit) (messenger.Admitted, error) {
 				e.mu.Unlock()
@@ -129,30 +130,31 @@
 				meanwhile()
 				return messenger.Admitted{Version: m.Version}, nil
 			}
-			Expect(e.ask(ctx, with("k")).StatusCode).To(Equal(status))
+			Expect(e.call(ctx, with("k")).StatusCode).To(Equal(status))
 			Expect(b.runs.Load()).To(BeZero())
-			Eventually(e.control.spent).Should(BeZero(), "what has not run is given back")
+			Eventually(e.control.spent).Should(BeZero(), "a call that has not run is refunded")
 		},
-		Entry("where it was taken away", func() { e.reconfigure(keyed("new")) }, http.StatusUnauthorized),
-		Entry("where contact was lost", func() { e.control.set(time.Hour, false) }, http.StatusServiceUnavailable),
+		Entry("after it was revoked", func() { e.reconfigure(keyed("new")) }, http.StatusUnauthorized),
+		Entry("after contact was lost", func() { e.control.set(time.Hour, false) }, http.StatusServiceUnavailable),
 	)
 
-	It("is refused over its workspace's quota, with the time to come back", func() {
+	It("is refused over its workspace's quota, with the time to retry after", func() {
 		e.control.mu.Lock()
 		e.control.decision = bucketer.Decision{RetryAfter: 700 * time.Millisecond}
 		e.control.mu.Unlock()
-		refused := e.ask(ctx, with("k"))
+		refused := e.call(ctx, with("k"))
 		Expect(refused.StatusCode).To(Equal(http.StatusTooManyRequests))
 		Expect(refused.Header.Get("Retry-After")).To(Equal("0.700"))
 	})
 
-	// Guards against calls that are paid for twice, or that never ran and stay paid for.
-	It("pays once for a call with several attempts, and nothing for one that did not run", func() {
+	// Guards against calls that are charged twice, or that did not run and are not
+	// refunded.
+	It("is charged once for a call with several attempts, and not for one that did not run", func() {
 		refuse := func(c net.Conn, r *http.Request) { text("503", "Not-Run: yes\r\n", "")(c, r) }
 		other := newBackend(refuse)
 		b.script = refuse
 		e.announce(1, other, 0)
-		Expect(e.ask(ctx, with("k")).StatusCode).To(Equal(http.StatusServiceUnavailable))
+		Expect(e.call(ctx, with("k")).StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Eventually(e.control.spent).Should(BeZero())
 	})
 })
--- a/internal/transport/relayer/loss.go
+++ b/internal/transport/relayer/loss.go
@@ -8,71 +8,76 @@
 )
 
 const (
-	// gatherTime is the wait from the first attempt that broke with a backend server
-	// until it is asked for: the connections of a process end together, and an entry
+	// lossGatherDelay is the wait from the first attempt that broke until its backend
+	// server is inspected: the connections of a process end together, and an entry
 	// reads their ends within a few milliseconds.
-	gatherTime = 20 * time.Millisecond
-	// lifeTime is for how long a backend server that did not say that it is gone may
-	// turn out to have begun another incarnation: its next announcement comes when it has
+	lossGatherDelay = 20 * time.Millisecond
+	// restartDetectionTime is how long a backend server that did not announce its
+	// departure is watched for a restart: its next announcement comes when it has
 	// started, a few seconds later.
-	lifeTime = 5 * time.Second
-	// lifePoll is the time between two checks of what is known of it.
-	lifePoll = 100 * time.Millisecond
-	// maxLosses bounds what is inspected at a time, and maxLost the attempts of each:
-	// more than an entry has in progress at one backend server.
-	maxLosses = 256
-	maxLost   = storer.MaxEnded
+	restartDetectionTime = 5 * time.Second
+	// restartPollInterval is the time between two checks for a restart.
+	restartPollInterval = 100 * time.Millisecond
+	// maxLosses limits the concurrent inspections, maxLossAttempts the attempts of
+	// each: more than an entry has in progress at one backend server.
+	maxLosses       = 256
+	maxLossAttempts = storer.MaxEnded
 )
 
 //go:generate stringer -type=fate -trimprefix=fate
 
-// fate tells what became of a backend server with which attempts broke.
+// fate is the state of a backend server whose attempts broke. The names of the values
+// are written to metrics and logs.
 type fate int
 
 const (
-	// fateUnknown means that nobody knows: it may be cut off.
+	// fateUnknown means that the state is not known: the backend server may be
+	// partitioned.
 	fateUnknown fate = iota
-	// fateEnded means that its incarnation has ended, without having said so before.
+	// fateEnded means that its incarnation ended without announcing it.
 	fateEnded
-	// fateLives means that it takes connections: only those of the attempts ended.
+	// fateLives means that it accepts connections: only the connections of the attempts
+	// ended.
 	fateLives
 	// fateLeft means that it was leaving.
 	fateLeft
 )
 
-// incarnation names one incarnation of a backend server.
+// incarnation identifies one incarnation of a backend server.
 type incarnation struct{ name, incarnation string }
 
-// loss gathers the attempts that broke with one incarnation of a backend server in one moment.
+// loss collects the attempts at one incarnation of a backend server that broke at the
+// same time.
 type loss struct {
 	incarnation      incarnation
 	service, address string
 	attempts         []storer.EndedRequest
 }
 
-// recordLoss notes that the call's attempt broke with its backend server, and has the backend
-// server inspected.
+// recordLoss records that the call's attempt broke, and starts an inspection of the
+// backend server if none is pending.
 func (r *Relayer) recordLoss(j *job) {
-	broke := storer.EndedRequest{Name: j.same().String(), Place: j.place(), Progressed: j.progressed()}
+	broke := storer.EndedRequest{Name: j.requestIdentity().String(), Place: j.placeHash(), Progressed: j.progressed()}
 	r.lossesMu.Lock()
 	defer r.lossesMu.Unlock()
 	of := incarnation{name: j.choice.Name, incarnation: j.choice.Incarnation}
 	l := r.losses[of]
 	switch {
-	case l != nil && len(l.attempts) < maxLost:
+	case l != nil && len(l.attempts) < maxLossAttempts:
 		l.attempts = append(l.attempts, broke)
-	case l != nil, r.inspecting >= maxLosses, r.root.Err() != nil:
+	case l != nil, r.inspections >= maxLosses, r.root.Err() != nil:
 		r.metrics.losses.WithLabelValues(j.service.Name, "Overflow").Inc()
 	default:
 		r.losses[of] = &loss{incarnation: of, service: j.service.Name, address: j.choice.Address, attempts: []storer.EndedRequest{broke}}
-		r.inspecting++
-		r.tasks.Go(func() { r.inspect(of) })
+		r.inspections++
+		r.tasks.Go(func() { r.inspectLoss(of) })
 	}
 }
 
-// gather waits for what breaks in the same moment, and returns all of it.
-func (r *Relayer) gather(of incarnation) *loss {
-	pauser.Pause(r.root, gatherTime)
+// collectLoss waits until the attempts that break together are recorded, and returns
+// all of them.
+func (r *Relayer) collectLoss(of incarnation) *loss {
+	pauser.Pause(r.root, lossGatherDelay)
 	r.lossesMu.Lock()
 	defer r.lossesMu.Unlock()
 	l := r.losses[of]
@@ -80,14 +85,15 @@
 	return l
 }
 
-// inspect finds out whether a backend server has ended, and tells with which attempts.
+// inspectLoss determines whether a backend server has ended, logs the attempts that
+// broke with it, and reports them if it has.
 //
-// A connection that ends says nothing of the process at its other end: a cut, a middle box
-// or an answer that is reset on its way end it as a crash does.
-func (r *Relayer) inspect(of incarnation) {
-	l := r.gather(of)
+// The end of a connection does not prove that the process at its other end has ended: a
+// partition, a middlebox or a reset on the path looks the same as a crash.
+func (r *Relayer) inspectLoss(of incarnation) {
+	l := r.collectLoss(of)
 	f := r.fateOf(of, l.address)
-	defer r.inspected()
+	defer r.inspectionDone()
 	r.metrics.losses.WithLabelValues(l.service, f.String()).Inc()
 	same := make([]string, 0, len(l.attempts))
 	for _, s := range l.attempts {
@@ -96,11 +102,12 @@
 	r.settings.Log.Info().Str("Backend", of.name).Str("Incarnation", of.incarnation).Stringer("Fate", f).
 		Int("Sendings", len(l.attempts)).Strs("Same", same).Msg("sendings broke")
 	if f == fateEnded {
-		r.blame(l)
+		r.reportEnds(l)
 	}
 }
 
-// fateOf returns what became of a backend server.
+// fateOf determines the state of a backend server. It blocks for up to
+// restartDetectionTime.
 func (r *Relayer) fateOf(of incarnation, address string) fate {
 	if m, ok := r.settings.View().Member(of.name); !ok || m.Spec.Incarnation == of.incarnation && m.Spec.State != storer.MemberStateServing {
 		return fateLeft
@@ -109,7 +116,7 @@
 	if err == nil && !listens {
 		return fateEnded
 	}
-	until := r.settings.Now().Add(lifeTime)
+	until := r.settings.Now().Add(restartDetectionTime)
 	for r.settings.Now().Before(until) && r.root.Err() == nil {
 		m, ok := r.settings.View().Member(of.name)
 		switch {
@@ -118,7 +125,7 @@
 		case m.Spec.Incarnation != of.incarnation:
 			return fateEnded
 		}
-		pauser.Pause(r.root, lifePoll)
+		pauser.Pause(r.root, restartPollInterval)
 	}
 	if err == nil {
 		return fateLives
--- a/internal/transport/relayer/loss_test.go
+++ b/internal/transport/relayer/loss_test.go
@@ -12,48 +12,48 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// ends is a backend server whose process ends when it begins a request.
-func ends() *backend {
+// crashes returns a backend server whose process ends when it starts a request.
+func crashes() *backend {
 	var b *backend
-	b = newBackend(func(c net.Conn, _ *http.Request) { b.end(c) })
+	b = newBackend(func(c net.Conn, _ *http.Request) { b.shutDown(c) })
 	return b
 }
 
-var _ = Describe("A sending that breaks", func() {
-	It("tells that its backend server has ended, and which request was there", func() {
-		b := ends()
-		e := newEntry(once, nil, b)
-		Expect(e.ask(ctx, nil).StatusCode).To(Equal(http.StatusBadGateway))
+var _ = Describe("An attempt that breaks", func() {
+	It("reports that its backend server has ended, and the request", func() {
+		b := crashes()
+		e := newEntry(runOnce, nil, b)
+		Expect(e.call(ctx, nil).StatusCode).To(Equal(http.StatusBadGateway))
 		Eventually(e.log).Should(gbytes.Say(`"Backend":"b0","Incarnation":"i-0","Fate":"Ended","Sendings":1,"Same":\["[0-9a-f]{32}"\]`))
 	})
 
-	It("tells that its backend server lives where only the connection ended", func() {
-		e := newEntry(once, nil, newBackend(hangUp))
-		Expect(e.ask(ctx, nil).StatusCode).To(Equal(http.StatusBadGateway))
+	It("reports that its backend server is alive if only the connection ended", func() {
+		e := newEntry(runOnce, nil, newBackend(hangUp))
+		Expect(e.call(ctx, nil).StatusCode).To(Equal(http.StatusBadGateway))
 		Eventually(func() *gbytes.Buffer {
-			e.later.Add(int64(time.Second))
+			e.clockOffset.Add(int64(time.Second))
 			return e.log
 		}).Should(gbytes.Say(`"Fate":"Lives"`))
-		Expect(e.ends()).To(BeEmpty(), "nobody is blamed")
+		Expect(e.crashes()).To(BeEmpty(), "no end is reported")
 	})
 
-	It("tells that its backend server has begun another life, though its address takes connections", func() {
+	It("reports that its backend server has ended if another incarnation accepts connections at its address", func() {
 		b := newBackend(hangUp)
-		e := newEntry(once, nil, b)
-		Expect(e.ask(ctx, nil).StatusCode).To(Equal(http.StatusBadGateway))
+		e := newEntry(runOnce, nil, b)
+		Expect(e.call(ctx, nil).StatusCode).To(Equal(http.StatusBadGateway))
 		e.put(storer.KindMember, "b0", storer.MemberSpec{Service: "s", Address: b.network.Addr().String(), Incarnation: "i-next", Slots: 8})
 		Eventually(e.log).Should(gbytes.Say(`"Incarnation":"i-0","Fate":"Ended"`))
 	})
 
-	It("tells of a backend server that leaves nothing else", func() {
+	It("reports a backend server that leaves as left", func() {
 		var e *entry
 		var b *backend
 		b = newBackend(func(c net.Conn, _ *http.Request) {
 			e.announce(0, b, storer.MemberStateLeaving)
-			b.end(c)
+			b.shutDown(c)
 		})
-		e = newEntry(once, nil, b)
-		Expect(e.ask(ctx, nil).StatusCode).To(Equal(http.StatusBadGateway))
+		e = newEntry(runOnce, nil, b)
+		Expect(e.call(ctx, nil).StatusCode).To(Equal(http.StatusBadGateway))
 		Eventually(e.log).Should(gbytes.Say(`"Fate":"Left"`))
 	})
 })
--- a/internal/transport/relayer/metrics.go
+++ b/internal/transport/relayer/metrics.go
@@ -8,14 +8,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// labelService names the service that a figure is about.
+// labelService is the label for the service of a metric.
 const labelService = "service"
 
-// metrics are the relayer's.
+// metrics are the Prometheus metrics of a relayer.
 type metrics struct {
 	calls       *prometheus.CounterVec
-	took        prometheus.Histogram
-	first       prometheus.Histogram
+	duration    prometheus.Histogram
+	firstEvent  prometheus.Histogram
 	failures    *prometheus.CounterVec
 	attempts    *prometheus.CounterVec
 	losses      *prometheus.CounterVec
@@ -30,46 +30,46 @@
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "marigoldpoint_relayer_calls_total", Help: "Calls by outcome and status.",
 		}, []string{"outcome", "status"}),
-		took: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "marigoldpoint_relayer_call_seconds", Help: "Time of calls.",
+		duration: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name: "marigoldpoint_relayer_call_seconds", Help: "Duration of calls.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 13),
 		}),
-		first: prometheus.NewHistogram(prometheus.HistogramOpts{
+		firstEvent: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "marigoldpoint_relayer_first_event_seconds", Help: "Time to a stream's first event.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 12),
 		}),
 		failures: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_failed_sends_total", Help: "Sendings that did not answer their call, by service.",
+			Name: "marigoldpoint_relayer_failed_sends_total", Help: "Attempts that did not answer their call, by service.",
 		}, []string{labelService}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_sendings_total", Help: "Sendings by service and how they ended.",
+			Name: "marigoldpoint_relayer_sendings_total", Help: "Attempts by service and how they ended.",
 		}, []string{labelService, "end"}),
 		losses: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_losses_total", Help: "Lives of backend servers with which sendings broke, by what became of them.",
+			Name: "marigoldpoint_relayer_losses_total", Help: "Incarnations of backend servers whose attempts broke, by their fate.",
 		}, []string{labelService, "fate"}),
 		quarantined: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_quarantined_total", Help: "Calls refused since backend servers ended under their request, by service.",
+			Name: "marigoldpoint_relayer_quarantined_total", Help: "Calls refused because their request is quarantined, by service.",
 		}, []string{labelService}),
 		unattended: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_unattended_total", Help: "Calls sent without their companion's admission.",
+			Name: "marigoldpoint_relayer_unattended_total", Help: "Calls sent without admission by a companion.",
 		}),
 	}
 	m.quotas = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "marigoldpoint_relayer_quota_units_total", Help: "Units of calls with a quota, by workspace and what became of them.",
+		Name: "marigoldpoint_relayer_quota_units_total", Help: "Units of calls with a quota, by workspace and decision.",
 	}, []string{"workspace", "decision"})
 	if r != nil {
 		r.MustRegister(m.quotas)
-		r.MustRegister(m.calls, m.took, m.first, m.failures, m.attempts, m.losses, m.quarantined, m.unattended)
+		r.MustRegister(m.calls, m.duration, m.firstEvent, m.failures, m.attempts, m.losses, m.quarantined, m.unattended)
 	}
 	return m
 }
 
-func (m *metrics) answered(outcome string, status int, took time.Duration) {
+func (m *metrics) observeCall(outcome string, status int, duration time.Duration) {
 	m.calls.WithLabelValues(outcome, strconv.Itoa(status)).Inc()
-	m.took.Observe(took.Seconds())
+	m.duration.Observe(duration.Seconds())
 }
 
-// What became of a call with a quota.
+// Decisions on the quota of a call.
 const (
 	quotaAdmitted = "admitted"
 	quotaRefused  = "refused"
@@ -81,16 +81,17 @@
 	m.quotas.WithLabelValues(m.workspaces.label(workspace), decision).Add(units)
 }
 
-// labelledWorkspaces bounds the workspaces with figures of their own.
+// labelledWorkspaces limits the number of workspaces with a label of their own.
 const labelledWorkspaces = 64
 
-// otherWorkspaces labels all beyond.
+// otherWorkspaces is the common label of all further workspaces.
 const otherWorkspaces = "(others)"
 
-// workspaceLabels gives the first workspaces seen a label of their own.
+// workspaceLabels assigns a label of its own to each of the first labelledWorkspaces
+// workspaces.
 type workspaceLabels struct {
 	mu sync.Mutex
-	// known holds them; guarded by mu.
+	// known holds the workspaces with a label of their own; guarded by mu.
 	known map[string]struct{}
 }
 
--- a/internal/transport/relayer/quota.go
+++ b/internal/transport/relayer/quota.go
@@ -7,21 +7,21 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/bucketer"
 )
 
-// charge pays for the call from its workspace's quota, or refuses it.
+// charge deducts the cost of the call from its workspace's quota, or refuses the call.
 func (j *job) charge() error {
 	r := j.relayer
 	if j.workspace == nil || r.settings.Control == nil || j.workspace.Quota.Rate <= 0 {
 		return nil
 	}
 	cost := j.workspace.Quota.Cost(j.call.tokens())
-	ctx, cancel := context.WithTimeout(j.ctx, knowledgeWait)
+	ctx, cancel := context.WithTimeout(j.ctx, controlReplyTimeout)
 	defer cancel()
 	limit := bucketer.Limit{Rate: j.workspace.Quota.Rate, Burst: j.workspace.Quota.Burst, Number: j.number}
 	for {
 		d := r.settings.Control.Spend(j.workspace.Name, limit, cost)
 		switch {
 		case d.Admitted:
-			j.paidFor = cost
+			j.quotaCost = cost
 			r.metrics.quota(j.workspace.Name, quotaAdmitted, cost)
 			return nil
 		case !d.Unknown:
@@ -31,15 +31,15 @@
 				Dur("LevelAge", d.Age).Dur("RetryAfter", d.RetryAfter).Msg("over quota")
 			return j.refuse(http.StatusTooManyRequests, "over quota", d.RetryAfter)
 		case !r.settings.Control.AwaitReport(ctx):
-			return j.refuse(http.StatusServiceUnavailable, "what is left of the quota is not known", r.settings.RetryAfter)
+			return j.refuse(http.StatusServiceUnavailable, "the remaining quota is not known", r.settings.RetryAfter)
 		}
 	}
 }
 
-// giveBack returns what a call that has not run was charged.
-func (j *job) giveBack() {
-	if j.paidFor > 0 && !j.ran {
-		j.relayer.settings.Control.Refund(j.workspace.Name, j.paidFor)
-		j.relayer.metrics.quota(j.workspace.Name, quotaReturned, j.paidFor)
+// refundQuota refunds the cost of a call that did not run.
+func (j *job) refundQuota() {
+	if j.quotaCost > 0 && !j.ran {
+		j.relayer.settings.Control.Refund(j.workspace.Name, j.quotaCost)
+		j.relayer.metrics.quota(j.workspace.Name, quotaReturned, j.quotaCost)
 	}
 }
--- a/internal/transport/relayer/relayer.go
+++ b/internal/transport/relayer/relayer.go
@@ -18,7 +18,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// Relayer serves opaque calls. Several goroutines may use it.
+// Relayer serves opaque calls. It is safe for concurrent use.
 type Relayer struct {
 	settings Settings
 	metrics  *metrics
@@ -26,54 +26,53 @@
 	root     context.Context
 	cancel   context.CancelFunc
 	tasks    sync.WaitGroup
-	// inFlight counts the calls in progress.
+	// inFlight is the number of calls in progress.
 	inFlight atomic.Int64
-	// trusted is set once what is known was all that was accepted.
+	// trusted is set once the view has been up to date.
 	trusted atomic.Bool
-	// stopAt is when a planned stop cuts what is in progress, in nanoseconds since
-	// 1970; 0 while none is under way.
+	// stopAt is the time at which a planned stop cuts the calls in progress, in
+	// nanoseconds since 1970; 0 if no stop is planned.
 	stopAt atomic.Int64
-	// lostAt is when a stream broke last, in nanoseconds since 1970.
-	lostAt atomic.Int64
-	// poll wakes the watch over companions.
+	// lastStreamLossAt is when a stream last broke, in nanoseconds since 1970.
+	lastStreamLossAt atomic.Int64
+	// poll triggers a check of the subscriptions to companions.
 	poll chan struct{}
 
 	randomMu sync.Mutex
 	random   *rand.Rand
 
 	watchedMu sync.Mutex
-	// watched holds what is known of the companions, by the engine's name; guarded by
-	// watchedMu.
+	// watched holds the companions by engine name; guarded by watchedMu.
 	watched map[string]companion
-	// watcher tells which of them are silent; guarded by watchedMu.
+	// watcher detects silent companions; guarded by watchedMu.
 	watcher *watcher.Watcher
-	// silentLast are those that were silent at the last check, with their services, and
-	// doubtUntil is until when all are attended; guarded by watchedMu.
-	silentLast map[string]string
-	doubtUntil time.Time
-	// engines holds the names of the engines whose companions tell their state, by
+	// previouslySilent holds the companions that were silent at the last poll, with
+	// their services. Until fullPaceUntil all companions use the full heartbeat pace.
+	// Both are guarded by watchedMu.
+	previouslySilent map[string]string
+	fullPaceUntil    time.Time
+	// engines holds the names of the engines whose companions report their state, by
 	// connection; guarded by watchedMu.
 	engines map[*messenger.Conn]string
 
-	// suspects tells which requests are kept from backend servers.
+	// suspects decides which requests may not be sent to backend servers.
 	suspects *suspecter.Table
-	// reviewed is the revision up to which quarantines have ended attempts; views come one
-	// after another.
-	reviewed uint64
+	// quarantineRevision is the revision up to which quarantines have cancelled
+	// attempts. Only ViewChanged uses it, and views arrive one at a time.
+	quarantineRevision uint64
 
 	lossesMu sync.Mutex
-	// losses holds what breaks just now, and inspecting counts what is inspected; guarded
-	// by lossesMu.
-	losses     map[incarnation]*loss
-	inspecting int
+	// losses holds the losses that are being collected, and inspections is the number
+	// of running inspections and reports; guarded by lossesMu.
+	losses      map[incarnation]*loss
+	inspections int
 
 	attemptsMu sync.Mutex
-	// attempts holds those in progress, by the engine's name; guarded by attemptsMu.
+	// attempts holds the attempts in progress by engine name; guarded by attemptsMu.
 	attempts map[string]map[*attempt]struct{}
 }
 
-// NewRelayer returns a relayer that follows its view from now on. Calls reach it
-// by ServeHTTP.
+// NewRelayer returns a running relayer. Calls are served by ServeHTTP.
 func NewRelayer(s Settings) *Relayer {
 	s = s.withDefaults()
 	r := &Relayer{
@@ -98,12 +97,12 @@
 // InFlight returns the number of calls in progress.
 func (r *Relayer) InFlight() int { return int(r.inFlight.Load()) }
 
-// Routing returns the configuration in force, or nil while none can be trusted.
+// Routing returns the configuration in force, or nil if no trusted one is known yet.
 //
-// A process that has just started may be told an old state at first, by a control
-// host that has just started too: the configuration of before would be in force at
-// this entry for a moment, seconds after another was accepted. Later, what is known
-// stays in use, also without contact to control hosts.
+// Shortly after its start, a process may receive an old state from a control host that
+// has just started too: an earlier configuration would then be in force at this entry
+// for a moment, seconds after a newer one was accepted. Once trusted, the known
+// configuration stays in use, even without contact to control hosts.
 func (r *Relayer) Routing() *tracker.Routing {
 	if !r.trusted.Load() {
 		if r.settings.Trusted != nil && !r.settings.Trusted() {
@@ -114,23 +113,23 @@
 	return r.settings.View().Routing
 }
 
-// ViewChanged has the relayer follow a new view. It is quick.
+// ViewChanged applies a new view. It does not block.
 func (r *Relayer) ViewChanged(v *tracker.View) {
 	r.settings.Placer.SetView(v)
 	r.suspects.Follow(v)
-	r.endFormer(v)
-	r.endQuarantined(v)
+	r.cancelPreviousIncarnations(v)
+	r.cancelQuarantined(v)
 	select {
 	case r.poll <- struct{}{}:
 	default:
 	}
 }
 
-// SetStopTime tells the relayer that what is in progress at a time will be cut.
+// SetStopTime sets the time at which a planned stop cuts the calls in progress.
 func (r *Relayer) SetStopTime(at time.Time) { r.stopAt.Store(at.UnixNano()) }
 
-// Close ends the watch over companions and waits. Calls in progress are their
-// server's to end.
+// Close stops the background tasks and waits for them. It does not end calls in
+// progress; that is up to their HTTP server.
 func (r *Relayer) Close() error {
 	r.lossesMu.Lock()
 	r.cancel()
@@ -139,7 +138,7 @@
 	return nil
 }
 
-// Handle takes what companions send.
+// Handle processes the messages of companions.
 func (r *Relayer) Handle(_ context.Context, conn *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
 	if method != messenger.MethodState {
 		return nil, messenger.NewRefusal(messenger.ReasonUnsupported, string(method))
@@ -150,20 +149,20 @@
 	}
 	s.Name = r.engineOf(conn, s.Name)
 	if s.Entries > 0 {
-		r.budget.share(s.Entries)
+		r.budget.setEntries(s.Entries)
 	}
 	if m, ok := r.settings.View().Member(s.Name); ok && !r.settings.Placer.Report(r.settings.Now(), m.Spec.Service, s) {
-		r.askState(conn)
+		r.requestState(conn)
 	}
 	return nil, nil
 }
 
-// engineOf returns the name of the engine whose companion is at the other end. It is
-// told with the whole state only.
-func (r *Relayer) engineOf(conn *messenger.Conn, told string) string {
+// engineOf returns the name of the engine whose companion is the peer of conn. Only
+// reports of the whole state contain the name.
+func (r *Relayer) engineOf(conn *messenger.Conn, name string) string {
 	r.watchedMu.Lock()
 	defer r.watchedMu.Unlock()
-	if told == "" {
+	if name == "" {
 		return r.engines[conn]
 	}
 	if r.engines[conn] == "" {
@@ -172,12 +171,12 @@
 				delete(r.engines, other)
 			}
 		}
-		r.engines[conn] = told
+		r.engines[conn] = name
 	}
-	return told
+	return name
 }
 
-// watchCompanions keeps each companion telling its state.
+// watchCompanions keeps the entry subscribed to the state of each engine's companion.
 func (r *Relayer) watchCompanions() {
 	ticker := time.NewTicker(r.settings.WatchInterval)
 	defer ticker.Stop()
@@ -199,17 +198,17 @@
 				wanted = append(wanted, m)
 			}
 		})
-		r.unwatch(wanted)
+		r.unwatchOthers(wanted)
 		for _, m := range wanted {
 			if !r.subscribed(m) {
-				r.tasks.Go(func() { r.watch(m) })
+				r.tasks.Go(func() { r.subscribe(m) })
 			}
 		}
 	}
 }
 
-// unwatch forgets the companions of engines that serve no more.
-func (r *Relayer) unwatch(wanted []tracker.Member) {
+// unwatchOthers removes the companions of all engines that are not wanted.
+func (r *Relayer) unwatchOthers(wanted []tracker.Member) {
 	r.watchedMu.Lock()
 	defer r.watchedMu.Unlock()
 	maps.DeleteFunc(r.watched, func(name string, _ companion) bool {
@@ -221,8 +220,8 @@
 	})
 }
 
-// subscribed reports whether a companion tells its state on the connection in use, and the
-// state is known.
+// subscribed reports whether a companion reports its state on the current connection,
+// and the state is known.
 func (r *Relayer) subscribed(m tracker.Member) bool {
 	conn := r.settings.Companions.Live(r.settings.CompanionAddress(m))
 	r.watchedMu.Lock()
@@ -231,10 +230,10 @@
 	return conn != nil && c.conn == conn && r.settings.Placer.Known(m.Spec.Service, m.Name)
 }
 
-// watch asks one companion to tell its state, unless it does and the state is known.
-// It may not be: the companion's first word can come before the entry has heard of
-// its engine.
-func (r *Relayer) watch(m tracker.Member) {
+// subscribe asks a companion to report its state, unless it already does and the state
+// is known. The state may be unknown because the companion's first report can arrive
+// before the entry has learned of its engine.
+func (r *Relayer) subscribe(m tracker.Member) {
 	address := r.settings.CompanionAddress(m)
 	ctx, cancel := context.WithTimeout(r.root, r.settings.WatchInterval)
 	defer cancel()
@@ -252,17 +251,17 @@
 	if !known {
 		r.settings.Log.Info().Str("Companion", address).Msg("companion reached")
 	}
-	r.askState(conn)
+	r.requestState(conn)
 }
 
-// askState asks a companion to tell the whole of its engine's state.
-func (r *Relayer) askState(conn *messenger.Conn) {
+// requestState asks a companion to report the whole state of its engine.
+func (r *Relayer) requestState(conn *messenger.Conn) {
 	if err := conn.Notify(r.root, messenger.MethodWatch, messenger.Watch{Node: r.settings.Node, FailureDomain: r.settings.FailureDomain}); err != nil {
-		r.settings.Log.Debug().Err(err).Str("Companion", conn.Peer()).Msg("companion not asked")
+		r.settings.Log.Debug().Err(err).Str("Companion", conn.Peer()).Msg("requesting the companion's state failed")
 	}
 }
 
-// draw returns an even draw from 0 to 1.
+// draw returns a uniformly distributed random number in [0, 1).
 func (r *Relayer) draw() float64 {
 	r.randomMu.Lock()
 	defer r.randomMu.Unlock()
--- a/internal/transport/relayer/relayer_test.go
+++ b/internal/transport/relayer/relayer_test.go
@@ -19,7 +19,7 @@
 )
 
 var (
-	once       = tracker.Route{MaxAttempts: 3}
+	runOnce    = tracker.Route{MaxAttempts: 3}
 	repeatable = tracker.Route{Repeat: tracker.RepeatFreely, MaxAttempts: 3}
 	streamed   = tracker.Route{Stream: true, MaxAttempts: 1}
 	resumable  = tracker.Route{Stream: true, Resumable: true, MaxAttempts: 3}
@@ -27,10 +27,10 @@
 	ctx        = context.Background()
 )
 
-// hangUp ends the connection without an answer.
+// hangUp closes the connection without an answer.
 func hangUp(c net.Conn, _ *http.Request) { _ = c.Close() }
 
-// reset ends the connection as the crash of its other end does.
+// reset resets the connection, as a crash of the peer does.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -38,7 +38,7 @@
 	_ = c.Close()
 }
 
-var well = text("200", signed, "answer")
+var answersWell = text("200", signed, "answer")
 
 func runs(backends ...*backend) int {
 	n := 0
@@ -49,13 +49,13 @@
 }
 
 var _ = Describe("A call", func() {
-	It("reaches its backend server unchanged, and its answer the caller", func() {
+	It("reaches its backend server unchanged, as does the answer its caller", func() {
 		got := make(chan *http.Request, 1)
 		b := newBackend(func(c net.Conn, r *http.Request) {
 			got <- r
 			text("201", signed+"Kept: as is\r\n", "answer")(c, r)
 		})
-		answer := newEntry(once, nil, b).ask(ctx, map[string]string{"Other": "kept"})
+		answer := newEntry(runOnce, nil, b).call(ctx, map[string]string{"Other": "kept"})
 		Expect(answer.StatusCode).To(Equal(201))
 		Expect(answer.Header.Get("Kept")).To(Equal("as is"))
 		Expect(read(answer)).To(Equal("answer"))
@@ -66,28 +66,28 @@
 		Expect(r.Header.Get("Expect-Life")).To(Equal("i-0"))
 	})
 
-	It("without a configuration is told to come back", func() {
-		answer := newEntry(once, nil).ask(ctx, map[string]string{"Deadline": "200"})
+	It("without a configuration is refused with a time to retry after", func() {
+		answer := newEntry(runOnce, nil).call(ctx, map[string]string{"Deadline": "200"})
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(answer.Header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	It("is not served by what may be old, right after the start", func() {
-		// Symptom: a call goes by a route that was dropped seconds before.
-		// Events: all processes are killed; a control host is back first and tells
-		// an entry the state that it has read so far.
-		// Cause: the first state that came was taken for the one in force.
-		e := newEntry(once, nil, newBackend(well))
+	It("is not served by a configuration that may be old, right after the start", func() {
+		// Guards against an old configuration after a restart: all processes are
+		// killed, a control host returns first and reports the part of the state that
+		// it has read so far. Taking that for the configuration in force sent a call by
+		// a route that had been deleted seconds before.
+		e := newEntry(runOnce, nil, newBackend(answersWell))
 		e.untrusted.Store(true)
-		Expect(e.ask(ctx, map[string]string{"Deadline": "200"}).StatusCode).To(Equal(http.StatusServiceUnavailable))
+		Expect(e.call(ctx, map[string]string{"Deadline": "200"}).StatusCode).To(Equal(http.StatusServiceUnavailable))
 		e.untrusted.Store(false)
-		Expect(e.ask(ctx, nil).StatusCode).To(Equal(200))
+		Expect(e.call(ctx, nil).StatusCode).To(Equal(200))
 		e.untrusted.Store(true)
-		Expect(e.ask(ctx, nil).StatusCode).To(Equal(200), "what was known stays in use without contact")
+		Expect(e.call(ctx, nil).StatusCode).To(Equal(200), "the configuration stays in use without contact")
 	})
 
-	It("without a route is told so", func() {
-		e := newEntry(once, nil, newBackend(well))
+	It("without a route is refused", func() {
+		e := newEntry(runOnce, nil, newBackend(answersWell))
 		r, err := http.NewRequest(http.MethodGet, e.server.URL+"/other/", nil)
 		Expect(err).NotTo(HaveOccurred())
 		r.Host = "h"
@@ -98,53 +98,48 @@
 		Expect(answer.StatusCode).To(Equal(http.StatusNotFound))
 	})
 
-	It("that may run once runs once, though its answer is lost", func() {
-		// Symptom: a review is filed twice.
-		// Events: the backend server runs the call, and the connection breaks
-		// before its answer; the call is sent again to another.
-		// Cause: a broken connection was taken for "not run".
+	It("that may run once runs once, even if its answer is lost", func() {
+		// Guards against a second run: the backend server runs the call and the
+		// connection breaks before its answer. Taking the broken connection for "not
+		// run" filed a review twice.
 		a, b := newBackend(hangUp), newBackend(hangUp)
-		answer := newEntry(once, nil, a, b).ask(ctx, nil)
+		answer := newEntry(runOnce, nil, a, b).call(ctx, nil)
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(runs(a, b)).To(Equal(1))
 	})
 
-	It("that may run once goes on where it was refused unread", func() {
+	It("that may run once is retried if it was refused unread", func() {
 		refuses := text("503", "Not-Run: 1\r\n", "")
 		a, b := newBackend(refuses), newBackend(refuses)
-		answer := newEntry(once, nil, a, b).ask(ctx, nil)
-		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable), "nobody has run it")
+		answer := newEntry(runOnce, nil, a, b).call(ctx, nil)
+		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable), "no backend server has run it")
 		Expect(runs(a, b)).To(Equal(2))
 	})
 
-	It("passes no backend server over for the end of a kept connection", func() {
-		// Symptom: a call is refused as not run ("no backend server") though a server
-		// was free that never got it, and for 0.3 s others pass that server over.
-		// Events: one of two backend servers refuses the call unread; the connection
-		// kept to the other one is reset, as by a middle box or a server that closes
-		// idle ones, after it was looked at and before it is written to.
-		// Cause: "not sent" was taken for word from the server. It was word from a
-		// connection of before; a new one would have reached it. The line: "not sent",
-		// with "connection reset by peer", and then "no backend server" after one sending.
+	It("passes over no backend server because a kept connection ended", func() {
+		// Guards against passing over a backend server because a kept connection to it
+		// was reset, by a middlebox or a server that closes idle ones, after it was
+		// checked and before the write. The "not sent" was taken for a failure of the
+		// server, although a new connection would have reached it: the call was refused
+		// as not run ("no backend server" in the log, after "not sent" with "connection
+		// reset by peer"), and other calls passed the server over for 0.3 s.
 		refuses := text("503", "Not-Run: 1\r\n", "")
 		a, b := newBackend(refuses), newBackend(refuses)
-		e := newEntry(once, nil, a, b)
-		for _, spoiled := range []int64{0, 1, 2} {
+		e := newEntry(runOnce, nil, a, b)
+		for _, resetCountdown := range []int64{0, 1, 2} {
 			before := runs(a, b)
-			e.spoiled.Store(spoiled)
-			Expect(e.ask(ctx, nil).StatusCode).To(Equal(http.StatusServiceUnavailable))
-			Expect(runs(a, b)).To(Equal(before+2), "the connection of sending %d ended", spoiled)
+			e.resetCountdown.Store(resetCountdown)
+			Expect(e.call(ctx, nil).StatusCode).To(Equal(http.StatusServiceUnavailable))
+			Expect(runs(a, b)).To(Equal(before+2), "the connection of attempt %d ended", resetCountdown)
 		}
 	})
 
-	It("whose caller leaves while it is given its answer ends no other call", func() {
-		// Symptom: a call that may run once gets 502, its outcome unknown, though its
-		// backend server is well and answers it.
-		// Events: a caller reads a long answer slowly. The backend server's part is
-		// over; its connection is kept, and carries the next call. The first caller
-		// leaves, or its time is over.
-		// Cause: the end of a call reset the connection that it had used, also once
-		// that was another call's.
+	It("whose caller leaves during the answer ends no other call", func() {
+		// Guards against the end of a call resetting a connection that already carries
+		// another call: a caller reads a long answer slowly, the backend server's
+		// connection is reused for the next call, and the first caller leaves or its
+		// deadline passes. The next call, which may run only once, then got 502 with an
+		// unknown outcome.
 		long := strings.Repeat("x", 16<<20)
 		hold := make(chan struct{})
 		release := sync.OnceFunc(func() { close(hold) })
@@ -155,53 +150,51 @@
 				return
 			}
 			<-hold
-			well(c, r)
+			answersWell(c, r)
 		}
-		e := newEntry(once, nil, b)
+		e := newEntry(runOnce, nil, b)
 		DeferCleanup(release)
 		leaving, leave := context.WithCancel(ctx)
-		Expect(e.ask(leaving, nil).StatusCode).To(Equal(200))
+		Expect(e.call(leaving, nil).StatusCode).To(Equal(200))
 		other := make(chan *http.Response, 1)
 		go func() {
 			defer GinkgoRecover()
-			other <- e.ask(ctx, nil)
+			other <- e.call(ctx, nil)
 		}()
 		Eventually(func() int { return runs(b) }).Should(Equal(2))
 		leave()
 		Eventually(e.relayer.InFlight).Should(BeNumerically("<", 2))
-		Consistently(e.relayer.InFlight).Should(Equal(1), "the other call goes on")
+		Consistently(e.relayer.InFlight).Should(Equal(1), "the other call continues")
 		release()
 		answer := <-other
 		Expect(answer.StatusCode).To(Equal(200))
 		Expect(read(answer)).To(Equal("answer"))
 	})
 
-	It("that finds another life at its backend server's address goes to one that is there", func() {
-		// Symptom: calls are refused for a second after a backend server has
-		// restarted, though others are free.
-		// Events: the call is sent by what was known of the former life; the new
-		// one refuses it; the route allows one attempt.
-		// Cause: the refusal counted as an attempt at the backend server meant.
-		route := once
+	It("that reaches another incarnation than meant goes to an available backend server", func() {
+		// Guards against counting the refusal of a new incarnation as an attempt at the
+		// previous one: on a route that allows one attempt, calls were refused for a
+		// second after a backend server had restarted, although others were free.
+		route := runOnce
 		route.MaxAttempts = 1
 		elsewhere := text("421", "Not-Run: elsewhere\r\n", "")
 		a, b := newBackend(elsewhere), newBackend(elsewhere)
 		e := newEntry(route, nil, a, b)
-		Expect(e.ask(ctx, map[string]string{"Deadline": "200"}).StatusCode).To(Equal(http.StatusServiceUnavailable))
+		Expect(e.call(ctx, map[string]string{"Deadline": "200"}).StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(a.runs.Load()).NotTo(BeZero())
 		Expect(b.runs.Load()).NotTo(BeZero())
 	})
 
-	It("that may run once is answered by the failure of who ran it", func() {
+	It("that may run once is answered with the failure of its backend server", func() {
 		a, b := newBackend(text("500", signed, "mine")), newBackend(text("500", signed, "mine"))
-		answer := newEntry(once, nil, a, b).ask(ctx, nil)
+		answer := newEntry(runOnce, nil, a, b).call(ctx, nil)
 		Expect(answer.StatusCode).To(Equal(500))
 		Expect(answer.Header.Get("Signed")).To(Equal("yes"))
 		Expect(read(answer)).To(Equal("mine"))
 		Expect(runs(a, b)).To(Equal(1))
 	})
 
-	It("that may run again does, after a failure, a loss, and half an answer", func() {
+	It("that may run again is retried after a failure, a loss and a partial answer", func() {
 		turn := make(chan int, 3)
 		script := func(c net.Conn, r *http.Request) {
 			switch len(turn) {
@@ -213,11 +206,11 @@
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n"+signed+"Content-Length: 9\r\n\r\nhal")
 				_ = c.Close()
 			default:
-				well(c, r)
+				answersWell(c, r)
 			}
 		}
 		a, b, c := newBackend(script), newBackend(script), newBackend(script)
-		answer := newEntry(repeatable, nil, a, b, c).ask(ctx, nil)
+		answer := newEntry(repeatable, nil, a, b, c).call(ctx, nil)
 		Expect(answer.StatusCode).To(Equal(200))
 		Expect(read(answer)).To(Equal("answer"))
 	})
@@ -226,33 +219,33 @@
 		route := repeatable
 		route.MaxAttempts = 2
 		a, b, c := newBackend(hangUp), newBackend(hangUp), newBackend(hangUp)
-		answer := newEntry(route, nil, a, b, c).ask(ctx, nil)
+		answer := newEntry(route, nil, a, b, c).call(ctx, nil)
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(runs(a, b, c)).To(Equal(2))
 	})
 
-	It("whose answer breaks off has no answer that looks whole", func() {
+	It("whose answer breaks off gets no answer that looks complete", func() {
 		half := func(c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n"+signed+"Content-Length: 9\r\n\r\nhal")
 			_ = c.Close()
 		}
-		answer := newEntry(once, nil, newBackend(half)).ask(ctx, nil)
+		answer := newEntry(runOnce, nil, newBackend(half)).call(ctx, nil)
 		Expect(answer.StatusCode).To(Equal(http.StatusBadGateway))
 	})
 
-	It("ends with its time", func() {
-		route := once
+	It("ends at its deadline", func() {
+		route := runOnce
 		route.Timeout = 50 * time.Millisecond
 		b := newBackend(func(_ net.Conn, _ *http.Request) {})
-		answer := newEntry(route, nil, b).ask(ctx, nil)
+		answer := newEntry(route, nil, b).call(ctx, nil)
 		Expect(answer.StatusCode).To(Equal(http.StatusGatewayTimeout))
-		Eventually(b.left).Should(Receive(), "the backend server is told by the end of its connection")
+		Eventually(b.disconnected).Should(Receive(), "the end of its connection notifies the backend server")
 	})
 
-	It("ends with its caller", func() {
+	It("ends when its caller leaves", func() {
 		reached := make(chan struct{})
 		b := newBackend(func(net.Conn, *http.Request) { close(reached) })
-		e := newEntry(once, nil, b)
+		e := newEntry(runOnce, nil, b)
 		leaving, leave := context.WithCancel(ctx)
 		go func() {
 			<-reached
@@ -264,13 +257,13 @@
 		r.Header.Set("Deadline", "20000")
 		_, err = e.server.Client().Do(r)
 		Expect(err).To(MatchError(context.Canceled))
-		Eventually(b.left).Should(Receive())
+		Eventually(b.disconnected).Should(Receive())
 		Eventually(e.relayer.InFlight).Should(BeZero())
 	})
 })
 
 var _ = Describe("A stream", func() {
-	It("goes on as it comes", func() {
+	It("is forwarded as it arrives", func() {
 		next := make(chan struct{})
 		b := newBackend(func(c net.Conn, r *http.Request) {
 			events(c, r, 1, 1)
@@ -278,14 +271,14 @@
 			_, _ = io.WriteString(c, "d\r\nid: 2\ndata:x\n\n\r\n")
 			endStream(c)
 		})
-		answer := newEntry(streamed, nil, b).ask(ctx, nil)
+		answer := newEntry(streamed, nil, b).call(ctx, nil)
 		first := make([]byte, len("id: 1\ndata: x\n\n"))
 		_, err := io.ReadFull(answer.Body, first)
 		Expect(err).NotTo(HaveOccurred())
 		close(next)
 		Expect(string(first)).To(HavePrefix("id: 1\n"))
 		_, err = io.ReadAll(answer.Body)
-		Expect(err).To(HaveOccurred(), "its last chunk was spoiled, which must not look like an end")
+		Expect(err).To(HaveOccurred(), "its last chunk is malformed, which must not look like an end")
 	})
 
 	It("that breaks off is cut for its caller too", func() {
@@ -293,13 +286,13 @@
 			events(c, r, 1, 2)
 			_ = c.Close()
 		})
-		answer := newEntry(streamed, nil, b).ask(ctx, nil)
+		answer := newEntry(streamed, nil, b).call(ctx, nil)
 		_, err := io.ReadAll(answer.Body)
 		Expect(err).To(HaveOccurred())
 		Expect(runs(b)).To(Equal(1))
 	})
 
-	It("that may be resumed goes on at another backend server, each event once", func() {
+	It("that may be resumed continues at another backend server, with each event once", func() {
 		// The first backend server breaks off in the middle of the third event.
 		script := func(c net.Conn, r *http.Request) {
 			if r.Header.Get("After") == "" {
@@ -312,15 +305,14 @@
 			events(c, r, 3, 4)
 			endStream(c)
 		}
-		answer := newEntry(resumable, nil, newBackend(script), newBackend(script)).ask(ctx, nil)
+		answer := newEntry(resumable, nil, newBackend(script), newBackend(script)).call(ctx, nil)
 		Expect(read(answer)).To(Equal("id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\nid: 4\ndata: x\n\n"))
 	})
 
-	It("of an engine that is lost goes on from the copy of its memory", func() {
-		// Symptom: long answers are cut off when an engine crashes, and may not be
-		// asked for again.
-		// Events: an engine crashes in the middle of a stream that may run once.
-		// Cause: what had been generated was lost with it.
+	It("of a lost engine resumes from the copy of its KV cache", func() {
+		// Guards against the loss of a stream that may run only once with its engine:
+		// when the engine crashes, the stream must resume from the copy of its KV
+		// cache.
 		lost := make(chan struct{})
 		script := func(c net.Conn, r *http.Request) {
 			if r.Header.Get("Id") == "before" {
@@ -341,20 +333,20 @@
 		a, b := newBackend(script), newBackend(script)
 		e := newEntry(streamed, engine, a, b)
 		e.reportAll(a, b)
-		// Copies are kept once streams are seen to break.
-		before := e.ask(ctx, map[string]string{"Model": "m/a1", "Id": "before"})
+		// Copies are kept only after a stream was lost.
+		before := e.call(ctx, map[string]string{"Model": "m/a1", "Id": "before"})
 		Expect(before.StatusCode).To(Equal(http.StatusBadGateway))
-		answer := e.ask(ctx, map[string]string{"Model": "m/a1"})
+		answer := e.call(ctx, map[string]string{"Model": "m/a1"})
 		begun := make([]byte, 2*len("id: 1\ndata: x\n\n"))
 		_, err := io.ReadFull(answer.Body, begun)
 		Expect(err).NotTo(HaveOccurred())
-		e.later.Store(int64(time.Second))
+		e.clockOffset.Store(int64(time.Second))
 		close(lost)
 		Expect(read(answer)).To(Equal("id: 3\ndata: x\n\n"))
 		Expect(runs(a, b)).To(Equal(3))
 	})
 
-	It("that broke before its copy can have come does not run again", func() {
+	It("that broke before its copy can have arrived does not run again", func() {
 		script := func(c net.Conn, r *http.Request) {
 			events(c, r, 1, 1)
 			_ = c.Close()
@@ -363,8 +355,8 @@
 		e := newEntry(streamed, engine, a, b)
 		e.reportAll(a, b)
 		for i, id := range []string{"before", "now"} {
-			// The first one that breaks makes the entry keep copies of the next.
-			answer := e.ask(ctx, map[string]string{"Model": "m/a1", "Id": id})
+			// The loss of the first stream makes the entry keep copies of the next.
+			answer := e.call(ctx, map[string]string{"Model": "m/a1", "Id": id})
 			_, err := io.ReadAll(answer.Body)
 			Expect(err).To(HaveOccurred())
 			Expect(runs(a, b)).To(Equal(i + 1))
@@ -372,86 +364,81 @@
 	})
 })
 
-// reportAll has the engines report to the entry, as companions do.
+// reportAll reports the state of all engines, as their companions do.
 func (e *entry) reportAll(backends ...*backend) {
 	for i := range backends {
 		v := e.tracker.View().Members("s")[i]
-		e.place(v)
+		e.reportState(v)
 	}
 }
 
 var _ = Describe("A planned stop", func() {
-	It("sends long streams elsewhere, and serves what ends in time", func() {
-		// Symptom: long answers are cut at the end of a planned stop.
-		// Events: an entry is told to stop; until the balancer notices, it is given
-		// new calls; a stream among them lasts longer than the time that is left.
-		// Cause: what was in progress when the stop began was looked at only.
+	It("refuses long streams, and serves calls that end in time", func() {
+		// Guards against cutting long answers at the end of a planned stop: until the
+		// balancer notices the stop, the entry receives new calls, and one of them may
+		// be a stream that lasts longer than the time left.
 		b := newBackend(func(c net.Conn, r *http.Request) {
 			events(c, r, 1, 1)
 			endStream(c)
 		})
 		e := newEntry(streamed, nil, b)
 		e.relayer.SetStopTime(time.Now().Add(time.Second))
-		answer := e.ask(ctx, nil)
+		answer := e.call(ctx, nil)
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(answer.Header.Get("Retry-After")).NotTo(BeEmpty())
 		e.relayer.SetStopTime(time.Now().Add(time.Minute))
-		Expect(read(e.ask(ctx, nil))).NotTo(BeEmpty())
+		Expect(read(e.call(ctx, nil))).NotTo(BeEmpty())
 		Expect(runs(b)).To(Equal(1))
 	})
 
-	It("believes the caller's guess at the size of the answer", func() {
-		// Symptom: while the only entry of a failure domain stops, all its streams are
-		// refused, and refused again when their callers come back.
-		// Events: streams may have 100 tokens and are expected to have 10, as their
-		// callers tell; a second is left.
-		// Cause: each stream was taken for as long as it may become.
+	It("uses the caller's estimate of the length of the answer", func() {
+		// Guards against refusing all streams while the only entry of a failure domain
+		// stops, and again when their callers retry: with a second left, streams of at
+		// most 100 tokens whose callers expect 10 were assumed to take their maximum.
 		b := newBackend(func(c net.Conn, r *http.Request) {
 			events(c, r, 1, 1)
 			endStream(c)
 		})
 		e := newEntry(streamed, nil, b)
 		e.relayer.SetStopTime(time.Now().Add(time.Second))
-		Expect(e.ask(ctx, map[string]string{"Expected": "200"}).StatusCode).To(Equal(http.StatusServiceUnavailable))
-		Expect(read(e.ask(ctx, map[string]string{"Expected": "10"}))).NotTo(BeEmpty())
+		Expect(e.call(ctx, map[string]string{"Expected": "200"}).StatusCode).To(Equal(http.StatusServiceUnavailable))
+		Expect(read(e.call(ctx, map[string]string{"Expected": "10"}))).NotTo(BeEmpty())
 		Expect(runs(b)).To(Equal(1))
 	})
 })
 
 var _ = Describe("An admission", func() {
-	It("comes before the call and ends with it", func() {
+	It("precedes the call and ends with it", func() {
 		b := newBackend(func(c net.Conn, r *http.Request) {
 			events(c, r, 1, 1)
 			endStream(c)
 		})
 		e := newEntry(streamed, engine, b)
 		e.admit = func(messenger.Admit) (messenger.Admitted, error) { return messenger.Admitted{Version: 5}, nil }
-		Expect(read(e.ask(ctx, map[string]string{"Model": "m/a1"}))).NotTo(BeEmpty())
+		Expect(read(e.call(ctx, map[string]string{"Model": "m/a1"}))).NotTo(BeEmpty())
 		Eventually(func() []string { e.mu.Lock(); defer e.mu.Unlock(); return e.released }).Should(Equal([]string{"1"}))
 		Expect(e.admitted[0].Adapter).To(Equal("a1"))
 	})
 
-	It("that took until the backend server leaves sends nothing there", func() {
-		// Symptom: a backend server gets a request two seconds after it has said
-		// that it leaves.
-		// Events: the request waits at its companion; the backend server announces
-		// that it leaves; the wait ends well.
-		// Cause: whether it still serves was looked at before the wait only.
-		b := newBackend(well)
+	It("that lasts until the backend server leaves sends nothing there", func() {
+		// Guards against sending a request to a backend server two seconds after it
+		// announced that it leaves: the request waits at its companion meanwhile, and
+		// the state was checked only before the wait.
+		b := newBackend(answersWell)
 		e := newEntry(streamed, engine, b)
 		e.admit = func(m messenger.Admit) (messenger.Admitted, error) {
 			e.announce(0, b, storer.MemberStateLeaving)
 			return messenger.Admitted{Version: m.Version}, nil
 		}
-		answer := e.ask(ctx, map[string]string{"Model": "m/a1", "Deadline": "200"})
+		answer := e.call(ctx, map[string]string{"Model": "m/a1", "Deadline": "200"})
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(runs(b)).To(BeZero())
 	})
 
-	It("that would wait much longer than expected goes elsewhere, once", func() {
-		// Symptom: callers leave while their call waits at a crowded engine.
-		// Events: an entry chooses by what it heard most of a second ago.
-		// Cause: what an engine knew better was told with the next state only.
+	It("that would wait much longer than expected moves to another engine, once", func() {
+		// Guards against callers that give up while their call waits at a crowded
+		// engine: the entry chooses by state that is most of a second old, and the
+		// companion must be able to send the call back at once.
 		b0, b1 := newBackend(stream), newBackend(stream)
 		e := newPair(streamed, b0, b1)
 		var movable []bool
@@ -463,22 +450,22 @@
 			}
 			return messenger.Admitted{Version: m.Version}, nil
 		}
-		Expect(read(e.ask(ctx, map[string]string{"Model": "m/a1"}))).To(HaveSuffix("id: 2\ndata: x\n\n"))
+		Expect(read(e.call(ctx, map[string]string{"Model": "m/a1"}))).To(HaveSuffix("id: 2\ndata: x\n\n"))
 		Expect(b0.runs.Load()).To(BeZero())
 		Expect(b1.runs.Load()).To(BeEquivalentTo(1))
 		Expect(movable).To(Equal([]bool{true, false}))
 		var choice placer.Choice
 		Expect(e.placer.Choose(time.Now(), &placer.Call{Service: "s", Model: "m", Adapter: "a2"}, &choice)).To(Succeed())
-		Expect(choice.Name).To(Equal("b1"), "the next one is told of the wait")
+		Expect(choice.Name).To(Equal("b1"), "the wait is known for the next call")
 	})
 
-	It("that is refused sends the call elsewhere, and in the end back", func() {
-		b := newBackend(well)
+	It("that is refused moves the call to others, and finally refuses it", func() {
+		b := newBackend(answersWell)
 		e := newEntry(streamed, engine, b)
 		e.admit = func(messenger.Admit) (messenger.Admitted, error) {
 			return messenger.Admitted{}, messenger.NewRefusal(messenger.ReasonUnavailable, "full")
 		}
-		answer := e.ask(ctx, map[string]string{"Model": "m/a1", "Deadline": "200"})
+		answer := e.call(ctx, map[string]string{"Model": "m/a1", "Deadline": "200"})
 		Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(answer.Header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(runs(b)).To(BeZero())
--- a/internal/transport/relayer/run.go
+++ b/internal/transport/relayer/run.go
@@ -15,48 +15,50 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// verdict tells what became of one attempt.
+// verdict is the conclusion from one attempt.
 type verdict int
 
 const (
-	// verdictAnswered means that the caller has its answer, whole.
+	// verdictAnswered means that the call is finished: the caller has the complete
+	// answer, or has left while it was forwarded.
 	verdictAnswered verdict = iota
 	// verdictNotRun means that the backend server did not run the call.
 	verdictNotRun
-	// verdictUnknown means that it may have.
+	// verdictUnknown means that the backend server may have run the call.
 	verdictUnknown
-	// verdictFailed means that it ran and failed; the answer is kept.
+	// verdictFailed means that the call ran and failed; the failed answer is kept.
 	verdictFailed
-	// verdictEnded means that the caller or the time is gone.
-	verdictEnded
-	// verdictBarred means that the call may not be handed over any more.
-	verdictBarred
+	// verdictAborted means that the caller has left or the deadline has passed.
+	verdictAborted
+	// verdictRejected means that the call may not be sent any more.
+	verdictRejected
 )
 
 const (
-	// maxTries bounds the backend servers that are asked for one call, those
-	// included that refused it unread.
-	maxTries = 6
-	// holdPause is the wait before a call that nobody could take is offered again,
-	// and before what a process that has just started knows is read again.
+	// maxServersPerCall limits the backend servers tried for one call, including those
+	// that refused it unread.
+	maxServersPerCall = 6
+	// holdPause is the wait before a call that no backend server accepted is offered
+	// again, and between two checks for a trusted configuration after a start.
 	holdPause = 100 * time.Millisecond
-	// busyPause is the wait before a call is offered again to backend servers that have
-	// as many as they are to have: a third of a short call.
+	// busyPause is the wait before a call is offered again when all backend servers are
+	// at their limit: a third of a short call.
 	busyPause = 10 * time.Millisecond
-	// holdShare is the part of a call's time for which it is held so. A caller comes
-	// back once only: refused in the second in which engines or configuration
-	// return, it would be lost. The rest is for its run, or for its coming back.
+	// holdShare is the share of a call's time for which it may be held. A caller
+	// retries only once: a call refused in the second in which engines or the
+	// configuration return would be lost. The rest of the time is left for the run, or
+	// for the caller's retry.
 	holdShare = 0.4
 )
 
-// repeatable reports whether the call may run again.
+// repeatable reports whether the call may run more than once.
 func (j *job) repeatable() bool { return j.route.Repeat == tracker.RepeatFreely || j.route.Resumable }
 
-// run tries backend servers until the call is answered.
+// run makes attempts until the call is answered.
 func (j *job) run() {
 	for try := 0; ; try++ {
 		if j.ctx.Err() != nil {
-			j.giveUp()
+			j.answerAborted()
 			return
 		}
 		if whole, is := j.quarantined(); is {
@@ -64,20 +66,20 @@
 			return
 		}
 		err := j.choose()
-		if try >= maxTries && err == nil {
+		if try >= maxServersPerCall && err == nil {
 			j.release(placer.EndingGivenUp)
 			err = errTriedAll
 		}
 		if err != nil {
-			if !j.hold(err) {
-				j.exhausted(err.Error())
+			if !j.holdForRetry(err) {
+				j.answerExhausted(err.Error())
 				return
 			}
 			try = 0
 			continue
 		}
 		if !j.allowAttempt() {
-			j.exhausted("no attempt or retry budget left")
+			j.answerExhausted("no attempt or retry budget left")
 			return
 		}
 		if !j.handleResult(j.attempt()) {
@@ -86,31 +88,31 @@
 	}
 }
 
-// handleResult draws the conclusion from one attempt, and reports whether there is to be
-// another. If not, the call is answered.
+// handleResult handles the verdict of one attempt, and reports whether another attempt
+// is to be made. If not, the call has been answered.
 func (j *job) handleResult(v verdict) bool {
-	j.ran = j.ran || v != verdictNotRun && v != verdictBarred
+	j.ran = j.ran || v != verdictNotRun && v != verdictRejected
 	switch v {
-	case verdictBarred:
-		j.refuseBarred(j.bar)
+	case verdictRejected:
+		j.refuseRejected(j.rejection)
 		return false
 	case verdictAnswered:
 		return false
-	case verdictEnded:
-		j.giveUp()
+	case verdictAborted:
+		j.answerAborted()
 		return false
 	case verdictNotRun:
-		if j.from != "" && !j.repeatable() {
-			j.exhausted("no copy of the request's memory was left")
+		if j.resumeFrom != "" && !j.repeatable() {
+			j.answerExhausted("no copy of the request's KV cache is available")
 			return false
 		}
-		j.from = ""
+		j.resumeFrom = ""
 	case verdictUnknown, verdictFailed:
 		if j.mayHaveRun = true; v == verdictUnknown && j.resume() {
 			return true
 		}
 		if !j.repeatable() {
-			j.exhausted("the backend server gave no answer, or failed")
+			j.answerExhausted("the backend server gave no answer, or failed")
 			return false
 		}
 	}
@@ -118,37 +120,39 @@
 	return true
 }
 
-// allowAttempt reports whether the call may be handed to one more backend server.
+// allowAttempt reports whether the call may be sent to another backend server, and
+// charges retries to the budget. If not, it releases the choice.
 func (j *job) allowAttempt() bool {
-	if j.arrivals == 0 {
+	if j.reached == 0 {
 		return true
 	}
-	paid := j.paid
-	j.paid = false
-	if j.from == "" && j.sent >= max(1, j.route.MaxAttempts) || !paid && !j.relayer.budget.take(j.relayer.settings.Now(), j.service.Name) {
+	retryPaid := j.retryPaid
+	j.retryPaid = false
+	if j.resumeFrom == "" && j.sent >= max(1, j.route.MaxAttempts) || !retryPaid && !j.relayer.budget.takeRetry(j.relayer.settings.Now(), j.service.Name) {
 		j.release(placer.EndingGivenUp)
 		return false
 	}
 	return true
 }
 
-// errTriedAll tells that as many backend servers refused the call as may be asked.
-const errTriedAll = errors.ConstError("tried all that may take it")
+// errTriedAll means that maxServersPerCall backend servers refused the call.
+const errTriedAll = errors.ConstError("the maximum number of backend servers refused the call")
 
-// choose picks a backend server.
+// choose selects a backend server, or for a resumed call takes the one with the copy.
 func (j *job) choose() error {
 	r := j.relayer
-	c := j.wanted()
-	if j.from != "" {
+	c := j.placerCall()
+	if j.resumeFrom != "" {
 		return r.settings.Placer.Take(r.settings.Now(), c, j.backup.Name, &j.choice)
 	}
 	return r.settings.Placer.Choose(r.settings.Now(), c, &j.choice)
 }
 
-// hold waits a moment and reports whether a call that nobody has taken is to be
-// offered once more: to all again, but for one that only waits its turn.
-func (j *job) hold(cause error) bool {
-	if j.began || !j.mayHold() {
+// holdForRetry waits, and reports whether a call that no backend server accepted is to
+// be offered again. Unless all servers were busy, servers that were tried before are
+// included again.
+func (j *job) holdForRetry(cause error) bool {
+	if j.headerSent || !j.mayHold() {
 		return false
 	}
 	if errors.Is(cause, placer.ErrBusy) {
@@ -161,14 +165,14 @@
 	return true
 }
 
-// mayHold reports whether the part of the call's time is left for which it may be
-// held.
+// mayHold reports whether the call is still within the share of its time for which it
+// may be held.
 func (j *job) mayHold() bool {
 	return float64(j.relayer.settings.Now().Sub(j.arrived)) < holdShare*float64(j.deadline.Sub(j.arrived))
 }
 
-// wanted returns the call as the placer sees it.
-func (j *job) wanted() *placer.Call {
+// placerCall returns the call in the placer's terms.
+func (j *job) placerCall() *placer.Call {
 	c := &placer.Call{Service: j.service.Name, Avoid: j.avoid}
 	if j.service.Engine == nil {
 		c.Late = j.route.Target > 0 && j.relayer.settings.Now().Sub(j.arrived) > j.route.Target/2
@@ -187,25 +191,25 @@
 	return c
 }
 
-// attempt has the call admitted, and hands it to the backend server chosen.
+// attempt has the call admitted, and sends it to the chosen backend server.
 func (j *job) attempt() verdict {
 	r := j.relayer
-	a := Attempt{Workspace: j.workspaceName(), Incarnation: j.choice.Incarnation, Urgency: -1, LastEvent: j.lastEvent, ResumeFrom: j.from}
-	followed, ctx, end := r.follows(j)
+	a := Attempt{Workspace: j.workspaceName(), Incarnation: j.choice.Incarnation, Urgency: -1, LastEvent: j.lastEvent, ResumeFrom: j.resumeFrom}
+	current, ctx, end := r.trackAttempt(j)
 	defer end()
 	if j.service.Engine != nil {
 		admitted, release, err := j.admit(ctx)
 		switch {
 		case errors.Is(err, errSilent):
-			return j.unreached(err)
+			return j.companionUnreachable(err)
 		case err != nil:
 			j.release(placer.EndingRefused)
 			return verdictNotRun
 		}
 		defer release()
 		if !j.stillServes() {
-			// The wait was long enough for the backend server to begin to leave: it
-			// must get nothing new, although it would still take it.
+			// The backend server may have started to leave during the wait. It must not
+			// receive new calls then, although it would still accept them.
 			j.release(placer.EndingRefused)
 			return verdictNotRun
 		}
@@ -215,41 +219,43 @@
 		a.Urgency = placer.Urgency(j.priority(), j.slack())
 	}
 	if _, is := j.quarantined(); is {
-		// It ended another backend server while it waited here.
+		// The request was quarantined while it waited for admission.
 		j.release(placer.EndingGivenUp)
 		return verdictNotRun
 	}
-	if j.bar = j.barred(); j.bar != nil {
+	if j.rejection = j.checkKey(); j.rejection != nil {
 		j.release(placer.EndingGivenUp)
-		return verdictBarred
+		return verdictRejected
 	}
 	a.Backup = j.chooseBackup()
 	a.TimeLeft = j.deadline.Sub(r.settings.Now())
-	followed.handOver()
-	v := j.send(ctx, a, followed)
-	j.paid = followed.paid.Load()
+	current.markSent()
+	v := j.send(ctx, a, current)
+	j.retryPaid = current.retryPaid.Load()
 	return v
 }
 
-// slack returns the time left of the call's target beyond the reading of its prompt.
+// slack returns the time left until the route's target time, minus the expected time to
+// read the prompt.
 func (j *job) slack() time.Duration {
 	return j.route.Target - j.relayer.settings.Now().Sub(j.arrived) - j.choice.Read
 }
 
-// stillServes reports whether the backend server chosen takes new calls.
+// stillServes reports whether the chosen backend server still accepts new calls.
 func (j *job) stillServes() bool {
 	m, ok := j.relayer.settings.View().Member(j.choice.Name)
 	return ok && m.Spec.Incarnation == j.choice.Incarnation && m.Spec.State == storer.MemberStateServing
 }
 
-// release ends the choice.
+// release finishes the choice at the placer.
 func (j *job) release(e placer.Ending) {
 	j.relayer.settings.Placer.Finish(j.relayer.settings.Now(), &j.choice, e)
 }
 
-// admit asks the companion to have the adapter ready. Where there is no companion on
-// the engine's host, the call goes to the engine all the same, which refuses what it
-// does not hold; where the host does not answer, the error is errSilent.
+// admit asks the companion to make the adapter ready, and returns a function that
+// releases the admission. If no companion runs on the engine's host, the call is sent
+// to the engine without admission, since the engine refuses adapters that it does not
+// hold. If the host does not answer, the error is errSilent.
 func (j *job) admit(attempt context.Context) (messenger.Admitted, func(), error) {
 	r := j.relayer
 	began := r.settings.Now()
@@ -273,7 +279,7 @@
 	err = conn.Call(ctx, messenger.MethodAdmit, ask, &admitted)
 	j.waited += r.settings.Now().Sub(began)
 	release := func() {
-		// A companion that is gone has forgotten the admission by itself.
+		// A companion that has ended no longer holds the admission.
 		_ = conn.Notify(r.root, messenger.MethodRelease, messenger.Release{Request: ask.Request})
 	}
 	var refusal *messenger.Refusal
@@ -281,7 +287,7 @@
 	case err == nil:
 		return admitted, release, nil
 	case errors.As(err, &refusal) && refusal.Reason == messenger.ReasonMisled:
-		j.sentBack = true
+		j.redirected = true
 		r.settings.Placer.Corrected(r.settings.Now(), &j.choice, refusal.RetryAfter())
 		return messenger.Admitted{}, nil, err
 	case errors.As(err, &refusal):
@@ -300,14 +306,14 @@
 	return messenger.Admitted{Version: ask.Version}, func() {}, nil
 }
 
-// admission returns what the companion is asked.
+// admission returns the request to the companion.
 func (j *job) admission(wait time.Duration) messenger.Admit {
 	ask := messenger.Admit{
 		Request: j.call.ID, Incarnation: j.choice.Incarnation,
 		Model: j.call.Model, Adapter: j.call.Adapter,
 		Parts: j.call.Parts, Tokens: j.call.PromptTokens, WaitMillis: wait.Milliseconds(),
 		SlackMillis: max(0, j.slack().Milliseconds()),
-		Movable:     !j.sentBack && j.from == "", ExpectedMillis: (j.choice.Load + j.choice.Backlog).Milliseconds(),
+		Movable:     !j.redirected && j.resumeFrom == "", ExpectedMillis: (j.choice.Load + j.choice.Backlog).Milliseconds(),
 	}
 	if ask.Adapter != "" {
 		ask.Version = j.relayer.settings.View().Newest(ask.Model + "/" + ask.Adapter)
@@ -315,17 +321,17 @@
 	return ask
 }
 
-// admitMargin is the time that a companion's own refusal at the end of the wait
-// needs on its way.
+// admitMargin is the time for a companion's refusal at the end of the wait to arrive.
 const admitMargin = 100 * time.Millisecond
 
-// giveUp answers a call whose time is over, or whose caller has left.
-func (j *job) giveUp() {
+// answerAborted answers a call whose deadline has passed, or logs that its caller has
+// left.
+func (j *job) answerAborted() {
 	switch {
 	case j.request.Context().Err() != nil:
 		j.log("left", 0, "the caller has left")
 	case j.failed != nil:
-		j.giveKept()
+		j.answerFailed()
 	case j.sent > 0:
 		_ = j.refuse(http.StatusGatewayTimeout, "no answer in time", 0)
 	default:
@@ -333,27 +339,27 @@
 	}
 }
 
-// exhausted answers a call that no backend server is left for.
-func (j *job) exhausted(reason string) {
+// answerExhausted answers a call that no further backend server may try.
+func (j *job) answerExhausted(reason string) {
 	switch {
-	case j.failed != nil && !j.began:
-		j.giveKept()
-	case j.mayHaveRun || j.began:
+	case j.failed != nil && !j.headerSent:
+		j.answerFailed()
+	case j.mayHaveRun || j.headerSent:
 		_ = j.refuse(http.StatusBadGateway, reason, 0)
 	default:
 		_ = j.refuse(http.StatusServiceUnavailable, reason, j.relayer.settings.RetryAfter)
 	}
 }
 
-// giveKept passes a backend server's own failure on.
-func (j *job) giveKept() {
-	j.began = true
+// answerFailed forwards the answer of a backend server that failed.
+func (j *job) answerFailed() {
+	j.headerSent = true
 	h := j.writer.Header()
 	for k, v := range j.failed.header {
 		h[k] = v
 	}
 	j.writer.WriteHeader(j.failed.status)
-	// A caller that has gone needs no answer.
+	// A write error means that the caller has left.
 	_, _ = j.writer.Write(j.failed.body)
 	j.log(outcomeAnswered, j.failed.status, "the backend server's failure")
 }
--- a/internal/transport/relayer/send.go
+++ b/internal/transport/relayer/send.go
@@ -14,8 +14,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/exchanger"
 )
 
-// send hands the call to the backend server chosen, and its answer to the caller.
-func (j *job) send(ctx context.Context, a Attempt, followed *attempt) verdict {
+// send sends the call to the chosen backend server, and forwards its answer to the
+// caller.
+func (j *job) send(ctx context.Context, a Attempt, current *attempt) verdict {
 	r := j.relayer
 	conn, response, err := j.exchange(ctx, a) //nolint:bodyclose // Each verdict reads the body to its end or aborts the connection.
 	if err != nil {
@@ -27,7 +28,7 @@
 	}
 	if head.NotRun {
 		if head.OtherIncarnation {
-			// The backend server that was meant never got it.
+			// The incarnation that was meant did not receive the call.
 			j.sent--
 			j.count(endElsewhere)
 		} else {
@@ -37,26 +38,26 @@
 			r.settings.Placer.TurnedAway(r.settings.Now(), &j.choice)
 		}
 		j.discard(conn, response, head)
-		j.note(nil, "not run: "+strconv.Itoa(response.StatusCode))
+		j.logFailure(nil, "not run: "+strconv.Itoa(response.StatusCode))
 		j.release(placer.EndingRefused)
 		return verdictNotRun
 	}
 	if response.StatusCode >= http.StatusInternalServerError || !head.Signed {
-		return j.keep(conn, response, head) //nolint:contextcheck // The same.
+		return j.keepFailure(conn, response, head) //nolint:contextcheck // The same.
 	}
 	if j.route.Stream {
-		return j.stream(conn, response, head, followed) //nolint:contextcheck // The same.
+		return j.stream(conn, response, head, current) //nolint:contextcheck // The same.
 	}
-	return j.whole(conn, response, head) //nolint:contextcheck // The same.
+	return j.answerWhole(conn, response, head) //nolint:contextcheck // The same.
 }
 
-// exchange sends the call to the backend server chosen. The end of the context resets the
-// connection, which has the backend server drop the request.
+// exchange sends the call to the chosen backend server. The end of the context resets
+// the connection, which makes the backend server cancel the request.
 func (j *job) exchange(ctx context.Context, a Attempt) (*exchanger.Conn, *http.Response, error) {
 	t := j.relayer.settings.Translator
 	j.sent++
-	j.arrivals++
-	j.bytesBefore = j.bytes
+	j.reached++
+	j.bytesBeforeAttempt = j.bytes
 	conn, response, err := j.relayer.settings.Pool.Exchange(ctx, j.choice.Address,
 		func() *http.Request { return j.outgoing(a) },
 		func(h http.Header) bool {
@@ -65,12 +66,12 @@
 		})
 	if errors.Is(err, exchanger.ErrNotSent) {
 		j.sent--
-		j.arrivals--
+		j.reached--
 	}
 	return conn, response, err
 }
 
-// outgoing returns the request as the backend server is to get it.
+// outgoing returns the request for the backend server.
 func (j *job) outgoing(a Attempt) *http.Request {
 	out := &http.Request{
 		Method: j.request.Method, Host: j.request.Host, URL: &url.URL{Opaque: target(j.request)},
@@ -78,7 +79,7 @@
 		Header: j.relayer.settings.Translator.Header(j.request.Header, a), ContentLength: int64(len(j.body)),
 	}
 	if _, ok := out.Header["User-Agent"]; !ok {
-		// An empty one keeps net/http from adding its own.
+		// An empty value keeps net/http from adding its own.
 		out.Header["User-Agent"] = []string{""}
 	}
 	if len(j.body) > 0 {
@@ -95,7 +96,7 @@
 	return r.URL.RequestURI()
 }
 
-// unanswered judges a attempt that got no answer.
+// unanswered handles an attempt that got no complete answer.
 func (j *job) unanswered(err error) verdict {
 	notSent := errors.Is(err, exchanger.ErrNotSent)
 	switch {
@@ -104,8 +105,8 @@
 			j.count(endGivenUp)
 		}
 		j.release(placer.EndingGivenUp)
-		return verdictEnded
-	case j.followed != nil && errors.Is(context.Cause(j.followed.ctx), errQuarantined):
+		return verdictAborted
+	case j.current != nil && errors.Is(context.Cause(j.current.ctx), errQuarantined):
 		j.release(placer.EndingGivenUp)
 		if notSent {
 			return verdictNotRun
@@ -114,30 +115,29 @@
 		return verdictUnknown
 	case notSent:
 		j.count(endNotSent)
-		j.note(err, "not sent")
+		j.logFailure(err, "not sent")
 		j.release(placer.EndingUnreached)
 		return verdictNotRun
 	default:
 		if j.route.Stream {
-			j.relayer.noteLoss()
+			j.relayer.recordStreamLoss()
 		}
-		j.count(j.broke())
+		j.count(j.brokenEnd())
 		j.relayer.recordLoss(j)
-		j.note(err, "no answer")
+		j.logFailure(err, "no answer")
 		j.release(placer.EndingBroken)
 		return verdictUnknown
 	}
 }
 
-// note logs what became of one attempt that did not answer the call.
-func (j *job) note(err error, what string) {
+// logFailure logs and counts an attempt that did not answer the call.
+func (j *job) logFailure(err error, what string) {
 	j.relayer.metrics.failures.WithLabelValues(j.service.Name).Inc()
 	j.relayer.settings.Log.Info().Err(err).Str("Request", j.call.ID).Str("Backend", j.choice.Name).
 		Str("Incarnation", j.choice.Incarnation).Int("Sent", j.sent).Msg(what)
 }
 
-// discard reads an answer that nobody needs, so that the connection can be used
-// again.
+// discard reads an answer that is not needed, so that the connection can be reused.
 func (j *job) discard(conn *exchanger.Conn, response *http.Response, head Head) {
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		conn.Abort()
@@ -146,9 +146,9 @@
 	conn.Finish(response, head.KeepAlive)
 }
 
-// keep reads a backend server's own failure, which is the caller's answer if no
-// other comes.
-func (j *job) keep(conn *exchanger.Conn, response *http.Response, head Head) verdict {
+// keepFailure reads the answer of a backend server that failed. It goes to the caller
+// if no other answer does.
+func (j *job) keepFailure(conn *exchanger.Conn, response *http.Response, head Head) verdict {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		conn.Abort()
@@ -157,19 +157,19 @@
 	conn.Finish(response, head.KeepAlive)
 	header := j.relayer.settings.Translator.AnswerHeader(response.Header)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	j.failed = &kept{status: response.StatusCode, header: header, body: body}
+	j.failed = &failedAnswer{status: response.StatusCode, header: header, body: body}
 	j.count(endFailed)
 	if head.Signed {
-		j.survived()
+		j.clearSuspect()
 	}
-	j.note(nil, "failed: "+strconv.Itoa(response.StatusCode))
+	j.logFailure(nil, "failed: "+strconv.Itoa(response.StatusCode))
 	j.release(placer.EndingFailed)
 	return verdictFailed
 }
 
-// whole reads an answer to its end before any of it goes to the caller: one that
-// breaks off can then be asked for again, and never looks complete.
-func (j *job) whole(conn *exchanger.Conn, response *http.Response, head Head) verdict {
+// answerWhole reads the complete answer before it forwards any of it: a partial answer
+// can then be retried, and is never taken for a complete one.
+func (j *job) answerWhole(conn *exchanger.Conn, response *http.Response, head Head) verdict {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		conn.Abort()
@@ -177,21 +177,21 @@
 	}
 	conn.Finish(response, head.KeepAlive)
 	j.count(endAnswered)
-	j.survived()
+	j.clearSuspect()
 	j.release(placer.EndingWell)
-	j.begin(response)
+	j.copyHeader(response)
 	j.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	j.writer.WriteHeader(response.StatusCode)
-	// A caller that has gone needs no answer.
+	// A write error means that the caller has left.
 	_, _ = j.writer.Write(body)
 	j.bytes += int64(len(body))
 	j.log(outcomeAnswered, response.StatusCode, "")
 	return verdictAnswered
 }
 
-// begin copies the answer's head.
-func (j *job) begin(response *http.Response) {
-	j.began = true
+// copyHeader sets the header of the answer to the caller.
+func (j *job) copyHeader(response *http.Response) {
+	j.headerSent = true
 	h := j.writer.Header()
 	for k, v := range j.relayer.settings.Translator.AnswerHeader(response.Header) {
 		h[k] = v
--- a/internal/transport/relayer/serve.go
+++ b/internal/transport/relayer/serve.go
@@ -22,63 +22,69 @@
 	request *http.Request
 	call    Call
 	route   *tracker.Route
-	// workspace is the caller's; nil where it needs none. It is from the configuration of
-	// a number.
+	// workspace is the caller's workspace, from the configuration with the given
+	// number; nil if no key is needed.
 	workspace *tracker.Workspace
 	number    uint64
-	// paidFor is what the call was charged, in units of its workspace's quota, and ran tells
-	// that a backend server may have begun it.
-	paidFor float64
-	ran     bool
-	// bar is why the call may not be handed over any more; nil while it may.
-	bar     *bar
-	service *tracker.Service
-	body    []byte
-	arrived time.Time
-	// deadline ends the call, the caller's or the route's, whichever is first.
+	// quotaCost is the amount charged to the workspace's quota, and ran means that a
+	// backend server may have started the call.
+	quotaCost float64
+	ran       bool
+	// rejection is the reason for which the call may not be sent any more; nil if it
+	// may.
+	rejection *rejection
+	service   *tracker.Service
+	body      []byte
+	arrived   time.Time
+	// deadline is the earlier of the caller's deadline and the end of the route's
+	// timeout.
 	deadline time.Time
 	ctx      context.Context
 
-	// avoid names the backend servers that were tried.
+	// avoid holds the names of the backend servers that were tried.
 	avoid []string
-	// sent counts the backend servers that the call was handed to, and mayHaveRun
-	// tells that one of them may have run it.
+	// sent counts the backend servers that the call was sent to, and mayHaveRun means
+	// that one of them may have run it.
 	sent       int
 	mayHaveRun bool
-	// arrivals counts the attempts that reached a backend server, those included
-	// that were meant for another incarnation of it.
-	arrivals int
-	// failed is a backend server's own failure, the answer of last resort.
-	failed *kept
-	// began tells that the answer's head has gone to the caller.
-	began bool
-	// firstAt is when a stream's first event went to the caller.
-	firstAt time.Time
-	// backup is where a copy of the request's memory is kept; its name is empty
-	// where there is none. From is set for the attempt that goes on from it.
-	backup placer.Choice
-	from   string
-	// lastEvent is the id of the last whole event passed on.
+	// reached counts the attempts that reached a backend server, including those that
+	// reached an incarnation they were not meant for.
+	reached int
+	// failed is the answer of a backend server that failed; it is sent if no other
+	// answer comes.
+	failed *failedAnswer
+	// headerSent means that the answer's header was sent to the caller.
+	headerSent bool
+	// firstEventAt is when a stream's first event was forwarded to the caller.
+	firstEventAt time.Time
+	// backup is the engine that keeps a copy of the request's KV cache; its name is
+	// empty if there is none. resumeFrom is set for an attempt that resumes from the
+	// copy.
+	backup     placer.Choice
+	resumeFrom string
+	// lastEvent is the id of the last complete event that was forwarded.
 	lastEvent string
 	choice    placer.Choice
-	// sentBack tells that a companion had the call go elsewhere; none does so twice.
-	sentBack bool
-	// paid tells that the next attempt is counted in the retry budget already.
-	paid   bool
-	waited time.Duration
-	// followed is the present attempt.
-	followed *attempt
-	// suspect tells that backend servers ended under the request, now or before.
+	// redirected means that a companion has sent the call elsewhere, which is allowed
+	// once.
+	redirected bool
+	// retryPaid means that the next attempt is already charged to the retry budget.
+	retryPaid bool
+	waited    time.Duration
+	// current is the attempt in progress.
+	current *attempt
+	// suspect means that backend servers ended while they ran the request, in this call
+	// or before.
 	suspect bool
-	// bytes counts those of the answer that went to the caller, and bytesBefore those
-	// of attempts before the present one.
-	bytes, bytesBefore int64
-	// sameness is the call's identity and place; each is found once it is needed.
-	sameness sameness
+	// bytes counts the bytes of the answer that were forwarded to the caller, and
+	// bytesBeforeAttempt those of attempts before the current one.
+	bytes, bytesBeforeAttempt int64
+	// identityCache caches the call's identity and hash, which are computed on first use.
+	identityCache identityCache
 }
 
-// kept is an answer that was read whole.
-type kept struct {
+// failedAnswer is a complete answer of a backend server that failed.
+type failedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -89,7 +95,7 @@
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
 	j := &job{relayer: r, writer: w, request: request, arrived: r.settings.Now(), ctx: request.Context()}
-	defer j.giveBack()
+	defer j.refundQuota()
 	if err := j.receive(); err != nil { //nolint:contextcheck // The job holds its context.
 		return
 	}
@@ -99,10 +105,11 @@
 	j.run() //nolint:contextcheck // A release goes out though the caller has left.
 }
 
-// errAnswered tells that the call has had its answer.
+// errAnswered means that the call has already been answered.
 const errAnswered = errors.ConstError("answered")
 
-// receive reads the request and finds its route. It answers what can't be served.
+// receive reads the request, finds its route and charges its quota. It answers requests
+// that can't be served, and returns errAnswered for them.
 func (j *job) receive() error {
 	r := j.relayer
 	call, err := r.settings.Translator.Call(j.request)
@@ -117,8 +124,8 @@
 	if err := j.identify(); err != nil {
 		return err
 	}
-	if j.outlasts() {
-		return j.refuse(http.StatusServiceUnavailable, "stopping", elsewhereAfter)
+	if j.outlastsStop() {
+		return j.refuse(http.StatusServiceUnavailable, "stopping", retryElsewhereDelay)
 	}
 	wait := j.route.Timeout
 	if call.Deadline > 0 {
@@ -138,15 +145,15 @@
 	case errors.As(err, &large):
 		return j.refuse(http.StatusRequestEntityTooLarge, "body too large", 0)
 	case err != nil:
-		// The caller broke off, or sent what is no body.
+		// The caller broke off, or sent a malformed body.
 		return j.refuse(http.StatusBadRequest, err.Error(), 0)
 	}
 	r.budget.call(j.arrived, j.service.Name)
 	return nil
 }
 
-// awaitRouting returns the configuration in force. Right after the start of a
-// process that comes a moment later; the call is held so long.
+// awaitRouting returns the configuration in force, or nil. Shortly after the start of a
+// process the call waits for it, for as long as it may be held.
 func (j *job) awaitRouting() *tracker.Routing {
 	j.deadline = j.arrived.Add(cmp.Or(j.call.Deadline, defaultDeadline))
 	for {
@@ -158,45 +165,44 @@
 }
 
 const (
-	// elsewhereAfter has a caller come back at once, which leads to another entry.
-	elsewhereAfter = 10 * time.Millisecond
-	// streamToken is the time that a token of a stream takes at a busy engine, and
-	// streamStart the time before the first.
-	streamToken = 15 * time.Millisecond
-	streamStart = 500 * time.Millisecond
+	// retryElsewhereDelay makes the caller retry at once, which leads to another entry.
+	retryElsewhereDelay = 10 * time.Millisecond
+	// streamTokenTime is the time per token of a stream at a busy engine, and
+	// streamStartTime the time before the first token.
+	streamTokenTime = 15 * time.Millisecond
+	streamStartTime = 500 * time.Millisecond
 )
 
-// outlasts reports whether the call would most likely be cut by the planned stop
-// under way. Until the platform's balancer has noticed the stop it sends new calls;
-// a long stream among them does better elsewhere.
+// outlastsStop reports whether the planned stop would most likely cut the call. Until
+// the platform's balancer has noticed the stop, it still sends new calls; long streams
+// among them are better served by another entry.
 //
-// The caller's guess goes before the most that the answer may have: taken at its most,
-// each stream seems too long, and where the failure domain has one entry only, the
-// caller that comes back is turned away there once more.
-func (j *job) outlasts() bool {
+// The caller's estimate takes precedence over the maximum length: by their maximum most
+// streams would seem too long, and in a failure domain with a single entry the caller's
+// retry would be refused again.
+func (j *job) outlastsStop() bool {
 	stop := j.relayer.stopAt.Load()
 	if stop == 0 || !j.route.Stream {
 		return false
 	}
 	tokens := cmp.Or(j.call.ExpectedTokens, j.call.AnswerTokens)
-	expected := streamStart + time.Duration(tokens)*streamToken
+	expected := streamStartTime + time.Duration(tokens)*streamTokenTime
 	return j.arrived.Add(expected).UnixNano() > stop
 }
 
-// defaultDeadline is assumed of callers that told none, before their route is
-// known.
+// defaultDeadline is the deadline of calls without one, until their route is known.
 const defaultDeadline = 2 * time.Second
 
-// refuse answers the call itself. A status of 429 or 503 promises that the call has
-// not run and never will.
+// refuse answers the call without a backend server, and returns errAnswered. A status
+// of 429 or 503 guarantees that the call has not run and will not run.
 func (j *job) refuse(status int, reason string, after time.Duration) error {
-	if j.began {
-		// Part of the answer has gone: only a broken connection tells that the
-		// rest won't come.
+	if j.headerSent {
+		// Part of the answer was sent. Only a broken connection shows the caller that
+		// it is incomplete.
 		j.log("broken", status, reason)
 		panic(http.ErrAbortHandler)
 	}
-	j.began = true
+	j.headerSent = true
 	h := j.writer.Header()
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
@@ -204,31 +210,31 @@
 	h.Set("Content-Type", "text/plain")
 	h.Set("Content-Length", strconv.Itoa(len(reason)+1))
 	j.writer.WriteHeader(status)
-	// A caller that has gone needs no answer.
+	// A write error means that the caller has left.
 	_, _ = io.WriteString(j.writer, reason+"\n")
 	j.log("refused", status, reason)
 	return errAnswered
 }
 
-// log writes the call's one line.
+// log writes the single log line of a call and updates the metrics.
 func (j *job) log(outcome string, status int, reason string) {
 	r := j.relayer
 	took := r.settings.Now().Sub(j.arrived)
 	name, service := "", ""
 	first := time.Duration(-1)
-	if !j.firstAt.IsZero() {
-		first = j.firstAt.Sub(j.arrived)
+	if !j.firstEventAt.IsZero() {
+		first = j.firstEventAt.Sub(j.arrived)
 	}
 	if j.route != nil {
 		name, service = j.route.Name, j.service.Name
 	}
-	r.metrics.answered(outcome, status, took)
+	r.metrics.observeCall(outcome, status, took)
 	e := r.settings.Log.Info()
 	if outcome != outcomeAnswered {
 		e = r.settings.Log.Warn()
 	}
 	if j.suspect {
-		e.Stringer("Same", j.same())
+		e.Stringer("Same", j.requestIdentity())
 	}
 	e.Str("Request", j.call.ID).Str("Outcome", outcome).Int("Status", status).Str("Reason", reason).
 		Str("Route", name).Str("Service", service).Str("Workspace", j.workspaceName()).Str("Adapter", j.call.Adapter).
@@ -239,7 +245,7 @@
 		Dur("ReportAge", j.choice.Age).Uint64("Revision", r.settings.View().Revision).Msg("call")
 }
 
-// targetOf returns the time that is wanted of calls on a route; 0 where none is known.
+// targetOf returns the target time for calls on a route, or 0 if the route is unknown.
 func targetOf(r *tracker.Route) time.Duration {
 	if r == nil {
 		return 0
--- a/internal/transport/relayer/settings.go
+++ b/internal/transport/relayer/settings.go
@@ -20,65 +20,67 @@
 
 // Defaults of Settings.
 const (
-	// DefaultAdmitTimeout is the longest wait for one companion's admission. It is
-	// long beside a load: a request that goes elsewhere has its adapter loaded a
-	// second time, and the store is what all wait for.
+	// DefaultAdmitTimeout is the maximum wait for one companion's admission. It is long
+	// compared with a load, because a request that moves to another engine loads its
+	// adapter a second time, and the weight store is the shared bottleneck.
 	DefaultAdmitTimeout = 3500 * time.Millisecond
-	// DefaultBodyBytes bounds a body before any configuration is known.
+	// DefaultBodyBytes is the maximum size of a body if the configuration sets none.
 	DefaultBodyBytes = 4 << 20
-	// DefaultRetryRatio and DefaultRetrySlack bound what is sent beyond the first
-	// attempt of each call within DefaultRetryWindow: a share of an entry's own
-	// calls, and a number that all entries share.
+	// DefaultRetryRatio and DefaultRetrySlack limit the attempts beyond the first of
+	// each call within DefaultRetryWindow: a share of the entry's own calls, plus a
+	// number that all entries share.
 	DefaultRetryRatio  = 0.15
 	DefaultRetrySlack  = 40.0
 	DefaultRetryWindow = 10 * time.Second
-	// DefaultRetryAfter is told with a refusal whose cause passes soon.
+	// DefaultRetryAfter is the Retry-After value of refusals with a short-lived cause.
 	DefaultRetryAfter = 300 * time.Millisecond
-	// DefaultWatchInterval is the time between two checks whether each companion
-	// tells its state.
+	// DefaultWatchInterval is the interval at which the subscriptions to companions are
+	// checked.
 	DefaultWatchInterval = 500 * time.Millisecond
 )
 
-// Control is the entry's end towards the control hosts. *subscriber.Client is one.
+// Control is the entry's client of the control hosts, a *subscriber.Client.
 type Control interface {
-	// AskedAge returns how long ago the entry asked what was accepted and has held it
-	// since, and false where it never did.
+	// AskedAge returns the age of the known state: the time since the entry sent the
+	// last request after whose answer it held everything accepted until then. It
+	// returns false if there was none.
 	AskedAge() (time.Duration, bool)
-	// AwaitReport has control asked at once, and waits for an answer; it reports whether
-	// one came.
+	// AwaitReport sends a report at once and waits for the answer. It reports whether
+	// one arrived.
 	AwaitReport(ctx context.Context) bool
 	// Spend admits a call of a workspace with a quota, or refuses it.
 	Spend(workspace string, limit bucketer.Limit, cost float64) bucketer.Decision
-	// Refund gives back what a call that has not run was admitted with.
+	// Refund returns the cost of a call that did not run.
 	Refund(workspace string, cost float64)
 }
 
-// Settings are a Relayer's options. The zero value of a field means its documented
-// default.
+// Settings are the options of a Relayer. The zero value of a field selects its
+// documented default.
 type Settings struct {
 	Node string
-	// FailureDomain is the entry's.
+	// FailureDomain is the failure domain of the entry.
 	FailureDomain string
 	// Translator, View, Placer, Pool, Companions and Random are required.
 	Translator Translator
 	View       func() *tracker.View
-	// Trusted reports whether what is known was lately all that was accepted; nil
-	// means always.
+	// Trusted reports whether the view was recently known to be up to date; nil means
+	// always.
 	Trusted func() bool
-	// Control tells what is known of keys and quotas; nil means that neither are in use.
+	// Control provides the age of the known keys, and the quotas; nil means that
+	// neither are used.
 	Control Control
-	// KeyLease is the age of what is known up to which a caller's key opens what it
-	// opened; 0 means any.
+	// KeyLease is the maximum age of the known state at which keys are accepted; 0
+	// means no limit.
 	KeyLease time.Duration
 	Placer   *placer.Placer
 	// Pool holds the connections to backend servers.
 	Pool *exchanger.Pool
-	// Companions holds those to companions; its handler must be the relayer's.
+	// Companions holds the connections to companions. Its handler must be the relayer.
 	Companions *dialer.Pool
-	// CompanionAddress returns where the companion of a backend server listens.
+	// CompanionAddress returns the address of a backend server's companion.
 	CompanionAddress func(tracker.Member) string
 
-	// Propose has the replicated state take a change in; nil means that there is none.
+	// Propose submits a command to the replicated state; nil means that there is none.
 	Propose func(ctx context.Context, c storer.Command) error
 
 	AdmitTimeout  time.Duration
@@ -87,13 +89,13 @@
 	RetryWindow   time.Duration
 	RetryAfter    time.Duration
 	WatchInterval time.Duration
-	// Silence tells when a companion, and the host that it shares with its engine,
-	// counts as silent; its limit must exceed twice the interval of heartbeats.
+	// Silence configures when a companion, and thus the host that it shares with its
+	// engine, counts as silent. The limit must exceed twice the heartbeat interval.
 	Silence watcher.Settings
 
 	Registerer prometheus.Registerer
 	Log        zerolog.Logger
-	// Now is a clock with monotonic readings; nil means time.Now.
+	// Now returns the time with a monotonic reading; nil means time.Now.
 	Now    func() time.Time
 	Random *rand.Rand
 }
--- a/internal/transport/relayer/silence.go
+++ b/internal/transport/relayer/silence.go
@@ -12,12 +12,12 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// errSilent ends an attempt at an engine whose host has fallen silent.
-const errSilent = errors.ConstError("the companion has fallen silent")
+// errSilent cancels an attempt at an engine whose host is silent.
+const errSilent = errors.ConstError("the companion is silent")
 
-// companion is the companion beside one engine, as it was at one moment. It is kept and
-// handed out by value: a pointer would let its connection be read after the lock is given
-// back, while another is put in its place.
+// companion is the companion of one engine. It is stored and returned by value: through
+// a pointer its connection could be read after the lock is released, while it is being
+// replaced.
 type companion struct {
 	service string
 	conn    *messenger.Conn
@@ -28,36 +28,38 @@
 	job    *job
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// incarnation is the incarnation of the backend server that the call is for.
+	// incarnation is the incarnation of the backend server that the call is meant for.
 	incarnation string
-	// movable tells that the call may go to another engine after it was handed to this
-	// one; it is set before sent.
+	// movable means that the call may move to another engine after it was sent to this
+	// one. It is set before sent.
 	movable bool
-	// sent tells that the call was handed to the engine.
+	// sent means that the call was sent to the engine.
 	sent atomic.Bool
-	// began tells that part of the answer has come.
-	began atomic.Bool
-	// paid tells that another attempt of the call was counted, before this one ended.
-	paid atomic.Bool
-	// handed is when the attempt began, or the call was handed over, in nanoseconds
+	// started means that part of the answer was received.
+	started atomic.Bool
+	// retryPaid means that a further attempt of the call was charged to the retry
+	// budget before this one ended.
+	retryPaid atomic.Bool
+	// waitingSince is when the attempt began, or when the call was sent, in nanoseconds
 	// since 1970.
-	handed atomic.Int64
+	waitingSince atomic.Int64
 }
 
-// follows counts an attempt at the engine chosen, so that it ends when the engine's
-// host falls silent. Its context is the attempt's, and end ends it.
+// trackAttempt registers an attempt at the chosen engine, so that it is cancelled when
+// the engine's host falls silent. It returns the context of the attempt, and a function
+// that ends and unregisters it.
 //
-// A host that stands still or is cut off answers nothing and resets nothing: what
-// waits there waits until the callers leave, some two seconds later, although other
-// engines could have taken it at once.
-func (r *Relayer) follows(j *job) (a *attempt, ctx context.Context, end func()) {
+// A host that is stalled or partitioned neither answers nor resets connections: without
+// this, calls would wait there until their callers leave, some two seconds later,
+// although other engines could have served them at once.
+func (r *Relayer) trackAttempt(j *job) (a *attempt, ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(j.ctx)
 	a = &attempt{job: j, ctx: ctx, cancel: cancel, incarnation: j.choice.Incarnation}
-	j.followed = a
-	a.handed.Store(j.relayer.settings.Now().UnixNano())
+	j.current = a
+	a.waitingSince.Store(j.relayer.settings.Now().UnixNano())
 	name := j.choice.Name
 	if j.service.Engine != nil {
-		r.attend(name)
+		r.useFullPace(name)
 	}
 	r.attemptsMu.Lock()
 	defer r.attemptsMu.Unlock()
@@ -75,20 +77,20 @@
 	}
 }
 
-// begins notes that the answer begins.
-func (a *attempt) begins() { a.began.Store(true) }
+// markStarted records that the answer has started.
+func (a *attempt) markStarted() { a.started.Store(true) }
 
-// handOver notes that the call is handed to the engine.
-func (a *attempt) handOver() {
+// markSent records that the call is about to be sent to the engine.
+func (a *attempt) markSent() {
 	j := a.job
-	a.movable = j.repeatable() && !j.began && j.sent+1 < j.route.MaxAttempts
-	a.handed.Store(j.relayer.settings.Now().UnixNano())
+	a.movable = j.repeatable() && !j.headerSent && j.sent+1 < j.route.MaxAttempts
+	a.waitingSince.Store(j.relayer.settings.Now().UnixNano())
 	a.sent.Store(true)
 }
 
-// watchSilence looks for engines whose host has fallen silent: new calls pass them
-// over, and what waits there goes elsewhere.
-// The interval of the polls stays the same, and is read without watchedMu.
+// watchSilence polls for engines whose host has fallen silent: new calls avoid them,
+// and calls that wait there move to other engines. The poll interval is constant, so it
+// is read without watchedMu.
 func (r *Relayer) watchSilence() {
 	ticker := time.NewTicker(r.watcher.Interval())
 	defer ticker.Stop()
@@ -99,20 +101,21 @@
 		case <-ticker.C:
 		}
 		now := r.settings.Now()
-		for name, service := range r.silent(now) {
+		for name, service := range r.pollSilent(now) {
 			r.settings.Placer.Suspect(service, name, now.Add(suspectPolls*r.watcher.Interval()))
-			r.abandon(now, name)
+			r.cancelWaiting(now, name)
 		}
 	}
 }
 
-// suspectPolls is for how many polls a silent host is passed over: until the next one,
-// and that may be late.
+// suspectPolls is the number of poll intervals for which a silent host is avoided:
+// until the next poll, which may be late.
 const suspectPolls = 2
 
-// silent returns the engines whose companion has fallen silent, with their services.
-func (r *Relayer) silent(now time.Time) map[string]string {
-	waiting := r.waiting()
+// pollSilent returns the engines whose companion is silent, with their services, and
+// sets the heartbeat paces.
+func (r *Relayer) pollSilent(now time.Time) map[string]string {
+	enginesWaiting := r.enginesWaiting()
 	r.watchedMu.Lock()
 	defer r.watchedMu.Unlock()
 	for name, c := range r.watched {
@@ -124,73 +127,76 @@
 	for _, name := range r.watcher.Look(now) {
 		found[name] = r.watched[name].service
 	}
-	r.doubtAll(now, found)
-	r.attendThose(now, waiting)
+	r.noteNewlySilent(now, found)
+	r.setPaces(now, enginesWaiting)
 	return found
 }
 
-// abandon ends the attempts at an engine that go on nowhere, so that their calls go to
-// another: those not handed over yet, and of the others those that may be repeated and
-// have had no part of their answer. A stream that has begun stays: its engine would go
-// on with it when the host wakes, beside the one that has taken it over.
-func (r *Relayer) abandon(now time.Time, name string) {
+// cancelWaiting cancels attempts at a silent engine, so that their calls move to
+// another: those not sent yet, and those sent that may be repeated and have received no
+// part of their answer. A stream that has started stays: when the host recovers, its
+// engine would continue it beside the engine that had taken it over.
+func (r *Relayer) cancelWaiting(now time.Time, name string) {
 	r.attemptsMu.Lock()
 	defer r.attemptsMu.Unlock()
 	for a := range r.attempts[name] {
-		if now.Sub(time.Unix(0, a.handed.Load())) <= r.settings.Silence.SilentAfter {
+		if now.Sub(time.Unix(0, a.waitingSince.Load())) <= r.settings.Silence.SilentAfter {
 			continue
 		}
-		if a.sent.Load() && !a.mayMove(now) {
+		if a.sent.Load() && !a.takeMove(now) {
 			continue
 		}
 		a.cancel(errSilent)
 	}
 }
 
-// errEnded ends an attempt at a backend server that has begun another incarnation.
-const errEnded = errors.ConstError("the backend server has begun another life")
+// errIncarnationEnded cancels an attempt at a previous incarnation of a backend server.
+const errIncarnationEnded = errors.ConstError("the backend server has started another incarnation")
 
-// endFormer ends the attempts at previous incarnations of backend servers.
+// cancelPreviousIncarnations cancels the attempts at previous incarnations of backend
+// servers.
 //
-// One that crashes behind a cut and starts again resets nothing until the cut heals:
-// calls of its previous incarnation would wait until their callers leave, though it is known to
-// have ended. Those that may be repeated go on elsewhere, as after a broken connection.
-func (r *Relayer) endFormer(v *tracker.View) {
+// A backend server that crashes behind a network partition and restarts resets no
+// connection until the partition heals: calls of its previous incarnation would wait
+// until their callers leave, although it is known to have ended. Those that may be
+// repeated are retried elsewhere, as after a broken connection.
+func (r *Relayer) cancelPreviousIncarnations(v *tracker.View) {
 	r.attemptsMu.Lock()
 	defer r.attemptsMu.Unlock()
 	for name, attempts := range r.attempts {
 		m, ok := v.Member(name)
 		if !ok {
-			// One that has left goes on with what it runs.
+			// A backend server that has left finishes its calls in progress.
 			continue
 		}
 		for a := range attempts {
 			if a.incarnation != m.Spec.Incarnation {
-				a.cancel(errEnded)
+				a.cancel(errIncarnationEnded)
 			}
 		}
 	}
 }
 
-// mayMove reports whether a call that was handed over may go to another engine, and
-// draws on the retry budget for it. One that may not is better left where it is, since
-// the host may wake.
-func (a *attempt) mayMove(now time.Time) bool {
-	if !a.movable || a.began.Load() || a.paid.Load() || !a.job.relayer.budget.take(now, a.job.service.Name) {
+// takeMove reports whether a call that was sent may move to another engine, and if so
+// charges it to the retry budget. A call that may not move stays, since the host may
+// recover.
+func (a *attempt) takeMove(now time.Time) bool {
+	if !a.movable || a.started.Load() || a.retryPaid.Load() || !a.job.relayer.budget.takeRetry(now, a.job.service.Name) {
 		return false
 	}
-	a.paid.Store(true)
+	a.retryPaid.Store(true)
 	return true
 }
 
-// unreached ends an attempt at an engine whose host is silent: nothing was sent.
-func (j *job) unreached(err error) verdict {
-	j.note(err, "companion unreached")
+// companionUnreachable ends an attempt at an engine whose host is silent: nothing was
+// sent.
+func (j *job) companionUnreachable(err error) verdict {
+	j.logFailure(err, "companion unreachable")
 	j.release(placer.EndingUnreached)
 	return verdictNotRun
 }
 
-// isSilent reports whether the host of an engine is known to be silent.
+// isSilent reports whether an engine's host is known to be silent.
 func (r *Relayer) isSilent(name string) bool {
 	r.watchedMu.Lock()
 	defer r.watchedMu.Unlock()
--- a/internal/transport/relayer/silence_test.go
+++ b/internal/transport/relayer/silence_test.go
@@ -16,7 +16,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// newPair returns an entry before two engines, of which b0 is chosen first.
+// newPair returns an entry with two engines, of which b0 is chosen first.
 func newPair(route tracker.Route, b0, b1 *backend) *entry {
 	GinkgoHelper()
 	e := newEntry(route, engine, b0, b1)
@@ -30,21 +30,21 @@
 	return e
 }
 
-// askMeanwhile sends a request, and gives its answer's body when it comes.
-func (e *entry) askMeanwhile() <-chan string {
+// callAsync sends a request, and returns a channel that receives the answer's body.
+func (e *entry) callAsync() <-chan string {
 	answered := make(chan string, 1)
 	go func() {
 		defer GinkgoRecover()
-		answered <- read(e.ask(ctx, map[string]string{"Model": "m/a1"}))
+		answered <- read(e.call(ctx, map[string]string{"Model": "m/a1"}))
 	}()
 	return answered
 }
 
-// never is a backend server that answers nothing until its caller has left.
-func never(net.Conn, *http.Request) {}
+// neverAnswers is the script of a backend server that sends no answer.
+func neverAnswers(net.Conn, *http.Request) {}
 
-// mute accepts connections, and says nothing on them.
-func mute() string {
+// silentListener accepts connections and never writes to them. It returns its address.
+func silentListener() string {
 	GinkgoHelper()
 	network, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -69,18 +69,17 @@
 	endStream(c)
 }
 
-var _ = Describe("At a host that falls silent", func() {
-	It("a call that waits for its admission goes elsewhere", func() {
-		// Symptom: callers of streams leave after two seconds without an event; 0.7 s
-		// later their requests reach engines, in the moment at which hosts wake.
-		// Events: companions' hosts stand still for three seconds. Calls wait there
-		// for their admission; in the end the connection is given up for its silence.
-		// Cause: a companion that says nothing was taken for one that had died beside
-		// a sound engine, and the calls were sent on to that engine unadmitted.
+var _ = Describe("When a host falls silent", func() {
+	It("a call that waits for its admission there moves to another", func() {
+		// Guards against taking a silent companion for one that crashed beside a
+		// healthy engine. When companions' hosts stalled for three seconds, callers of
+		// streams left after two seconds without an event; 0.7 s later, when the silent
+		// connections were closed and the hosts recovered, the requests were sent to
+		// the engines without admission.
 		b0, b1 := newBackend(stream), newBackend(stream)
 		e := newPair(streamed, b0, b1)
-		e.attend("b0", mute())
-		answered := e.askMeanwhile()
+		e.setCompanion("b0", silentListener())
+		answered := e.callAsync()
 		var got string
 		Eventually(func() bool {
 			e.relayer.MarkSilent("s", "b0")
@@ -95,15 +94,15 @@
 		Expect(b0.runs.Load()).To(BeZero())
 	})
 
-	It("that can't be reached for its admission a call goes elsewhere, and the next pass it over", func() {
-		// Symptom: after a host has been cut off, each call waits there for a dial.
-		// Events: the companion's address does not answer a dial, nor refuse it.
-		// Cause: it was taken for a refusal by the engine, which casts no doubt on it.
+	It("a call that can't dial its companion moves to another host, and the next calls avoid it", func() {
+		// Guards against repeated dials to a partitioned host: a dial that gets neither
+		// an answer nor a refusal was taken for a refusal by the engine, which does not
+		// make the host suspect, so that every call waited for a dial.
 		b0, b1 := newBackend(stream), newBackend(stream)
 		e := newPair(streamed, b0, b1)
-		e.attend("b0", unanswered)
-		Expect(read(e.ask(ctx, map[string]string{"Model": "m/a1"}))).NotTo(BeEmpty())
-		dials := e.unansweredDials.Load()
+		e.setCompanion("b0", unansweredAddress)
+		Expect(read(e.call(ctx, map[string]string{"Model": "m/a1"}))).NotTo(BeEmpty())
+		dials := e.unansweredDialCount.Load()
 		Expect(dials).To(BeNumerically(">", 0))
 		var choice placer.Choice
 		c := &placer.Call{Service: "s", Model: "m", Adapter: "a2"}
@@ -112,18 +111,17 @@
 		Expect(b0.runs.Load()).To(BeZero())
 	})
 
-	It("a call that was handed over and has no answer yet goes elsewhere", func() {
-		// Symptom: of the calls that an engine has just been given, all wait until
-		// their callers leave, though other engines are free.
-		// Events: the engine's host stands still before the first event.
-		// Cause: a call that was handed over waited for as long as its caller did.
-		b0, b1 := newBackend(never), newBackend(stream)
+	It("a call that was sent and has no answer yet moves to another", func() {
+		// Guards against calls that wait until their callers leave, although other
+		// engines are free, because the engine's host stalls after the call was sent
+		// and before the first event.
+		b0, b1 := newBackend(neverAnswers), newBackend(stream)
 		e := newPair(resumable, b0, b1)
-		answered := e.askMeanwhile()
+		answered := e.callAsync()
 		Eventually(b0.runs.Load).Should(BeEquivalentTo(1))
 		e.relayer.MarkSilent("s", "b0")
 		Eventually(answered).Should(Receive(HaveSuffix("id: 2\ndata: x\n\n")))
-		Eventually(b0.left).Should(Receive(), "the engine is told")
+		Eventually(b0.disconnected).Should(Receive(), "the engine is notified")
 	})
 
 	It("a call that may run once stays", func() {
@@ -133,7 +131,7 @@
 			stream(c, r)
 		}), newBackend(stream)
 		e := newPair(streamed, b0, b1)
-		answered := e.askMeanwhile()
+		answered := e.callAsync()
 		Eventually(b0.runs.Load).Should(BeEquivalentTo(1))
 		e.relayer.MarkSilent("s", "b0")
 		close(answer)
@@ -142,10 +140,9 @@
 	})
 
 	It("a stream that has begun stays", func() {
-		// Symptom: two engines go on with one stream.
-		// Events: an engine's host stands still in the middle of a stream, which is
-		// resumed at another engine; the host wakes, and its engine goes on.
-		// Cause: the stream was moved though its engine could not be told.
+		// Guards against two engines running one stream: the host of an engine stalls
+		// in the middle of a stream, which is resumed at another engine; the host
+		// recovers, and its engine continues since it could not be notified.
 		resume := make(chan struct{})
 		b0, b1 := newBackend(func(c net.Conn, r *http.Request) {
 			events(c, r, 1, 1)
@@ -154,7 +151,7 @@
 			endStream(c)
 		}), newBackend(stream)
 		e := newPair(resumable, b0, b1)
-		answer := e.ask(ctx, map[string]string{"Model": "m/a1"})
+		answer := e.call(ctx, map[string]string{"Model": "m/a1"})
 		first := make([]byte, len("id: 1\ndata: x\n\n"))
 		_, err := io.ReadFull(answer.Body, first)
 		Expect(err).NotTo(HaveOccurred())
@@ -164,14 +161,14 @@
 		Expect(b1.runs.Load()).To(BeZero())
 	})
 
-	It("a call of a life that has ended since goes elsewhere at once", func() {
-		// Symptom: callers wait until their deadline for an engine that is known to have
-		// started again.
-		// Events: an engine crashes behind a cut and starts again, under the same id.
-		// Cause: calls of its former life waited for the cut to heal.
-		b0, b1 := newBackend(never), newBackend(stream)
+	It("a call of an incarnation that has ended moves to another at once", func() {
+		// Guards against callers that wait until their deadline for an engine that is
+		// known to have restarted: an engine crashes behind a network partition and
+		// restarts under the same id, and calls of its previous incarnation waited for
+		// the partition to heal.
+		b0, b1 := newBackend(neverAnswers), newBackend(stream)
 		e := newPair(resumable, b0, b1)
-		answered := e.askMeanwhile()
+		answered := e.callAsync()
 		Eventually(b0.runs.Load).Should(BeEquivalentTo(1))
 		e.put(storer.KindMember, "b0", storer.MemberSpec{
 			Service: "s", Address: b0.network.Addr().String(), Instance: "i-0", Incarnation: "i-0 2", Born: 2, Slots: 8, BaseModel: "m",
@@ -180,32 +177,33 @@
 		Expect(b1.runs.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("calls go past it from then on", func() {
+	It("new calls avoid it", func() {
 		b0, b1 := newBackend(stream), newBackend(stream)
 		e := newPair(streamed, b0, b1)
 		e.relayer.MarkSilent("s", "b0")
-		Expect(read(e.ask(ctx, map[string]string{"Model": "m/a1"}))).NotTo(BeEmpty())
+		Expect(read(e.call(ctx, map[string]string{"Model": "m/a1"}))).NotTo(BeEmpty())
 		Expect(b0.runs.Load()).To(BeZero())
 	})
 })
 
 var _ = Describe("Beside an engine without a companion", func() {
-	It("a call goes to the engine all the same", func() {
-		// The port is closed: the host is there, and its engine knows what it holds.
+	It("a call is sent to the engine without admission", func() {
+		// The port is closed: the host is reachable, and its engine knows which
+		// adapters it holds.
 		network, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(network.Close()).To(Succeed())
 		b0, b1 := newBackend(stream), newBackend(stream)
 		e := newPair(streamed, b0, b1)
-		e.attend("b0", network.Addr().String())
-		Expect(read(e.ask(ctx, map[string]string{"Model": "m/a1"}))).NotTo(BeEmpty())
+		e.setCompanion("b0", network.Addr().String())
+		Expect(read(e.call(ctx, map[string]string{"Model": "m/a1"}))).NotTo(BeEmpty())
 		Expect(b0.runs.Load()).To(BeEquivalentTo(1))
 	})
 
 	It("a call whose caller has left in the meantime is not sent", func() {
-		// Symptom: a request reaches an engine after its caller has left.
-		// Events: the caller leaves while the call is admitted.
-		// Cause: a connection kept idle was used without another look at the caller.
+		// Guards against sending a request after its caller has left: the caller leaves
+		// while the call is being admitted, and an idle connection was reused without
+		// checking for it.
 		b0 := newBackend(stream)
 		e := newEntry(streamed, engine, b0)
 		leaving, leave := context.WithCancel(ctx)
--- a/internal/transport/relayer/stream.go
+++ b/internal/transport/relayer/stream.go
@@ -11,14 +11,14 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/exchanger"
 )
 
-// streamBuffer is the size of one read of a stream. An event is far smaller.
+// streamBuffer is the size of one read of a stream, in bytes. Events are far smaller.
 const streamBuffer = 4 << 10
 
-// stream passes a stream on as it comes. Of one that may be resumed only whole
-// events go on, so that another backend server can go on after the last one.
-func (j *job) stream(conn *exchanger.Conn, response *http.Response, head Head, followed *attempt) verdict {
+// stream forwards a stream as it arrives. Of a stream that may be resumed only complete
+// events are forwarded, so that another backend server can continue after the last one.
+func (j *job) stream(conn *exchanger.Conn, response *http.Response, head Head, current *attempt) verdict {
 	r := j.relayer
-	followed.begins()
+	current.markStarted()
 	flusher := http.NewResponseController(j.writer)
 	var events eventSplitter
 	buffer := make([]byte, streamBuffer)
@@ -27,15 +27,15 @@
 		if n > 0 {
 			piece := buffer[:n]
 			if j.route.Resumable || j.backup.Name != "" {
-				piece = events.take(piece)
+				piece = events.push(piece)
 				j.lastEvent = events.last(j.lastEvent)
 			}
 			if len(piece) > 0 {
-				if !j.began {
-					j.begin(response)
+				if !j.headerSent {
+					j.copyHeader(response)
 					j.writer.WriteHeader(response.StatusCode)
-					j.firstAt = r.settings.Now()
-					r.metrics.first.Observe(j.firstAt.Sub(j.arrived).Seconds())
+					j.firstEventAt = r.settings.Now()
+					r.metrics.firstEvent.Observe(j.firstEventAt.Sub(j.arrived).Seconds())
 				}
 				r.settings.Placer.First(r.settings.Now(), &j.choice)
 				j.bytes += int64(len(piece))
@@ -49,57 +49,58 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return j.ended(conn, response, head, events.rest())
+			return j.finishStream(conn, response, head, events.unfinished())
 		}
 		if err != nil {
 			conn.Abort()
-			return j.brokenOff(err)
+			return j.streamBroke(err)
 		}
 	}
 }
 
-// ended ends a stream that came to its end.
-func (j *job) ended(conn *exchanger.Conn, response *http.Response, head Head, rest []byte) verdict {
+// finishStream handles the end of a stream.
+func (j *job) finishStream(conn *exchanger.Conn, response *http.Response, head Head, rest []byte) verdict {
 	if len(rest) > 0 {
-		// The stream ended inside an event: it is not whole, whatever its framing
+		// The stream ended inside an event: it is incomplete, whatever its framing
 		// says.
 		conn.Abort()
-		return j.brokenOff(io.ErrUnexpectedEOF)
+		return j.streamBroke(io.ErrUnexpectedEOF)
 	}
 	conn.Finish(response, head.KeepAlive)
 	j.count(endAnswered)
-	j.survived()
+	j.clearSuspect()
 	j.release(placer.EndingWell)
-	if !j.began {
-		j.begin(response)
+	if !j.headerSent {
+		j.copyHeader(response)
 		j.writer.WriteHeader(response.StatusCode)
 	}
 	j.log(outcomeAnswered, response.StatusCode, "")
 	return verdictAnswered
 }
 
-// brokenOff judges a stream that broke. One whose first bytes have gone can't
-// become another answer, unless it may be resumed.
-func (j *job) brokenOff(err error) verdict {
+// streamBroke handles a stream that broke. Once its first bytes were forwarded it can't
+// be replaced by another answer, unless it may be resumed.
+func (j *job) streamBroke(err error) verdict {
 	v := j.unanswered(errors.Annotatef(exchanger.ErrSent, "%v", err))
-	if v == verdictUnknown && j.began && !j.route.Resumable && !j.resume() {
+	if v == verdictUnknown && j.headerSent && !j.route.Resumable && !j.resume() {
 		j.log("broken", http.StatusOK, err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	return v
 }
 
-// eventSplitter cuts a stream into whole events. The zero value is ready for use.
+// eventSplitter splits a stream into complete events. The zero value is ready for use.
 type eventSplitter struct {
 	pending []byte
 	out     []byte
 }
 
-// eventEnd ends an event.
+// eventEnd terminates an event.
 var eventEnd = []byte("\n\n")
 
-// take returns the whole events so far. The slice holds until the next call.
-func (s *eventSplitter) take(piece []byte) []byte {
+// push adds a piece and returns the events that are complete by now. The result is
+// valid until the next call.
+func (s *eventSplitter) push(piece []byte) []byte {
 	s.pending = append(s.pending, piece...)
 	end := bytes.LastIndex(s.pending, eventEnd)
 	s.out = s.out[:0]
@@ -112,7 +113,7 @@
 	return s.out
 }
 
-// last returns the id of the last event that take returned, or the one before.
+// last returns the id of the last event that push returned, or before if there is none.
 func (s *eventSplitter) last(before string) string {
 	for line := range bytes.Lines(s.out) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -122,5 +123,5 @@
 	return before
 }
 
-// rest returns what is left of an event that did not end.
-func (s *eventSplitter) rest() []byte { return s.pending }
+// unfinished returns the part of an event that has not ended.
+func (s *eventSplitter) unfinished() []byte { return s.pending }
--- a/internal/transport/relayer/suite_test.go
+++ b/internal/transport/relayer/suite_test.go
@@ -10,7 +10,7 @@
 
 func TestRelayer(t *testing.T) {
 	RegisterFailHandler(Fail)
-	// A spec waits for what must come, however busy the machine is.
+	// The long timeout keeps specs from failing on a busy machine.
 	SetDefaultEventuallyTimeout(20 * time.Second)
 	RunSpecs(t, "relayer")
 }
--- a/internal/transport/relayer/suspect.go
+++ b/internal/transport/relayer/suspect.go
@@ -15,138 +15,140 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// tellTimeout bounds the wait until control takes a change in: an election, several times
-// over.
-const tellTimeout = 10 * time.Second
+// proposeTimeout limits the wait until a command is accepted: several times as long as
+// an election.
+const proposeTimeout = 10 * time.Second
 
-// errQuarantined ends the attempts of a request that has gone into quarantine.
+// errQuarantined cancels the attempts of a request that was quarantined.
 const errQuarantined = errors.ConstError("backend servers end under this request")
 
-// sameness is what makes a call the same as others. Several goroutines may ask for it.
-type sameness struct {
+// identityCache holds the identity of a call and its hash. It is safe for concurrent
+// use.
+type identityCache struct {
 	identify, locate sync.Once
 	identity         identifier.Identity
-	place            uint64
+	placeHash        uint64
 }
 
-// same returns the call's identity.
-func (j *job) same() identifier.Identity {
-	s := &j.sameness
+// requestIdentity returns the call's identity.
+func (j *job) requestIdentity() identifier.Identity {
+	s := &j.identityCache
 	s.identify.Do(func() { s.identity = identifier.Identify(j.content()) })
 	return s.identity
 }
 
-// place returns a quick hash of all of the call but its body.
-func (j *job) place() uint64 {
-	s := &j.sameness
-	s.locate.Do(func() { s.place = j.content().Place() })
-	return s.place
+// placeHash returns a fast hash of all parts of the call except its body.
+func (j *job) placeHash() uint64 {
+	s := &j.identityCache
+	s.locate.Do(func() { s.placeHash = j.content().Place() })
+	return s.placeHash
 }
 
 func (j *job) content() identifier.Request {
 	return identifier.Request{
-		Caller: j.caller(), Method: j.request.Method, Host: j.request.Host, Target: target(j.request), Body: j.body,
+		Caller: j.callerID(), Method: j.request.Method, Host: j.request.Host, Target: target(j.request), Body: j.body,
 	}
 }
 
-// maySuspect reports whether the call may be one under which backend servers ended. While
-// there are none it costs a call nothing.
+// maySuspect reports whether backend servers may have ended while they ran the request.
+// It is cheap as long as there are no suspects.
 func (j *job) maySuspect(v *tracker.View) bool {
 	t := j.relayer.suspects
-	return t.Any(v) && t.SuspectAt(v, j.place())
+	return t.Any(v) && t.SuspectAt(v, j.placeHash())
 }
 
-// blame notes which requests were in progress at a backend server that has ended, and tells
-// control, which adds up what all entries tell.
+// reportEnds records the requests that were in progress at a backend server that ended,
+// and reports them to the control hosts, which add up the reports of all entries.
 //
-// A request that ends whatever runs it, and that its caller repeats, takes one backend
-// server after the other, each with all that is in progress there. An entry that knows its
-// own attempts only, and each only for one attempt of its caller, takes it for a new one
-// each time.
-func (r *Relayer) blame(l *loss) {
+// A request that crashes its backend server, and that its caller repeats, takes down
+// one backend server after another, each with all calls in progress there. An entry by
+// itself sees only its own attempts, and each only as part of one attempt of the
+// caller, so that the request would look new every time.
+func (r *Relayer) reportEnds(l *loss) {
 	c := storer.CountEnds{Service: l.service, Life: suspecter.Life(l.incarnation.name, l.incarnation.incarnation), Requests: l.attempts}
 	r.suspects.Ended(r.settings.Now(), c)
-	r.tell(c)
+	r.propose(c)
 }
 
-// tell has control take a change in.
-func (r *Relayer) tell(c storer.Command) {
+// propose submits a command to the replicated state, and logs a failure.
+func (r *Relayer) propose(c storer.Command) {
 	if r.settings.Propose == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.root, tellTimeout)
+	ctx, cancel := context.WithTimeout(r.root, proposeTimeout)
 	defer cancel()
 	if err := r.settings.Propose(ctx, c); err != nil {
-		// What this entry has seen goes on to count here.
-		r.settings.Log.Warn().Err(err).Msg("control was not told of a request's ends or answers")
+		// The entry's own record remains in effect locally.
+		r.settings.Log.Warn().Err(err).Msg("reporting a request's failures or answers to control failed")
 	}
 }
 
-// quarantined reports whether no backend server is to get the request, and for how long.
+// quarantined reports whether the request may not be sent to any backend server, and
+// the length of the quarantine.
 func (j *job) quarantined() (time.Duration, bool) {
 	r := j.relayer
 	v := r.settings.View()
 	if !j.maySuspect(v) {
 		return 0, false
 	}
-	d, is := r.suspects.Quarantine(v, r.settings.Now(), j.same())
+	d, is := r.suspects.Quarantine(v, r.settings.Now(), j.requestIdentity())
 	j.suspect = j.suspect || is
 	return d, is
 }
 
-// reasonQuarantined is told to callers.
+// reasonQuarantined is part of the answer to callers.
 const reasonQuarantined = "backend servers ended under this request; it is not run for some time"
 
-// refuseQuarantined answers a request that is kept from backend servers. It is told when to
-// come back, for the whole time of the quarantine: how much of it is left only the control
-// group's leader knows.
+// refuseQuarantined refuses a quarantined request. The caller is told to retry after
+// the whole length of the quarantine, because only the leader of the control group
+// knows how much of it is left.
 func (j *job) refuseQuarantined(whole time.Duration) {
 	j.relayer.metrics.quarantined.WithLabelValues(j.service.Name).Inc()
-	if j.failed != nil || j.mayHaveRun || j.began {
-		j.exhausted(reasonQuarantined)
+	if j.failed != nil || j.mayHaveRun || j.headerSent {
+		j.answerExhausted(reasonQuarantined)
 		return
 	}
 	_ = j.refuse(http.StatusTooManyRequests, reasonQuarantined, whole)
 }
 
-// survived notes that a run has answered the request, or failed by itself: it does not end
-// what runs it.
-func (j *job) survived() {
+// clearSuspect records that a backend server answered the request, or failed it with an
+// error of its own: the request does not crash its backend server.
+func (j *job) clearSuspect() {
 	r := j.relayer
 	v := r.settings.View()
-	if !j.maySuspect(v) || !r.suspects.Answered(v, j.same()) {
+	if !j.maySuspect(v) || !r.suspects.Answered(v, j.requestIdentity()) {
 		return
 	}
-	c := storer.ClearSuspects{Names: []string{j.same().String()}}
+	c := storer.ClearSuspects{Names: []string{j.requestIdentity().String()}}
 	r.lossesMu.Lock()
 	defer r.lossesMu.Unlock()
-	if r.root.Err() == nil && r.inspecting < maxLosses {
-		r.inspecting++
+	if r.root.Err() == nil && r.inspections < maxLosses {
+		r.inspections++
 		r.tasks.Go(func() {
-			r.tell(c)
-			r.inspected()
+			r.propose(c)
+			r.inspectionDone()
 		})
 	}
 }
 
-// inspected ends what inspect or survived have begun.
-func (r *Relayer) inspected() {
+// inspectionDone ends a task started by recordLoss or clearSuspect.
+func (r *Relayer) inspectionDone() {
 	r.lossesMu.Lock()
 	defer r.lossesMu.Unlock()
-	r.inspecting--
+	r.inspections--
 }
 
-// endQuarantined ends the attempts of requests that have gone into quarantine and have not
-// begun: each would end one more backend server.
-func (r *Relayer) endQuarantined(v *tracker.View) {
+// cancelQuarantined cancels the attempts of newly quarantined requests whose answer has
+// not started: each would end one more backend server.
+func (r *Relayer) cancelQuarantined(v *tracker.View) {
 	fresh := make(map[identifier.Identity]struct{})
 	places := make(map[uint64]struct{})
 	v.EachSuspect(func(id identifier.Identity, s blamer.Suspect) {
-		if s.Spec.Quarantined && s.Revision > r.reviewed {
+		if s.Spec.Quarantined && s.Revision > r.quarantineRevision {
 			fresh[id], places[s.Spec.Place] = struct{}{}, struct{}{}
 		}
 	})
-	r.reviewed = v.Revision
+	r.quarantineRevision = v.Revision
 	if len(fresh) == 0 {
 		return
 	}
@@ -154,10 +156,10 @@
 	defer r.attemptsMu.Unlock()
 	for _, attempts := range r.attempts {
 		for a := range attempts {
-			if _, near := places[a.job.place()]; !near || a.began.Load() {
+			if _, near := places[a.job.placeHash()]; !near || a.started.Load() {
 				continue
 			}
-			if _, is := fresh[a.job.same()]; is {
+			if _, is := fresh[a.job.requestIdentity()]; is {
 				a.cancel(errQuarantined)
 			}
 		}
