--- a/internal/transport/gatekeeper/attempt.go
+++ b/internal/transport/gatekeeper/attempt.go
@@ -61,7 +61,7 @@
 func (q *request) newAttempt(id attemptID, backend, address, life string) *attempt {
 	return &attempt{
 		request: q, id: id, backend: backend, address: address, life: life, answer: newAnswer(q),
-		inbox: q.entry.settings.Pieces.open(id), assembler: streamer.NewAssembler(inboxLimit),
+		inbox: q.entry.settings.PieceRouter.open(id), assembler: streamer.NewAssembler(inboxLimit),
 	}
 }
 
@@ -76,7 +76,7 @@
 	return res
 }
 
-func (a *attempt) close() { a.request.entry.settings.Pieces.close(a.id) }
+func (a *attempt) close() { a.request.entry.settings.PieceRouter.close(a.id) }
 
 func (a *attempt) event(kind recorder.Kind, detail string) recorder.Event {
 	event := a.request.event(kind, detail)
--- a/internal/transport/gatekeeper/fixture_test.go
+++ b/internal/transport/gatekeeper/fixture_test.go
@@ -357,7 +357,7 @@
 		Handler: pieces, Log: zerolog.Nop(), HeartbeatInterval: heartbeat, SilenceLimit: silence,
 	}})
 	e := gatekeeper.NewEntry(gatekeeper.Settings{
-		Node: "entry", Entry: s, Index: w.index, Control: w.control, Pool: pool, Pieces: pieces,
+		Node: "entry", Entry: s, Index: w.index, Control: w.control, Pool: pool, PieceRouter: pieces,
 		Recorder: events, Log: zerolog.Nop(), Now: w.now, Random: fork(),
 	})
 	server := httptest.NewUnstartedServer(e.Handler())
--- a/internal/transport/gatekeeper/settings.go
+++ b/internal/transport/gatekeeper/settings.go
@@ -95,7 +95,7 @@
 	Control Control
 	Pool    Pool
 	// Pieces takes the pieces that arrive on the pool's connections.
-	Pieces *PieceRouter
+	PieceRouter *PieceRouter
 	// Recorder and Registerer may be nil.
 	Recorder   *recorder.Recorder
 	Registerer prometheus.Registerer
@@ -107,7 +107,7 @@
 
 func (s Settings) check() {
 	switch {
-	case s.Index == nil, s.Control == nil, s.Pool == nil, s.Pieces == nil:
+	case s.Index == nil, s.Control == nil, s.Pool == nil, s.PieceRouter == nil:
 		panic("gatekeeper: settings need index, control, pool and pieces")
 	case s.Now == nil, s.Random == nil:
 		panic("gatekeeper: settings need clock and random source")
--- a/internal/transport/starter/roles.go
+++ b/internal/transport/starter/roles.go
@@ -106,7 +106,7 @@
 		Index:         p.index,
 		Control:       p.client,
 		Pool:          p.pool,
-		Pieces:        pieces,
+		PieceRouter:   pieces,
 		Recorder:      p.recorder,
 		Registerer:    p.settings.Registry,
 		Log:           p.settings.Log,
