--- a/internal/transport/gatekeeper/answer.go
+++ b/internal/transport/gatekeeper/answer.go
@@ -13,48 +13,49 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/translator"
 )
 
-// answer is what the caller is given. An answer that was not asked for as a
-// stream is held until it is whole, so that its status and headers tell how it
-// ended; one larger than wholeLimit is given as it comes.
+// answer is the answer to the caller. An answer that was not requested as a stream is
+// buffered until it is complete, so that its status and header show how it ended; one
+// larger than maxBufferedBytes is forwarded as it arrives.
 type answer struct {
 	request *request
 	control *http.ResponseController
-	// begun tells that the caller was sent a part.
-	begun   bool
-	backend string
-	// first is the answer's head.
-	first *messenger.Head
-	held  []byte
-	// hedged keeps all of the answer back until it is finished, because another
-	// attempt may be whole before it.
+	// headerSent means that the header and possibly part of the body were sent to the
+	// caller.
+	headerSent bool
+	backend    string
+	// answerHead is the metadata of the backend server's answer.
+	answerHead *messenger.Head
+	buffered   []byte
+	// hedged means that the whole answer is buffered until it is finished, because
+	// another attempt may complete before this one.
 	hedged bool
-	// gone tells that the caller takes no more.
-	gone bool
+	// callerGone means that a write to the caller failed.
+	callerGone bool
 }
 
-// wholeLimit is the size up to which an answer is held until it is whole.
-const wholeLimit = 4 << 20
+// maxBufferedBytes is the size up to which an answer is buffered until it is complete.
+const maxBufferedBytes = 4 << 20
 
 func newAnswer(q *request) *answer {
 	return &answer{request: q, control: http.NewResponseController(q.w)}
 }
 
-// head takes the answer's head. Another attempt's replaces it, which is allowed
-// as long as nothing was sent.
+// head sets the answer's metadata. That of another attempt may replace it as long as
+// nothing was sent.
 func (a *answer) head(h *messenger.Head, backend string) {
-	a.first, a.backend, a.held = h, backend, nil
+	a.answerHead, a.backend, a.buffered = h, backend, nil
 }
 
 func (a *answer) write(data []byte) error {
-	if !a.begun && !a.request.stream {
-		a.held = append(a.held, data...)
-		if a.hedged || len(a.held) <= wholeLimit {
+	if !a.headerSent && !a.request.stream {
+		a.buffered = append(a.buffered, data...)
+		if a.hedged || len(a.buffered) <= maxBufferedBytes {
 			return nil
 		}
-		data, a.held = a.held, nil
+		data, a.buffered = a.buffered, nil
 	}
-	if !a.begun {
-		a.begin(false)
+	if !a.headerSent {
+		a.sendHeader(false)
 	}
 	if err := a.send(data); err != nil {
 		return err
@@ -62,25 +63,25 @@
 	return errors.Trace(ignoreUnsupported(a.control.Flush()))
 }
 
-// begin sends the header. The outcome of an answer that is not whole yet comes
-// in the trailer.
-func (a *answer) begin(whole bool) {
+// sendHeader sends the header. The outcome of an answer that is not complete yet
+// follows in the trailer.
+func (a *answer) sendHeader(whole bool) {
 	q := a.request
-	a.begun = true
+	a.headerSent = true
 	q.entry.metrics.firstBytes.WithLabelValues(q.dispatch.Workspace).Observe(q.entry.settings.Now().Sub(q.began).Seconds())
-	patience := q.deadline.Sub(q.entry.settings.Now()) + writePatience
-	if err := ignoreUnsupported(a.control.SetWriteDeadline(time.Now().Add(patience))); err != nil {
+	timeout := q.deadline.Sub(q.entry.settings.Now()) + writeGrace
+	if err := ignoreUnsupported(a.control.SetWriteDeadline(time.Now().Add(timeout))); err != nil {
 		q.entry.settings.Log.Debug().Err(err).Str("Request", q.id).Msg("no deadline for a slow reader")
 	}
 	h := q.w.Header()
 	status := http.StatusOK
-	if a.first != nil {
-		translator.CopyAnswer(h, a.first.Header)
-		if a.first.ContentType != "" {
-			h.Set(translator.HeaderContentType, a.first.ContentType)
+	if a.answerHead != nil {
+		translator.CopyAnswer(h, a.answerHead.Header)
+		if a.answerHead.ContentType != "" {
+			h.Set(translator.HeaderContentType, a.answerHead.ContentType)
 		}
-		if a.first.Status != 0 {
-			status = a.first.Status
+		if a.answerHead.Status != 0 {
+			status = a.answerHead.Status
 		}
 	}
 	h.Set(translator.HeaderBackend, a.backend)
@@ -99,35 +100,35 @@
 }
 
 func (a *answer) send(data []byte) error {
-	if a.gone {
+	if a.callerGone {
 		return http.ErrAbortHandler
 	}
 	if _, err := a.request.w.Write(data); err != nil {
-		a.gone = true
+		a.callerGone = true
 		return errors.Annotate(err, "write to the caller")
 	}
 	return nil
 }
 
-// finish ends an answer that is whole.
+// finish sends the rest of an answer that is complete.
 func (a *answer) finish(end *messenger.End) error {
 	q := a.request
-	if !a.begun {
-		a.waits(end)
-		a.begin(true)
-		return a.send(a.held)
+	if !a.headerSent {
+		a.setWaitHeaders(end)
+		a.sendHeader(true)
+		return a.send(a.buffered)
 	}
-	a.waits(end)
+	a.setWaitHeaders(end)
 	q.w.Header().Set(translator.HeaderOutcome, messenger.OutcomeCompleted.String())
-	if a.events() {
+	if a.isEventStream() {
 		return a.send(fmt.Appendf(nil, ": %s %s\n\n", translator.HeaderOutcome, messenger.OutcomeCompleted))
 	}
 	return nil
 }
 
-// waits tells the caller what the request waited for, in the header or, once
-// that is sent, in the trailer.
-func (a *answer) waits(end *messenger.End) {
+// setWaitHeaders sets the fields for the times that the request waited, which are sent
+// in the header, or in the trailer if the header was sent before.
+func (a *answer) setWaitHeaders(end *messenger.End) {
 	h := a.request.w.Header()
 	h.Set(translator.HeaderQueueMillis, formatMillis(end.QueueMillis))
 	if a.request.dispatch.Version != "" {
@@ -137,18 +138,18 @@
 
 func formatMillis(n float64) string { return strconv.FormatFloat(n, 'f', 1, 64) }
 
-// events reports whether the answer is a stream of server-sent events.
-func (a *answer) events() bool {
+// isEventStream reports whether the answer is a stream of server-sent events.
+func (a *answer) isEventStream() bool {
 	return a.request.dispatch.Kind != messenger.CallKindService && a.request.stream
 }
 
-// cut ends an answer of which a part was sent. A stream of events gets an error
-// event; any other connection is broken off, since a reader would take a clean
-// end for the answer's.
-func (a *answer) cut(f *translator.Fault) {
+// abort ends an answer that was sent in part. An event stream gets an error event; any
+// other connection is broken off, since the caller would take a regular end for the end
+// of a complete answer.
+func (a *answer) abort(f *translator.Fault) {
 	q := a.request
 	q.w.Header().Set(translator.HeaderOutcome, f.Outcome.String())
-	if !a.events() {
+	if !a.isEventStream() {
 		panic(http.ErrAbortHandler)
 	}
 	if err := a.send(f.Event(q.id)); err != nil {
--- a/internal/transport/gatekeeper/answer_test.go
+++ b/internal/transport/gatekeeper/answer_test.go
@@ -16,9 +16,9 @@
 )
 
 var _ = Describe("Answers", func() {
-	It("gives a whole answer with its provenance", func() {
+	It("returns a complete answer with its provenance", func() {
 		c := newCompanion("engine-1")
-		e := newWorld(c).entry(nil)
+		e := newDeployment(c).entry(nil)
 		a := e.chat(`{"model":"town/lyrics","messages":[{"role":"user","content":"?"}],"top_k":7}`)
 		Expect(a.StatusCode).To(Equal(http.StatusOK))
 		Expect(a.body).To(ContainSubstring("hello"))
@@ -37,17 +37,17 @@
 		}))
 	})
 
-	// Symptom: a caller reads an answer with pieces missing, doubled or swapped.
-	// Sequence: pieces cross on two connections while one of them fails.
-	// Cause to prevent: giving pieces in the order of their arrival.
-	It("puts late, doubled and swapped pieces of a stream in order", func() {
+	// Guards against forwarding pieces in the order of their arrival: pieces that cross
+	// on two connections, one of which fails, would reach the caller missing,
+	// duplicated or out of order.
+	It("puts late, duplicated and swapped pieces of a stream in order", func() {
 		c := newCompanion("engine-1")
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
-			p := streamed(d.Request, d.Attempt, "one", "two", "three")
+			p := streamedAnswer(d.Request, d.Attempt, "one", "two", "three")
 			send(conn, p[1], p[0], p[0], p[3], p[1], p[2])
 			return nil
 		}
-		a := newWorld(c).entry(nil).chat(streamBody)
+		a := newDeployment(c).entry(nil).chat(streamBody)
 		Expect(a.err).NotTo(HaveOccurred())
 		Expect(a.Header.Get("Content-Type")).To(Equal("text/event-stream"))
 		Expect(strings.Index(a.body, "one")).To(BeNumerically("<", strings.Index(a.body, "two")))
@@ -56,33 +56,33 @@
 		Expect(a.Trailer.Get("Marigoldpoint-Outcome")).To(Equal("Completed"))
 	})
 
-	// Symptom: a caller gets a clearance by another version than asked for.
-	// Sequence: the engine confuses two adapters; the head or only the ending
-	// tells. Cause to prevent: trusting the dispatch instead of the engine's word.
+	// Guards against trusting the dispatch instead of the version that the engine
+	// reports: an engine that confuses two adapters would answer with a version that
+	// was not asked for. The head or only the end of the answer shows it.
 	It("withholds the answer of another version", func() {
 		c := newCompanion("engine-1")
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
-			p := whole(d.Request, d.Attempt, "secret")
+			p := wholeAnswer(d.Request, d.Attempt, "secret")
 			p[0].End = completed("town/lyrics@2")
 			send(conn, p...)
 			return nil
 		}
-		a := newWorld(c).entry(nil).chat(chatBody)
+		a := newDeployment(c).entry(nil).chat(chatBody)
 		Expect(a.StatusCode).To(Equal(http.StatusBadGateway))
 		Expect(a.outcome()).To(Equal("Unknown"))
 		Expect(a.body).To(And(ContainSubstring("wrong_model"), Not(ContainSubstring("secret"))))
-		Expect(c.dispatched.Load()).To(Equal(int64(1)), "a wrong answer is not asked for again")
+		Expect(c.dispatched.Load()).To(Equal(int64(1)), "a wrong answer is not retried")
 	})
 
-	It("ends a stream that is cut in an error event, never as if complete", func() {
+	It("ends a stream that is cut with an error event, never as if it were complete", func() {
 		c := newCompanion("engine-1")
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
-			p := streamed(d.Request, d.Attempt, "one", "two")
+			p := streamedAnswer(d.Request, d.Attempt, "one", "two")
 			p[1].End = &messenger.End{Outcome: messenger.OutcomeUnknown, Reason: messenger.ReasonEngine}
 			send(conn, p[:2]...)
 			return nil
 		}
-		a := newWorld(c).entry(nil).chat(streamBody)
+		a := newDeployment(c).entry(nil).chat(streamBody)
 		Expect(a.body).To(And(ContainSubstring("two"), ContainSubstring("event: error"), ContainSubstring("answer_cut"), Not(ContainSubstring("[DONE]"))))
 		Expect(a.Trailer.Get("Marigoldpoint-Outcome")).To(Equal("Unknown"))
 	})
@@ -91,13 +91,13 @@
 		c := newCompanion("engine-1")
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
 			if d.Stream {
-				send(conn, streamed(d.Request, d.Attempt, "good ", "day")...)
+				send(conn, streamedAnswer(d.Request, d.Attempt, "good ", "day")...)
 			} else {
-				send(conn, whole(d.Request, d.Attempt, "good day")...)
+				send(conn, wholeAnswer(d.Request, d.Attempt, "good day")...)
 			}
 			return nil
 		}
-		e := newWorld(c).entry(nil)
+		e := newDeployment(c).entry(nil)
 		client := openai.NewClient(option.WithBaseURL(e.url+"/v1"), option.WithAPIKey(bearer))
 		ctx := context.Background()
 		ask := openai.ChatCompletionNewParams{Model: "town/lyrics@3", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("?")}}
--- a/internal/transport/gatekeeper/attempt.go
+++ b/internal/transport/gatekeeper/attempt.go
@@ -14,65 +14,65 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/streamer"
 )
 
-// attempt is one dispatch of a request, or the fetching of a kept answer.
+// attempt is one dispatch of a request, or the retrieval of a retained answer.
 type attempt struct {
 	request *request
 	id      attemptID
-	// decision is the router's choice; nil for a kept answer.
+	// decision is the router's choice; nil for a retained answer.
 	decision *router.Decision
 	answer   *answer
 	backend  string
 	address  string
-	// life is the companion's incarnation that the attempt was sent to; empty
-	// where it is not known.
-	life  string
-	inbox *inbox
-	// conn is the connection that pieces come on, or nil.
+	// incarnation is the incarnation of the companion that received the attempt; empty
+	// if it is not known.
+	incarnation string
+	inbox       *inbox
+	// conn is the connection on which pieces arrive, or nil.
 	conn      *messenger.Conn
 	assembler *streamer.Assembler
-	// accepted tells that the companion took the attempt on.
+	// accepted means that the companion accepted the attempt.
 	accepted bool
-	// checked tells that the answer's head was checked.
+	// checked means that the model in the answer's head was checked.
 	checked bool
-	// acknowledged is the offset that the companion was told.
+	// acknowledged is the last offset that was acknowledged to the companion.
 	acknowledged int64
 	// lostAt is when the connection was lost.
 	lostAt time.Time
-	// late fires when a missing piece has been waited for long enough; nil while
-	// none is missing.
-	late <-chan time.Time
-	// firstAt is when the first bytes of the answer came.
-	firstAt time.Time
-	end     *messenger.End
+	// gapTimer fires when a missing piece is overdue; nil while none is missing.
+	gapTimer <-chan time.Time
+	// firstByteAt is when the head of the answer arrived.
+	firstByteAt time.Time
+	end         *messenger.End
 }
 
-// acknowledgeBytes is the number of bytes after which the companion is told that
-// it may free them.
+// acknowledgeBytes is the number of bytes after which they are acknowledged, so that
+// the companion can free them.
 const acknowledgeBytes = 64 << 10
 
-// begin makes the attempt at a chosen backend server. The caller ends it.
-func (q *request) begin(d *router.Decision) *attempt {
+// startAttempt creates an attempt at the chosen backend server. The caller closes it
+// with run or close.
+func (q *request) startAttempt(d *router.Decision) *attempt {
 	q.attempts++
 	a := q.newAttempt(attemptID{q.id, q.attempts}, d.Backend, d.Address, d.Incarnation)
 	a.decision = d
 	return a
 }
 
-func (q *request) newAttempt(id attemptID, backend, address, life string) *attempt {
+func (q *request) newAttempt(id attemptID, backend, address, incarnation string) *attempt {
 	return &attempt{
-		request: q, id: id, backend: backend, address: address, life: life, answer: newAnswer(q),
-		inbox: q.entry.settings.PieceRouter.open(id), assembler: streamer.NewAssembler(inboxLimit),
+		request: q, id: id, backend: backend, address: address, incarnation: incarnation, answer: newAnswer(q),
+		inbox: q.entry.settings.PieceRouter.open(id), assembler: streamer.NewAssembler(maxInboxBytes),
 	}
 }
 
-// run makes the attempt. The answer is left to be finished.
+// run makes the attempt and closes it. The caller finishes the answer.
 func (a *attempt) run(ctx context.Context) result {
 	defer a.close()
 	res, ended := a.dispatch(ctx, a.decision.Epoch)
 	if !ended {
-		res = a.follow(ctx)
+		res = a.receiveAll(ctx)
 	}
-	a.learn(ctx, res)
+	a.recordResult(ctx, res)
 	return res
 }
 
@@ -84,22 +84,23 @@
 	return event
 }
 
-// learn tells the router and the metrics what the attempt has shown.
-func (a *attempt) learn(ctx context.Context, res result) {
+// recordResult reports the result of the attempt to the router, the suspect table and
+// the metrics.
+func (a *attempt) recordResult(ctx context.Context, res result) {
 	q, e, now := a.request, a.request.entry, a.request.entry.settings.Now()
 	ending := router.Ending{
 		Served:     res.outcome == messenger.OutcomeCompleted,
 		LoadFailed: res.reason == messenger.ReasonLoadFailed,
 	}
 	if end := a.end; end != nil {
-		e.load(a.backend, end.Load)
-		q.blame(ctx, a.backend, end.EndedLives, a.assembler.Next() > 0)
+		e.reportLoad(a.backend, end.Load)
+		q.reportEnds(ctx, a.backend, end.EndedLives, a.assembler.Next() > 0)
 		ending.Stall, ending.CachedTokens = millis(end.StallMillis), end.CachedTokens
 		e.metrics.stalls.WithLabelValues(q.dispatch.Workspace).Observe(ending.Stall.Seconds())
 		e.metrics.queueWaits.WithLabelValues(q.dispatch.Workspace).Observe(millis(end.QueueMillis).Seconds())
 	}
-	if !a.firstAt.IsZero() {
-		ending.Ran = now.Sub(a.firstAt)
+	if !a.firstByteAt.IsZero() {
+		ending.Ran = now.Sub(a.firstByteAt)
 	}
 	e.router.Finish(now, a.decision, ending)
 	if res.suspect {
@@ -107,15 +108,15 @@
 	}
 }
 
-// dispatch sends the attempt. It returns true with the result where that ended
-// it. A lost answer ends nothing: the companion may have the attempt, and is
-// asked by its id.
+// dispatch sends the attempt. If that ended the attempt it returns the result and true.
+// A lost reply does not end it: the companion may have the attempt, and is asked for it
+// by id.
 func (a *attempt) dispatch(ctx context.Context, epoch uint64) (result, bool) {
 	q, e := a.request, a.request.entry
 	conn, err := e.settings.Pool.Conn(ctx, a.address)
 	if err != nil {
 		if ctx.Err() != nil {
-			return a.beforeSending(), true
+			return a.notSentInTime(), true
 		}
 		res := notRun(messenger.ReasonUnavailable, "the companion can't be reached")
 		res.suspect = true
@@ -133,7 +134,7 @@
 	var broken *messenger.BrokenError
 	switch {
 	case err == nil:
-		a.take(conn, accepted)
+		a.receiveOn(conn, accepted)
 		return result{}, false
 	case errors.As(err, &refusal):
 		return refused(refusal), true
@@ -142,47 +143,47 @@
 		res.suspect = true
 		return res, true
 	case ctx.Err() != nil:
-		return a.gaveUp(ctx), true
+		return a.aborted(ctx), true
 	default:
 		a.lostAt = e.settings.Now()
 		return result{}, false
 	}
 }
 
-// beforeSending is the result where time or caller ran out before the attempt
-// was sent.
-func (a *attempt) beforeSending() result {
+// notSentInTime is the result if the deadline passed or the caller left before the
+// attempt was sent.
+func (a *attempt) notSentInTime() result {
 	q := a.request
 	res := notRun(messenger.ReasonDeadline, "before it was sent")
-	res.left = q.r.Context().Err() != nil
+	res.callerLeft = q.r.Context().Err() != nil
 	res.final = true
 	return res
 }
 
-// timeLeft returns the milliseconds that the companion has. It ends a little
-// before the entry's, so that the companion's own truthful ending arrives.
+// timeLeft returns the time for the companion in milliseconds. It ends slightly before
+// the entry's deadline, so that the companion's own result arrives in time.
 func (a *attempt) timeLeft() int64 {
 	const share, most = 20, 100
 	left := a.request.deadline.Sub(a.request.entry.settings.Now()).Milliseconds()
 	return max(left-min(left/share, most), 1)
 }
 
-// take begins to receive on the connection.
-func (a *attempt) take(conn *messenger.Conn, accepted messenger.Accepted) {
-	a.conn, a.accepted, a.life = conn, true, accepted.Incarnation
-	a.request.entry.load(a.backend, accepted.Load)
+// receiveOn starts to receive pieces on the connection.
+func (a *attempt) receiveOn(conn *messenger.Conn, accepted messenger.Accepted) {
+	a.conn, a.accepted, a.incarnation = conn, true, accepted.Incarnation
+	a.request.entry.reportLoad(a.backend, accepted.Load)
 }
 
-// follow receives the answer until it ends.
-func (a *attempt) follow(ctx context.Context) result {
+// receiveAll receives the answer until it ends.
+func (a *attempt) receiveAll(ctx context.Context) result {
 	for {
 		if a.conn == nil {
-			// What came before the loss is taken first: an answer that has begun
-			// is waited for, and not run elsewhere.
+			// Pieces that arrived before the loss are processed first: the rest of an
+			// answer that has started is awaited, and not run elsewhere.
 			if res, ended := a.receive(ctx); ended {
 				return res
 			}
-			a.late = nil
+			a.gapTimer = nil
 			if res, ended := a.reconnect(ctx); ended {
 				return res
 			}
@@ -194,25 +195,24 @@
 			}
 		case <-a.conn.Done():
 			a.conn, a.lostAt = nil, a.request.entry.settings.Now()
-		case <-a.late:
+		case <-a.gapTimer:
 			a.conn, a.lostAt = nil, a.request.entry.settings.Now()
 		case <-ctx.Done():
-			return a.gaveUp(ctx)
+			return a.aborted(ctx)
 		}
 	}
 }
 
-// receive puts the pieces that have arrived in order and gives them to the
-// caller.
+// receive puts the pieces that have arrived in order and forwards them.
 func (a *attempt) receive(ctx context.Context) (result, bool) {
-	pieces, lost := a.inbox.take()
+	pieces, dropped := a.inbox.takeAll()
 	for _, p := range pieces {
 		ready, end, gap, err := a.assembler.Add(p)
 		if err != nil {
 			a.cancel(ctx)
 			return a.withheld(translator.CodeAnswerCut, err.Error()), true
 		}
-		if res, ended := a.give(ctx, ready); ended {
+		if res, ended := a.forward(ctx, ready); ended {
 			return res, true
 		}
 		if end != nil {
@@ -220,28 +220,28 @@
 		}
 		switch {
 		case !gap:
-			a.late = nil
-		case a.late == nil:
-			a.late = time.After(gapPatience)
+			a.gapTimer = nil
+		case a.gapTimer == nil:
+			a.gapTimer = time.After(gapTimeout)
 		}
 	}
-	if lost && a.late == nil {
-		a.late = time.After(gapPatience)
+	if dropped && a.gapTimer == nil {
+		a.gapTimer = time.After(gapTimeout)
 	}
 	return result{}, false
 }
 
-// give passes bytes of the answer on.
-func (a *attempt) give(ctx context.Context, data []byte) (result, bool) {
+// forward forwards bytes of the answer to the caller.
+func (a *attempt) forward(ctx context.Context, data []byte) (result, bool) {
 	q := a.request
 	if head := a.assembler.Head(); head != nil && !a.checked {
 		a.checked = true
-		a.firstAt = q.entry.settings.Now()
+		a.firstByteAt = q.entry.settings.Now()
 		if res, wrong := a.wrongModel(ctx, head.Model); wrong {
 			return res, true
 		}
 		if a.decision != nil {
-			q.entry.router.Began(a.firstAt, a.decision)
+			q.entry.router.Began(a.firstByteAt, a.decision)
 		}
 		a.answer.head(head, a.backend)
 	}
@@ -250,8 +250,8 @@
 	}
 	if err := a.answer.write(data); err != nil && q.claim == nil {
 		a.cancel(ctx)
-		res := unknown(messenger.ReasonCancelled, "the caller takes no more: "+err.Error())
-		res.left, res.final = true, true
+		res := unknown(messenger.ReasonCancelled, "writing to the caller failed: "+err.Error())
+		res.callerLeft, res.final = true, true
 		return res, true
 	}
 	if next := a.assembler.Next(); next-a.acknowledged >= acknowledgeBytes {
@@ -260,15 +260,15 @@
 	return result{}, false
 }
 
-// wrongModel withholds an answer that another version gave. Without this check
-// an engine that confuses adapters would give one customer's clearance with
-// another's rules, and nobody would notice.
+// wrongModel withholds an answer from another version than requested. Without this
+// check, an engine that confuses adapters would answer one customer's clearance by
+// another customer's rules, and nobody would notice.
 func (a *attempt) wrongModel(ctx context.Context, model string) (result, bool) {
 	q := a.request
 	if model == q.dispatch.Version {
 		return result{}, false
 	}
-	q.entry.metrics.wrong.Inc()
+	q.entry.metrics.wrongModels.Inc()
 	q.entry.settings.Recorder.Record(a.event(recorder.KindFault, fmt.Sprintf("the engine answered as %q", model)))
 	q.entry.settings.Log.Error().Str("Request", q.id).Str("Version", q.dispatch.Version).Str("Model", model).
 		Str("Backend", a.backend).Msg("answer of another version withheld")
@@ -282,7 +282,7 @@
 	return res
 }
 
-// ended takes the answer's ending.
+// ended handles the end of the answer.
 func (a *attempt) ended(ctx context.Context, end *messenger.End) result {
 	a.end = end
 	a.acknowledge(ctx, a.assembler.Next(), true)
@@ -300,11 +300,11 @@
 	return result{outcome: messenger.OutcomeCompleted}
 }
 
-// finish gives the caller the end of a completed answer.
+// finish sends the caller the end of a completed answer.
 func (a *attempt) finish() result {
 	if err := a.answer.finish(a.end); err != nil && a.request.claim == nil {
-		res := unknown(messenger.ReasonCancelled, "the caller took no more: "+err.Error())
-		res.left, res.final = true, true
+		res := unknown(messenger.ReasonCancelled, "writing to the caller failed: "+err.Error())
+		res.callerLeft, res.final = true, true
 		return res
 	}
 	return result{outcome: messenger.OutcomeCompleted}
--- a/internal/transport/gatekeeper/bench_test.go
+++ b/internal/transport/gatekeeper/bench_test.go
@@ -9,9 +9,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// BenchmarkRequest measures one request through an entry over loopback, with the
-// caller and a scripted companion in the same process. The slope over the pieces
-// is what one piece costs both ends of the hop.
+// BenchmarkRequest measures one request through an entry over loopback, with the caller
+// and a scripted companion in the same process. The slope over the number of pieces is
+// the cost of one piece at both ends of the hop.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("Pieces=%d", n), func(b *testing.B) {
@@ -23,10 +23,10 @@
 				texts[i] = "token "
 			}
 			c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
-				send(conn, streamed(d.Request, d.Attempt, texts...)...)
+				send(conn, streamedAnswer(d.Request, d.Attempt, texts...)...)
 				return nil
 			}
-			e := newWorld(c).entry(nil)
+			e := newDeployment(c).entry(nil)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
--- a/internal/transport/gatekeeper/body.go
+++ b/internal/transport/gatekeeper/body.go
@@ -11,7 +11,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/translator"
 )
 
-// body reads the request's body within the limits of size and time.
+// body reads the request's body within the limits on size and time.
 func (x *exchange) body() ([]byte, *translator.Fault) {
 	s := x.entry.settings.Entry
 	limit := int64(s.MaxBodyBytes)
@@ -20,14 +20,14 @@
 		return nil, tooLarge(limit)
 	}
 	control := http.NewResponseController(x.w)
-	// A recorder in a test has no connection to set a deadline on.
+	// A response recorder in a test has no connection, so that no deadline can be set.
 	timed := control.SetReadDeadline(time.Now().Add(time.Duration(s.BodyTimeout))) == nil
 	data, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
 	if err != nil {
 		return nil, unreadable(err, limit)
 	}
 	if timed {
-		// The deadline must not end the request when it passes later.
+		// Without this the read deadline would end the request later.
 		if err := control.SetReadDeadline(time.Time{}); err != nil {
 			return nil, unreadable(err, limit)
 		}
--- a/internal/transport/gatekeeper/claim.go
+++ b/internal/transport/gatekeeper/claim.go
@@ -19,7 +19,7 @@
 	machine *claimer.Machine
 }
 
-// claimKey has the request run only under a claim of the key.
+// claimKey makes the request run only under a claim of the key.
 func (q *request) claimKey(key string, body []byte) {
 	h := sha256.New()
 	for _, part := range []string{q.dispatch.Method, q.dispatch.Path, q.dispatch.Kind.String(), q.dispatch.Version} {
@@ -28,46 +28,46 @@
 	}
 	h.Write(body)
 	q.claim = &claim{machine: claimer.NewMachine(
-		claimer.Settings{MaxLife: time.Duration(q.entry.settings.Entry.RequestTimeout) + settleLimit},
+		claimer.Settings{MaxLife: time.Duration(q.entry.settings.Entry.RequestTimeout) + settleTimeout},
 		claimer.Identity{Workspace: q.dispatch.Workspace, Key: key, Digest: h.Sum(nil), Holder: q.id},
 		q.claimDeadline(),
 	)}
 }
 
-// claimDeadline is the time until which the claim is tried for. A caller is
-// better told to come back than kept waiting for control hosts that are lost.
+// claimDeadline returns when to stop trying to claim. A caller is better refused with a
+// time to retry after than kept waiting for control hosts that are lost.
 func (q *request) claimDeadline() time.Time {
-	latest := q.entry.settings.Now().Add(claimPatience)
+	latest := q.entry.settings.Now().Add(claimTimeout)
 	if q.deadline.Before(latest) {
 		return q.deadline
 	}
 	return latest
 }
 
-// acquire has Control commit the claim. It returns true with the fault, or nil
-// for an answer given, where the call is not to be run.
+// acquire proposes the claim to control. It returns true if the call is not to be run:
+// with the fault, or with nil if the call was answered.
 func (c *claim) acquire(ctx context.Context, q *request) (*translator.Fault, bool) {
 	e := q.entry
 	whole := ctx
-	ctx, cancel := context.WithTimeout(ctx, claimPatience)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	for {
 		step := c.propose(ctx, q)
 		switch s := step.(type) {
 		case claimer.Dispatch:
-			q.decided = true
+			q.keyDecided = true
 			e.metrics.claims.WithLabelValues("Held").Inc()
 			e.settings.Recorder.Record(q.event(recorder.KindClaimed, c.machine.Identity().Key))
 			return nil, false
 		case claimer.ProposeAgain:
 			if !pauser.Pause(ctx, s.Wait) {
-				return c.refused(ctx, q, c.machine.Abandon()), true
+				return c.refusal(ctx, q, c.machine.Abandon()), true
 			}
 		case claimer.FetchKept:
 			e.metrics.claims.WithLabelValues("Kept").Inc()
-			return q.fetch(whole, s), true
+			return q.fetchRetained(whole, s), true
 		case claimer.Refuse:
-			return c.refused(ctx, q, s), true
+			return c.refusal(ctx, q, s), true
 		}
 	}
 }
@@ -78,14 +78,14 @@
 		Time: storer.InstantOf(e.settings.Now()), Command: c.machine.Identity().Command(),
 	})
 	if err != nil {
-		e.settings.Log.Debug().Err(err).Str("Request", q.id).Msg("claim not answered")
+		e.settings.Log.Debug().Err(err).Str("Request", q.id).Msg("claim proposal failed")
 		return c.machine.Failed(e.settings.Now(), certain(err))
 	}
 	return c.machine.Answered(e.settings.Now(), r)
 }
 
-// refused returns the truthful answer to a call whose claim was not had.
-func (c *claim) refused(ctx context.Context, q *request, s claimer.Refuse) *translator.Fault {
+// refusal returns the fault for a call whose claim was not obtained.
+func (c *claim) refusal(ctx context.Context, q *request, s claimer.Refuse) *translator.Fault {
 	q.entry.metrics.claims.WithLabelValues(s.Reason.String()).Inc()
 	if s.Release {
 		q.settle(ctx, c.machine.Released())
@@ -100,14 +100,14 @@
 		f = translator.NewFault(http.StatusConflict, translator.CodeKeyUnknown, "a request with this idempotency key may have run; its outcome is not known")
 		f.Outcome = messenger.OutcomeUnknown
 	case claimer.ReasonKeyReused:
-		q.decided = true
+		q.keyDecided = true
 		f = translator.NewFault(http.StatusUnprocessableEntity, translator.CodeKeyReused, "the idempotency key belongs to another request")
 		f.Param = translator.HeaderIdempotencyKey
 	case claimer.ReasonInvalid:
 		f = translator.NewFault(http.StatusBadRequest, translator.CodeInvalidRequest, "the idempotency key can't be recorded")
 		f.Param = translator.HeaderIdempotencyKey
 	default:
-		f = translator.NewFault(http.StatusServiceUnavailable, translator.CodeClaimUnavailable, "the request's single run could not be reserved")
+		f = translator.NewFault(http.StatusServiceUnavailable, translator.CodeClaimUnavailable, "the claim that limits the request to one run could not be committed")
 		f.RetryAfter = q.entry.random.jitter(2 * time.Second)
 	}
 	return f
@@ -116,20 +116,19 @@
 // settle records how the call ended.
 func (c *claim) settle(ctx context.Context, q *request, fault *translator.Fault) {
 	completed := fault == nil
-	// A caller that left before the end of a whole answer leaves it kept; what
-	// the attempt saw decides, not what the caller got.
+	// The outcome of the attempt decides, not what the caller received: the complete
+	// answer to a caller that left early is retained.
 	notRun := !completed && fault.Outcome == messenger.OutcomeNotRun
-	kept := claimer.Kept{Request: q.id, Attempt: q.attempts}
-	q.settle(ctx, c.machine.Ended(notRun, completed, q.decision.Backend, kept))
+	retained := claimer.Kept{Request: q.id, Attempt: q.attempts}
+	q.settle(ctx, c.machine.Ended(notRun, completed, q.decision.Backend, retained))
 }
 
-// settle proposes the command beside the request until it is accepted. Callers
-// don't wait for it: a refusal held back would tell them nothing more. A claim
-// that is never settled stays as it was, which is truthful: in progress, and
-// unknown after a while.
+// settle proposes the command in the background until it is accepted. The caller does
+// not wait for it, since the result would not change its answer. A claim that is never
+// settled stays in progress, and becomes unknown after some time, which is correct.
 func (q *request) settle(ctx context.Context, command storer.SettleClaim) {
 	e, event := q.entry, q.event(recorder.KindClaimSettled, command.State.String())
-	e.beside(ctx, settleLimit, func(ctx context.Context) {
+	e.runDetached(ctx, settleTimeout, func(ctx context.Context) {
 		wait := resumeInitial
 		for {
 			r, err := e.settings.Control.Propose(ctx, storer.Envelope{Time: storer.InstantOf(e.settings.Now()), Command: command})
@@ -149,35 +148,35 @@
 	})
 }
 
-// fetch gives the kept answer of the first run, from the companion that keeps
-// it.
-func (q *request) fetch(ctx context.Context, s claimer.FetchKept) *translator.Fault {
-	q.entry.members()
-	address, life, ok := q.entry.router.Address(s.Backend)
+// fetchRetained forwards the retained answer of the first run from the companion that
+// holds it.
+func (q *request) fetchRetained(ctx context.Context, s claimer.FetchKept) *translator.Fault {
+	q.entry.syncMembers()
+	address, incarnation, ok := q.entry.router.Address(s.Backend)
 	if !ok {
-		return notKept("the backend server that ran it has left")
+		return notRetained("the backend server that ran it has left")
 	}
-	a := q.newAttempt(attemptID{s.Kept.Request, s.Kept.Attempt}, s.Backend, address, life)
+	a := q.newAttempt(attemptID{s.Kept.Request, s.Kept.Attempt}, s.Backend, address, incarnation)
 	defer a.close()
 	a.lostAt = q.entry.settings.Now()
 	q.answer = a.answer
-	res := a.follow(ctx)
+	res := a.receiveAll(ctx)
 	if res.outcome == messenger.OutcomeCompleted {
 		res = a.finish()
 	}
 	switch {
 	case res.outcome == messenger.OutcomeCompleted:
 		return nil
-	case q.answer.begun:
+	case q.answer.headerSent:
 		return q.fault(res)
 	default:
-		return notKept(told(res))
+		return notRetained(describe(res))
 	}
 }
 
-// notKept is the truthful answer where the first run completed and its answer is
-// gone.
-func notKept(detail string) *translator.Fault {
+// notRetained returns the fault for a call whose first run completed, and whose answer
+// is no longer retained.
+func notRetained(detail string) *translator.Fault {
 	f := translator.NewFault(http.StatusConflict, translator.CodeAnswerNotKept,
 		"the request with this idempotency key was completed; its answer is no longer kept: %s", detail)
 	f.Outcome = messenger.OutcomeCompleted
--- a/internal/transport/gatekeeper/claim_test.go
+++ b/internal/transport/gatekeeper/claim_test.go
@@ -13,8 +13,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// booked is a service that counts what it ran and keeps its answers.
-func booked(c *companion) {
+// serveBookings makes the companion a service that runs bookings and retains its
+// answers.
+func serveBookings(c *companion) {
 	answer := func(request string, attempt int) messenger.Piece {
 		return messenger.Piece{
 			Request: request, Attempt: attempt, Data: []byte("booked by " + request),
@@ -32,24 +33,24 @@
 }
 
 func (e *entry) book(key, body string) answer {
-	return e.ask(http.MethodPost, "/services/booking/presses/7", body, "Idempotency-Key", key)
+	return e.call(http.MethodPost, "/services/booking/presses/7", body, "Idempotency-Key", key)
 }
 
 var _ = Describe("Claims", func() {
 	var (
 		c *companion
-		w *world
+		w *deployment
 	)
 
 	BeforeEach(func() {
 		c = newCompanion("service-1")
-		booked(c)
-		w = newWorld(c)
+		serveBookings(c)
+		w = newDeployment(c)
 	})
 
-	// Symptom: a booking is made twice. Sequence: a caller resends through
-	// another entry, before, while or after the first run.
-	It("gives the kept answer to the same key through another entry", func() {
+	// Guards against a second booking when the caller resends the request through
+	// another entry, before, during or after the first run.
+	It("returns the retained answer for the same key through another entry", func() {
 		first, second := w.entry(nil), w.entry(nil)
 		a := first.book("b-1", "{}")
 		Expect(a.StatusCode).To(Equal(201))
@@ -70,7 +71,7 @@
 			<-hold
 			return dispatch(conn, d)
 		}
-		// On a busy machine the connection may go silent meanwhile.
+		// On a busy machine the connection may be lost for its silence meanwhile.
 		c.resume = func(conn *messenger.Conn, r messenger.Resume) error {
 			<-hold
 			return resume(conn, r)
@@ -91,10 +92,10 @@
 		Expect(c.dispatched.Load()).To(Equal(int64(1)))
 	})
 
-	// Symptom: a call is run twice, or never although it is free to run.
-	// Sequence: Control commits the claim and the answer is lost, so that the
-	// entry doesn't know whether it holds the claim.
-	It("proposes again as the same holder when the claim's answer was lost", func() {
+	// Guards against running a call twice, or never although its key is free: control
+	// commits the claim and the reply is lost, so that the entry does not know whether
+	// it holds the claim.
+	It("proposes again as the same holder if the reply to the claim was lost", func() {
 		var lost atomic.Bool
 		w.control.after = func(storer.Command) error {
 			if lost.CompareAndSwap(false, true) {
@@ -106,11 +107,11 @@
 		Expect(c.dispatched.Load()).To(Equal(int64(1)))
 	})
 
-	// Symptom: a key can never be used again although nothing ran. Sequence: the
-	// claim is committed, all its answers are lost until the deadline, so that
-	// the entry refuses; nobody would release the claim. Whether another entry had
-	// the claim before, the entry has not heard either, so that it can't say NotRun.
-	It("says Unknown without a claim, and releases one that was committed unseen", func() {
+	// Guards against a key that can never be used again although nothing ran: the claim
+	// is committed, all replies are lost until the deadline, the entry refuses the
+	// call, and nothing releases the claim. The entry does not know whether another
+	// entry had claimed the key before, so it must not report NotRun.
+	It("returns Unknown without a claim, and releases a claim whose reply was lost", func() {
 		var claims atomic.Int64
 		w.control.after = func(command storer.Command) error {
 			if _, ok := command.(storer.ClaimCall); ok {
@@ -119,7 +120,7 @@
 			}
 			return nil
 		}
-		a := w.entry(nil).ask(http.MethodPost, "/services/booking/presses/7", "{}", "Idempotency-Key", "b-1", "Marigoldpoint-Deadline", "100ms")
+		a := w.entry(nil).call(http.MethodPost, "/services/booking/presses/7", "{}", "Idempotency-Key", "b-1", "Marigoldpoint-Deadline", "100ms")
 		Expect(a.outcome()).To(Equal("Unknown"), a.body)
 		Expect(a.body).To(ContainSubstring("claim_unavailable"))
 		Expect(a.Header.Get("X-Should-Retry")).To(Equal("true"))
@@ -128,36 +129,36 @@
 		Expect(c.dispatched.Load()).To(BeZero())
 	})
 
-	// Symptom: a caller hears that nothing ran, books under another key, and has two
-	// bookings. Sequence: a booking runs; its caller's connection breaks; the caller
-	// sends it again, with its key, through an entry that can't ask whether the key
-	// has run, or that refuses it before it asks.
-	DescribeTable("says of a key that has run, and can't be asked after, that it may have",
+	// Guards against reporting NotRun for a key that has run: a booking runs, its
+	// caller's connection breaks, and the caller resends it with its key through an
+	// entry that can't ask whether the key has run, or refuses the request before it
+	// asks. Told that nothing ran, the caller would book again under another key.
+	DescribeTable("returns Unknown for a key that may have run and can't be looked up",
 		func(code string, spoil func(e *entry)) {
 			settings := func(s *configurer.EntrySettings) { s.MaxInFlight = 1 }
 			Expect(w.entry(nil).book("b-1", "{}").StatusCode).To(Equal(201))
 			Eventually(func() storer.ClaimState { return w.control.claim("b-1") }).Should(Equal(storer.ClaimStateDone))
 			e := w.entry(settings)
 			spoil(e)
-			again := e.ask(http.MethodPost, "/services/booking/presses/7", "{}", "Idempotency-Key", "b-1", "Marigoldpoint-Deadline", "100ms")
+			again := e.call(http.MethodPost, "/services/booking/presses/7", "{}", "Idempotency-Key", "b-1", "Marigoldpoint-Deadline", "100ms")
 			Expect(again.body).To(ContainSubstring(code))
 			Expect(again.outcome()).To(Equal("Unknown"), again.body)
 			Expect(again.body).To(ContainSubstring(`"outcome":"Unknown"`))
 			Expect(again.Header.Get("X-Should-Retry")).To(Equal("true"), "with its key it runs at most once")
 			Expect(again.Header.Get("Retry-After")).NotTo(BeEmpty())
 			Expect(c.dispatched.Load()).To(Equal(int64(1)))
-			unkeyed := e.ask(http.MethodPost, "/services/booking/presses/7", "{}", "Marigoldpoint-Deadline", "100ms")
+			unkeyed := e.call(http.MethodPost, "/services/booking/presses/7", "{}", "Marigoldpoint-Deadline", "100ms")
 			Expect(unkeyed.body).To(ContainSubstring(code))
-			Expect(unkeyed.outcome()).To(Equal("NotRun"), "a request without a key is this one alone")
+			Expect(unkeyed.outcome()).To(Equal("NotRun"), "a request without a key has no earlier run")
 		},
-		Entry("by an entry without the control hosts, under a rule", "configuration_lease_lost", func(*entry) {
+		Entry("at an entry without contact to control, under a rule", "configuration_lease_lost", func(*entry) {
 			w.put(storer.KindPriorityRule, "town", "urgent", storer.PriorityRuleSpec{Key: "desk", Priority: 1})
 			w.control.lost.Store(true)
 		}),
-		Entry("where no claim is answered", "claim_unavailable", func(*entry) {
+		Entry("if no claim is answered", "claim_unavailable", func(*entry) {
 			w.control.before = func(storer.Command) error { return errLost }
 		}),
-		Entry("by an entry that is full", "entry_limit", func(e *entry) {
+		Entry("at an entry that is full", "entry_limit", func(e *entry) {
 			hold, _ := gate()
 			began, begin := gate()
 			dispatch := c.dispatch
@@ -173,19 +174,19 @@
 			}()
 			<-began
 		}),
-		Entry("by an entry that stops", "stopping", func(e *entry) {
+		Entry("at an entry that is stopping", "stopping", func(e *entry) {
 			Expect(e.Drain(GinkgoT().Context())).To(Succeed())
 		}),
 	)
 
-	// Symptom: callers with keys hear "unknown" in the seconds of each change of the
-	// control leader. Sequence: the entry's lease runs out while no leader is there; a
-	// call with a key comes. Cause: it was refused at once, with nobody to ask.
-	It("waits for the control hosts with a key, and refuses what has none at once", func() {
+	// Guards against Unknown for callers with keys during each change of the control
+	// leader: the entry's lease expires while there is no leader, and a call with a key
+	// was refused at once.
+	It("makes a call with a key wait for the control hosts, and refuses one without at once", func() {
 		w.put(storer.KindPriorityRule, "town", "urgent", storer.PriorityRuleSpec{Key: "desk", Priority: 1})
 		w.control.lost.Store(true)
 		e := w.entry(nil)
-		unkeyed := e.ask(http.MethodPost, "/services/booking/presses/7", "{}")
+		unkeyed := e.call(http.MethodPost, "/services/booking/presses/7", "{}")
 		Expect(unkeyed.body).To(ContainSubstring("configuration_lease_lost"))
 		Expect(unkeyed.outcome()).To(Equal("NotRun"))
 		answered := make(chan answer, 1)
@@ -198,10 +199,10 @@
 		Expect((<-answered).StatusCode).To(Equal(201))
 	})
 
-	// Symptom: a booking is made twice. Sequence: an entry has the claim committed,
-	// dispatches, and is lost before it can settle the claim; the caller comes
-	// back through another entry. Cause to prevent: taking an unsettled claim for
-	// a free one. (How long it is told as in progress: see package claimer.)
+	// Guards against taking an unsettled claim for a free one: an entry claims,
+	// dispatches, and is lost before it settles the claim; the caller retries through
+	// another entry, and the booking would be made twice. Package claimer defines how
+	// long the claim counts as in progress.
 	It("runs nothing under a claim whose entry was lost", func() {
 		w.control.before = func(command storer.Command) error {
 			if _, ok := command.(storer.SettleClaim); ok {
@@ -217,7 +218,7 @@
 		Expect(c.dispatched.Load()).To(Equal(int64(1)))
 	})
 
-	It("keeps what may have run from running again, and says so", func() {
+	It("does not run a call again that may have run, and returns Unknown", func() {
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
 			send(conn, messenger.Piece{Request: d.Request, Attempt: d.Attempt, End: &messenger.End{Outcome: messenger.OutcomeUnknown, Reason: messenger.ReasonEngine}})
 			return nil
@@ -234,10 +235,9 @@
 		Expect(c.dispatched.Load()).To(Equal(int64(1)))
 	})
 
-	// Symptom: a caller whose connection broke half-way can never have its
-	// chain-of-title review. Sequence: the caller leaves; its work is cancelled
-	// half-way; the claim ends as Unknown for good.
-	It("finishes a claimed call whose caller has left, for its return", func() {
+	// Guards against a chain-of-title review that can never be completed: the caller
+	// leaves, and cancelling the work halfway would end the claim as Unknown for good.
+	It("finishes a claimed call whose caller has left, for its retry", func() {
 		started, start := gate()
 		hold, release := gate()
 		inner := c.dispatch
@@ -265,15 +265,15 @@
 		Expect(c.cancelled.Load()).To(BeZero())
 	})
 
-	It("claims only what the operators didn't declare idempotent", func() {
+	It("claims only calls that the operators did not declare idempotent", func() {
 		e := w.entry(nil)
-		Expect(e.ask(http.MethodGet, "/services/booking/presses/7", "", "Idempotency-Key", "g").StatusCode).To(Equal(201))
-		Expect(e.ask(http.MethodPost, "/services/booking/lookup/9?x=1", "{}", "Idempotency-Key", "l").StatusCode).To(Equal(201))
+		Expect(e.call(http.MethodGet, "/services/booking/presses/7", "", "Idempotency-Key", "g").StatusCode).To(Equal(201))
+		Expect(e.call(http.MethodPost, "/services/booking/lookup/9?x=1", "{}", "Idempotency-Key", "l").StatusCode).To(Equal(201))
 		Expect(w.control.claim("g")).To(Equal(storer.ClaimState(-1)))
 		Expect(w.control.claim("l")).To(Equal(storer.ClaimState(-1)))
 		Expect((<-c.bodies).Path).To(Equal("/presses/7"))
 		Expect((<-c.bodies).Path).To(Equal("/lookup/9?x=1"))
-		e.ask(http.MethodPost, "/services/booking/lookupandbook", "{}", "Idempotency-Key", "n")
-		Expect(w.control.claim("n")).NotTo(Equal(storer.ClaimState(-1)), "a prefix ends at a segment")
+		e.call(http.MethodPost, "/services/booking/lookupandbook", "{}", "Idempotency-Key", "n")
+		Expect(w.control.claim("n")).NotTo(Equal(storer.ClaimState(-1)), "a prefix consists of whole segments")
 	})
 })
--- a/internal/transport/gatekeeper/close_test.go
+++ b/internal/transport/gatekeeper/close_test.go
@@ -8,22 +8,21 @@
 	. "github.com/onsi/gomega"
 )
 
-// Symptom: the race detector finds a wait group that is added to while it is
-// waited for; embedded, an entry works on after Close has returned.
-// Events: the process is closed at once while requests are in progress; their
-// connections break; each cancels its attempt at the companion.
-// Cause: Close waits for what runs beside the requests, but the requests, which
-// it doesn't wait for, began more of that.
-func TestClosedEntryBeginsNothingBeside(t *testing.T) {
+// Guards against background tasks that start after Close: the process is closed while
+// requests are in progress, their connections break, and each cancels its attempt at
+// the companion. Close waits for the background tasks but not for the requests, which
+// started more of them: the race detector found additions to a wait group during its
+// Wait, and an embedded entry kept running after Close had returned.
+func TestClosedEntryStartsNoTask(t *testing.T) {
 	g := NewWithT(t)
 	e := &Entry{}
 	e.root, e.cancel = context.WithCancel(context.Background())
 	began := make(chan struct{}, 2)
 	begin := func(context.Context) { began <- struct{}{} }
-	e.beside(context.Background(), time.Minute, begin)
+	e.runDetached(context.Background(), time.Minute, begin)
 	g.Expect(e.Close()).To(Succeed())
-	g.Expect(began).To(HaveLen(1), "Close waits for what began before")
-	e.beside(context.Background(), time.Minute, begin)
-	e.settling.Wait()
+	g.Expect(began).To(HaveLen(1), "Close waits for tasks started before")
+	e.runDetached(context.Background(), time.Minute, begin)
+	e.background.Wait()
 	g.Expect(began).To(HaveLen(1))
 }
--- a/internal/transport/gatekeeper/completion.go
+++ b/internal/transport/gatekeeper/completion.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		return translator.Malformed(err)
 	}
-	// A generation may be run again as long as nothing of it was seen, unless
-	// its caller asks for one run by a key.
+	// A generation may run again as long as the caller received no part of it, unless
+	// the caller limits it to one run by a key.
 	q := &request{
 		exchange:   x,
 		deadline:   deadline,
--- a/internal/transport/gatekeeper/connection_test.go
+++ b/internal/transport/gatekeeper/connection_test.go
@@ -20,22 +20,21 @@
 }
 
 var _ = Describe("Connections", func() {
-	// Symptom: a caller waits for the rest of an answer until its deadline,
-	// while new requests to the same backend server are served.
-	// Sequence: half of a stream has come; the connection dies; the companion
-	// has the rest. Cause to prevent: waiting on a connection that is gone, or
-	// running the request again, which would give another answer's second half.
+	// Guards against waiting on a lost connection until the deadline, and against
+	// running the request again, which would append the second half of another answer:
+	// half of a stream has arrived, the connection breaks, and the companion has the
+	// rest.
 	It("resumes a broken stream at its offset on a new connection", func() {
 		c := newCompanion("engine-1")
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
-			send(conn, streamed(d.Request, d.Attempt, "one", "two", "three")[:2]...)
+			send(conn, streamedAnswer(d.Request, d.Attempt, "one", "two", "three")[:2]...)
 			go conn.Close()
 			return nil
 		}
 		var offset atomic.Int64
 		c.resume = func(conn *messenger.Conn, r messenger.Resume) error {
 			offset.Store(r.Offset)
-			all := streamed(r.Request, r.Attempt, "one", "two", "three")
+			all := streamedAnswer(r.Request, r.Attempt, "one", "two", "three")
 			for _, p := range all {
 				if p.Offset >= r.Offset {
 					send(conn, p)
@@ -43,26 +42,25 @@
 			}
 			return nil
 		}
-		a := newWorld(c).entry(nil).chat(streamBody)
+		a := newDeployment(c).entry(nil).chat(streamBody)
 		Expect(a.outcome()).To(Equal("Completed"))
 		Expect(a.body).To(And(ContainSubstring("one"), ContainSubstring("two"), ContainSubstring("three"), HaveSuffix("Completed\n\n")))
 		Expect(c.dispatched.Load()).To(Equal(int64(1)))
 	})
 
-	// Symptom: a stream of which half has come is run again elsewhere, or ends as
-	// Unknown where there is no other.
-	// Sequence: pieces come before the dispatch is answered; the connection dies
-	// in between; the first try to resume fails too.
-	// Cause to prevent: judging the loss before taking what came.
-	It("takes what came before a dispatch whose answer was lost", func() {
+	// Guards against judging a loss before the received pieces are processed: pieces
+	// arrive before the reply to the dispatch, the connection breaks in between, and
+	// the first attempt to resume fails too. The half-received stream would run again
+	// elsewhere, or end as Unknown if there is no other backend server.
+	It("processes the pieces that arrived before the reply to a dispatch was lost", func() {
 		c := newCompanion("engine-1")
-		e := newWorld(c).entry(nil)
+		e := newDeployment(c).entry(nil)
 		lose := func(conn *messenger.Conn) {
 			go conn.Close()
 			<-conn.Done()
 		}
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
-			e.pieces.Deliver(streamed(d.Request, d.Attempt, "one", "two")[0])
+			e.pieces.Deliver(streamedAnswer(d.Request, d.Attempt, "one", "two")[0])
 			lose(conn)
 			return nil
 		}
@@ -73,7 +71,7 @@
 				lose(conn)
 				return nil
 			}
-			send(conn, streamed(r.Request, r.Attempt, "one", "two")[1:]...)
+			send(conn, streamedAnswer(r.Request, r.Attempt, "one", "two")[1:]...)
 			return nil
 		}
 		a := e.chat(streamBody)
@@ -83,21 +81,20 @@
 		Expect(offset.Load()).To(BeNumerically(">", 0))
 	})
 
-	// Symptom: a booking hangs although the service answered.
-	// Sequence: something between entry and companion loses track of the
-	// connection with the request in it; both ends keep it open for good; new
-	// connections work. Cause to prevent: no one notices the silence. Both twice:
-	// the second connection goes silent too.
-	It("asks by id for a request on a connection that went silent for good", func() {
+	// Guards against a booking that hangs although the service answered: a device
+	// between entry and companion loses track of the connection that carries the
+	// request, both ends keep it open, and only new connections work. It happens twice
+	// here: the second connection goes silent too.
+	It("asks by id for a request on a connection that went silent permanently", func() {
 		c := newCompanion("service-1")
 		c.dispatch = func(*messenger.Conn, messenger.Dispatch) error {
-			c.forget()
+			c.dropConnections()
 			return nil
 		}
 		var resumes atomic.Int64
 		c.resume = func(conn *messenger.Conn, r messenger.Resume) error {
 			if resumes.Add(1) == 1 {
-				c.forget()
+				c.dropConnections()
 				return nil
 			}
 			p := messenger.Piece{
@@ -107,8 +104,8 @@
 			send(conn, p)
 			return nil
 		}
-		w := newWorld(c)
-		a := w.entry(nil).ask(http.MethodPost, "/services/booking/presses/7", "{}", "Idempotency-Key", "b-1")
+		w := newDeployment(c)
+		a := w.entry(nil).call(http.MethodPost, "/services/booking/presses/7", "{}", "Idempotency-Key", "b-1")
 		Expect(a.StatusCode).To(Equal(201))
 		Expect(a.body).To(Equal("booked"))
 		Expect(a.outcome()).To(Equal("Completed"))
@@ -116,11 +113,11 @@
 		Eventually(func() storer.ClaimState { return w.control.claim("b-1") }).Should(Equal(storer.ClaimStateDone))
 	})
 
-	// Symptom: a request is said not to have run, and ran; or is run twice.
-	// Sequence: the dispatch and the companion's refusal cross the loss of the
-	// connection. The companion that is asked by id never saw it, and bars it.
-	// Cause to prevent: taking a broken connection for a refusal.
-	DescribeTable("judges a dispatch whose answer was lost",
+	// Guards against taking a broken connection for a refusal: the dispatch and the
+	// companion's refusal cross the loss of the connection. The companion that is asked
+	// by id never saw the request, and bars it. Otherwise a request would be reported
+	// as not run although it ran, or run twice.
+	DescribeTable("determines the outcome of a dispatch whose reply was lost",
 		func(reason messenger.Reason, detail, outcome string, dispatches int) {
 			c := newCompanion("service-1")
 			c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
@@ -132,8 +129,8 @@
 				return nil
 			}
 			c.resume = func(*messenger.Conn, messenger.Resume) error { return refuse(reason, detail) }
-			w := newWorld(c)
-			a := w.entry(nil).ask(http.MethodPost, "/services/booking/presses/7", "{}", "Idempotency-Key", "b-1")
+			w := newDeployment(c)
+			a := w.entry(nil).call(http.MethodPost, "/services/booking/presses/7", "{}", "Idempotency-Key", "b-1")
 			Expect(a.outcome()).To(Equal(outcome), a.body)
 			Expect(c.dispatched.Load()).To(BeNumerically(">=", dispatches))
 			state := storer.ClaimStateReleased
@@ -143,18 +140,18 @@
 			}
 			Eventually(func() storer.ClaimState { return w.control.claim("b-1") }).Should(Equal(state))
 		},
-		Entry("never seen by the life it was sent to", messenger.ReasonNeverSeen, life, "NotRun", 2),
-		Entry("never seen by a later life", messenger.ReasonNeverSeen, "second-life", "Unknown", 1),
+		Entry("never seen by the incarnation it was sent to", messenger.ReasonNeverSeen, companionIncarnation, "NotRun", 2),
+		Entry("never seen by a later incarnation", messenger.ReasonNeverSeen, "second-life", "Unknown", 1),
 		Entry("no longer held", messenger.ReasonCompacted, "", "Unknown", 1),
 	)
 
-	It("takes a request elsewhere that was refused, and says NotRun when all refuse", func() {
+	It("retries a refused request elsewhere, and returns NotRun if all refuse", func() {
 		one, two := newCompanion("engine-1"), newCompanion("engine-2")
 		refusing := func(*messenger.Conn, messenger.Dispatch) error {
 			return refuse(messenger.ReasonOverloaded, "queue is full")
 		}
 		one.dispatch = refusing
-		w := newWorld(one, two)
+		w := newDeployment(one, two)
 		e := w.entry(nil)
 		for range 4 {
 			Expect(e.chat(chatBody).StatusCode).To(Equal(http.StatusOK))
@@ -166,9 +163,9 @@
 		Expect(a.Header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	// Symptom: a chat fails although nothing of it was seen and others could run it.
-	// Sequence: the companion is lost with the request in it, before a first byte.
-	It("runs an idempotent call elsewhere when its companion is lost before a byte", func() {
+	// Guards against failing a chat that other backend servers could run: the companion
+	// is lost with the request before the first byte of the answer.
+	It("runs an idempotent call elsewhere if its companion is lost before the first byte", func() {
 		one, two := newCompanion("engine-1"), newCompanion("engine-2")
 		var lost atomic.Pointer[companion]
 		for _, c := range []*companion{one, two} {
@@ -178,38 +175,38 @@
 					<-conn.Done()
 					return nil
 				}
-				return greet(conn, d)
+				return answerHello(conn, d)
 			}
 		}
-		a := newWorld(one, two).entry(nil).chat(chatBody)
+		a := newDeployment(one, two).entry(nil).chat(chatBody)
 		Expect(a.StatusCode).To(Equal(http.StatusOK), a.body)
 		Expect(a.Header.Get("Marigoldpoint-Backend")).NotTo(Equal(lost.Load().name))
 	})
 
-	It("gives nothing more to a backend server that is leaving or can't be reached", func() {
+	It("sends nothing to a backend server that is leaving or can't be reached", func() {
 		one, two := newCompanion("engine-1"), newCompanion("engine-2")
-		w := newWorld(one, two)
+		w := newDeployment(one, two)
 		e := w.entry(nil)
 		Expect(one.server.Close()).To(Succeed())
 		for range 5 {
 			Expect(e.chat(chatBody).Header.Get("Marigoldpoint-Backend")).To(Equal("engine-2"))
 		}
 		w.put(storer.KindMember, "", "engine-2", storer.MemberSpec{
-			Address: two.server.Address(), BaseModel: "base", Incarnation: life, Epoch: 7, State: storer.MemberStateLeaving,
+			Address: two.server.Address(), BaseModel: "base", Incarnation: companionIncarnation, Epoch: 7, State: storer.MemberStateLeaving,
 		})
 		seen := two.dispatched.Load()
 		Expect(e.chat(chatBody).outcome()).To(Equal("NotRun"))
 		Expect(two.dispatched.Load()).To(Equal(seen))
 	})
 
-	// Symptom: engines generate for callers that have long left.
-	It("carries a caller's leaving through, and the deadline", func() {
+	// Guards against engines that generate for callers that have left.
+	It("cancels the attempt when the caller leaves or the deadline passes", func() {
 		c := newCompanion("engine-1")
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
-			send(conn, streamed(d.Request, d.Attempt, "one", "two")[0])
+			send(conn, streamedAnswer(d.Request, d.Attempt, "one", "two")[0])
 			return nil
 		}
-		e := newWorld(c).entry(nil)
+		e := newDeployment(c).entry(nil)
 		ctx, leave := context.WithCancel(context.Background())
 		r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.url+"/v1/chat/completions", strings.NewReader(streamBody))
 		Expect(err).NotTo(HaveOccurred())
@@ -226,8 +223,7 @@
 		Eventually(c.cancelled.Load).Should(Equal(int64(2)))
 	})
 
-	// Symptom: a planned stop cuts a stream. Sequence: the stop begins while a
-	// stream runs.
+	// Guards against a planned stop that cuts a stream in progress.
 	It("drains: refuses new requests, finishes those in progress", func() {
 		c := newCompanion("engine-1")
 		started, start := gate()
@@ -236,11 +232,11 @@
 			go func() {
 				start()
 				<-finish
-				send(conn, streamed(d.Request, d.Attempt, "one", "two")...)
+				send(conn, streamedAnswer(d.Request, d.Attempt, "one", "two")...)
 			}()
 			return nil
 		}
-		e := newWorld(c).entry(nil)
+		e := newDeployment(c).entry(nil)
 		running, drained := make(chan answer, 1), make(chan error, 1)
 		go func() {
 			defer GinkgoRecover()
@@ -258,9 +254,9 @@
 		Eventually(drained).Should(Receive(BeNil()))
 	})
 
-	It("refuses what it can't know when the configuration lease is lost", func() {
+	It("refuses calls that depend on the configuration if its lease is lost", func() {
 		c := newCompanion("engine-1")
-		w := newWorld(c)
+		w := newDeployment(c)
 		e := w.entry(nil)
 		w.control.lost.Store(true)
 		Expect(e.Ready()).To(BeFalse())
@@ -270,17 +266,17 @@
 		Expect(a.outcome()).To(Equal("NotRun"))
 	})
 
-	It("refuses a rush at once, with times to come back that are spread", func() {
+	It("refuses a burst at once, with spread Retry-After times", func() {
 		c := newCompanion("engine-1")
 		hold, release := gate()
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
 			go func() {
 				<-hold
-				send(conn, whole(d.Request, d.Attempt, "late")...)
+				send(conn, wholeAnswer(d.Request, d.Attempt, "late")...)
 			}()
 			return nil
 		}
-		e := newWorld(c).entry(func(s *configurer.EntrySettings) { s.MaxInFlight = 2 })
+		e := newDeployment(c).entry(func(s *configurer.EntrySettings) { s.MaxInFlight = 2 })
 		held := make(chan answer, 2)
 		for range 2 {
 			go func() {
@@ -303,29 +299,29 @@
 	})
 })
 
-// Symptom: one slow backend server makes a whole call late. Sequence: the first
-// attempt gives nothing; a second one, beside it, answers; the first answers
-// later. Cause to prevent: two answers mixed, or the slow one left running.
+// Guards against one slow backend server that delays a call: the first attempt returns
+// nothing, a second one answers, and the first answers later. The two answers must not
+// be mixed, and the slow attempt must be cancelled.
 var _ = Describe("Hedges", func() {
-	// The clock that stands still: a request waits for its deadline, seldom, on a
-	// busy machine. Sequence: the hedge comes due; by the clock, read late or set
-	// back, it is not yet due; it is asked for only once.
-	DescribeTable("gives the answer that is whole first, and cancels the other", func(stopped bool) {
+	// The stopped clock guards against a request that rarely, on a busy machine, waited
+	// for its deadline: the hedge is due, but not yet by a clock that was read late or
+	// set back, and it is requested only once.
+	DescribeTable("returns the answer that completes first, and cancels the other", func(stopped bool) {
 		slow, quick := newCompanion("engine-1"), newCompanion("engine-2")
 		var first atomic.Pointer[companion]
 		for _, c := range []*companion{slow, quick} {
 			c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
 				if first.CompareAndSwap(nil, c) {
-					pieces := whole(d.Request, d.Attempt, "slow")
+					pieces := wholeAnswer(d.Request, d.Attempt, "slow")
 					pieces[0].End = nil
 					send(conn, pieces...)
 					return nil
 				}
-				send(conn, whole(d.Request, d.Attempt, "quick")...)
+				send(conn, wholeAnswer(d.Request, d.Attempt, "quick")...)
 				return nil
 			}
 		}
-		w := newWorld(slow, quick)
+		w := newDeployment(slow, quick)
 		if at := time.Now(); stopped {
 			w.now = func() time.Time { return at }
 		}
@@ -337,7 +333,7 @@
 		Eventually(first.Load().cancelled.Load).Should(Equal(int64(1)))
 		Expect(slow.dispatched.Load() + quick.dispatched.Load()).To(Equal(int64(2)))
 	},
-		Entry("by a clock that goes", false),
-		Entry("by a clock that stands still", true),
+		Entry("with a running clock", false),
+		Entry("with a stopped clock", true),
 	)
 })
--- a/internal/transport/gatekeeper/ending_test.go
+++ b/internal/transport/gatekeeper/ending_test.go
@@ -13,76 +13,76 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// ended counts the lives that ended.
-var ended atomic.Int64
+// endedEngines counts the incarnations of engines that ended.
+var endedEngines atomic.Int64
 
-// fatal is a companion whose engine ends when it begins to run a request with the text.
-func fatal(name, text string) *companion {
+// crashingEngine is a companion whose engine crashes when it starts a request that
+// contains the text.
+func crashingEngine(name, text string) *companion {
 	c := newCompanion(name)
 	c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
 		if !strings.Contains(string(d.Body), text) {
-			return greet(conn, d)
+			return answerHello(conn, d)
 		}
 		send(conn, messenger.Piece{Request: d.Request, Attempt: d.Attempt, End: &messenger.End{
 			Outcome: messenger.OutcomeUnknown, Reason: messenger.ReasonEngine, Detail: "the engine has restarted",
-			EndedLives: []string{fmt.Sprint("life-", ended.Add(1))},
+			EndedLives: []string{fmt.Sprint("life-", endedEngines.Add(1))},
 		}})
 		return nil
 	}
 	return c
 }
 
-// told brings the entries' replica up to what control knows of suspects.
-func (w *world) told() {
+// syncSuspects copies the suspects known to control to the entries' replica.
+func (w *deployment) syncSuspects() {
 	suspects, _ := w.control.store.List(storer.KindSuspect, "")
 	for _, s := range suspects {
 		w.put(storer.KindSuspect, "", s.Metadata.Name, s.Spec)
 	}
 }
 
-var _ = Describe("A request that ends the engines that run it", func() {
+var _ = Describe("A request that crashes the engines that run it", func() {
 	const fatalBody = `{"model":"town/lyrics@3","messages":[{"role":"user","content":"what ends them"}]}`
 
-	It("is kept from them, whichever entry it comes to", func() {
-		// Symptom: engines end one after the other, each is back after some seconds.
-		// Events: a caller's request ends the engine that begins to run it; the caller
-		// sends it again, to another entry.
-		// Cause: nothing remembered a request beyond one attempt of its caller.
-		ended.Store(0)
-		w := newWorld(fatal("one", "what ends them"), fatal("two", "what ends them"), fatal("three", "what ends them"))
+	It("is quarantined at every entry", func() {
+		// Guards against a request that crashes one engine after another: its caller
+		// resends it to another entry, and nothing remembered the request beyond one
+		// attempt of its caller.
+		endedEngines.Store(0)
+		w := newDeployment(crashingEngine("one", "what ends them"), crashingEngine("two", "what ends them"), crashingEngine("three", "what ends them"))
 		entries := []*entry{w.entry(nil), w.entry(nil)}
 		const tries, mostEnded = 12, 6
 		last := answer{}
 		for i := range tries {
 			last = entries[i%2].chat(fatalBody)
-			w.told()
+			w.syncSuspects()
 		}
-		Expect(ended.Load()).To(BeNumerically(">=", 3))
-		Expect(ended.Load()).To(BeNumerically("<=", mostEnded))
+		Expect(endedEngines.Load()).To(BeNumerically(">=", 3))
+		Expect(endedEngines.Load()).To(BeNumerically("<=", mostEnded))
 		Expect(last.StatusCode).To(Equal(http.StatusTooManyRequests))
 		Expect(last.body).To(ContainSubstring("request_quarantined"))
 		Expect(last.outcome()).To(Equal("NotRun"))
 		Expect(entries[0].chat(chatBody).StatusCode).To(Equal(http.StatusOK))
 	})
 
-	It("is cleared where a run answers it", func() {
-		ended.Store(0)
-		c := fatal("one", "what ends them")
-		w := newWorld(c)
+	It("is cleared when a run answers it", func() {
+		endedEngines.Store(0)
+		c := crashingEngine("one", "what ends them")
+		w := newDeployment(c)
 		e := w.entry(nil)
-		// With a key each is run once: two lives end, and not a third.
+		// Each call with a key runs once: two incarnations end, not a third.
 		once := func(key string) int { return e.chat(fatalBody, "Idempotency-Key", key).StatusCode }
 		Expect(once("a")).To(Equal(http.StatusBadGateway))
 		Expect(once("b")).To(Equal(http.StatusBadGateway))
-		w.told()
+		w.syncSuspects()
 		fails := c.dispatch
-		c.dispatch = greet
+		c.dispatch = answerHello
 		Expect(once("c")).To(Equal(http.StatusOK))
 		Eventually(func() int {
 			list, _ := w.control.store.List(storer.KindSuspect, "")
 			return len(list)
 		}).Should(BeZero())
 		c.dispatch = fails
-		Expect(once("d")).To(Equal(http.StatusBadGateway), "it counts anew")
+		Expect(once("d")).To(Equal(http.StatusBadGateway), "counting starts again")
 	})
 })
--- a/internal/transport/gatekeeper/entry.go
+++ b/internal/transport/gatekeeper/entry.go
@@ -22,41 +22,41 @@
 // ErrNotDrained means that requests were still in progress when the wait ended.
 const ErrNotDrained = errors.ConstError("requests are still in progress")
 
-// Entry serves callers. It may be used by several goroutines.
+// Entry serves callers. It is safe for concurrent use.
 type Entry struct {
 	settings Settings
 	router   *router.Router
 	limiter  *limiter.Limiter
 	retrier  *retrier.Retrier
 	metrics  *metrics
-	// suspects tells which requests are kept from backend servers.
+	// suspects decides which requests may not be sent to backend servers.
 	suspects *suspecter.Table
 	mux      *http.ServeMux
-	// root ends with Close and ends what runs beside the requests.
+	// root is cancelled by Close and ends the background tasks.
 	root   context.Context
 	cancel context.CancelFunc
-	// settling counts what runs beside the requests: claims being settled, and
-	// messages to companions.
-	settling sync.WaitGroup
-	// membersAt is the revision of the membership that the router has.
-	membersAt atomic.Uint64
+	// background counts the background tasks: claims being settled, and messages to
+	// companions.
+	background sync.WaitGroup
+	// membersRevision is the revision of the membership that was passed to the router.
+	membersRevision atomic.Uint64
 
 	random random
 
 	mu sync.Mutex
-	// draining refuses new requests; guarded by mu.
+	// draining makes the entry refuse new requests; guarded by mu.
 	draining bool
-	// inProgress counts the requests; guarded by mu.
+	// inProgress is the number of requests in progress; guarded by mu.
 	inProgress int
 	// drained is closed when draining is set and the last request has ended;
 	// guarded by mu.
 	drained chan struct{}
-	// closed keeps requests that still end from beginning more beside them;
+	// closed keeps requests that are still ending from starting background tasks;
 	// guarded by mu.
 	closed bool
 }
 
-// random is a random source for several goroutines.
+// random is a random source that is safe for concurrent use.
 type random struct {
 	mu sync.Mutex
 	// source is guarded by mu.
@@ -69,17 +69,17 @@
 	return r.source.Uint64()
 }
 
-// jitter draws a time between half of d and one and a half of it.
+// jitter returns a random duration between half of d and one and a half times d.
 func (r *random) jitter(d time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return d/2 + time.Duration(r.source.Int64N(int64(d)+1))
 }
 
-// fork returns a random source of its own, seeded from this one.
+// fork returns a new random source that is seeded from this one.
 func (r *random) fork() *rand.Rand { return rand.New(rand.NewPCG(r.uint64(), r.uint64())) }
 
-// NewEntry returns an entry that serves at once.
+// NewEntry returns a running entry. It panics if a required setting is missing.
 func NewEntry(s Settings) *Entry {
 	s.check()
 	e := &Entry{settings: s, drained: make(chan struct{}), metrics: newMetrics(s.Registerer), suspects: suspecter.NewTable(suspecter.Settings{})}
@@ -94,14 +94,14 @@
 	e.root, e.cancel = context.WithCancel(context.Background())
 	e.metrics.observe(e)
 	e.mux = e.routes()
-	s.Control.OnDigest(e.digest)
+	s.Control.OnDigest(e.applyDigest)
 	return e
 }
 
-// Handler returns the callers' API.
+// Handler returns the handler of the callers' API.
 func (e *Entry) Handler() http.Handler { return http.HandlerFunc(e.serve) }
 
-// Ready reports whether the balancer should send callers here.
+// Ready reports whether the balancer should send calls to this entry.
 func (e *Entry) Ready() bool {
 	e.mu.Lock()
 	draining := e.draining
@@ -109,9 +109,9 @@
 	return !draining && e.settings.Control.LeaseValid()
 }
 
-// Drain refuses new requests and waits for those in progress. Its error is
-// ErrNotDrained when ctx ends first.
-// The channel stays the same from the start, and is read without mu.
+// Drain refuses new requests and waits for those in progress and for the background
+// tasks. It returns ErrNotDrained if ctx ends first. The channel never changes, so it
+// is read without mu.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.mu.Lock()
 	if !e.draining {
@@ -129,7 +129,7 @@
 	}
 	settled := make(chan struct{})
 	go func() {
-		e.settling.Wait()
+		e.background.Wait()
 		close(settled)
 	}()
 	select {
@@ -140,27 +140,27 @@
 	}
 }
 
-// Close ends what the entry runs beside the requests, and waits for it. The
-// listener is closed before.
+// Close stops the background tasks and waits for them. The listener must be closed
+// before.
 func (e *Entry) Close() error {
 	e.mu.Lock()
 	e.closed = true
 	e.mu.Unlock()
 	e.cancel()
-	e.settling.Wait()
+	e.background.Wait()
 	return nil
 }
 
-// beside runs f apart from its request, until the limit or Close. After Close it
-// does nothing: a closed entry is as good as lost.
-func (e *Entry) beside(ctx context.Context, limit time.Duration, f func(ctx context.Context)) {
+// runDetached runs f in the background, independently of its request, until the limit
+// or Close. After Close it does nothing, as if the entry had crashed.
+func (e *Entry) runDetached(ctx context.Context, limit time.Duration, f func(ctx context.Context)) {
 	ctx = context.WithoutCancel(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
 		return
 	}
-	e.settling.Go(func() {
+	e.background.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
 		stop := context.AfterFunc(e.root, cancel) //nolint:contextcheck // Close ends it too; the request's own end doesn't.
@@ -169,7 +169,7 @@
 	})
 }
 
-// begin counts a request in, or refuses it when the entry is draining.
+// begin counts a new request, or returns false if the entry is draining.
 func (e *Entry) begin() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,40 +189,42 @@
 	}
 }
 
-// members gives the router the latest membership, where it has changed. It runs
-// with each request, so that a member that leaves gets nothing from then on.
-func (e *Entry) members() {
+// syncMembers passes the latest membership to the router if it has changed. Every
+// request calls it, so that a member that leaves receives no further requests.
+func (e *Entry) syncMembers() {
 	v := e.settings.Index.Members()
-	if v.Revision == e.membersAt.Load() {
+	if v.Revision == e.membersRevision.Load() {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if v = e.settings.Index.Members(); v.Revision == e.membersAt.Load() {
+	if v = e.settings.Index.Members(); v.Revision == e.membersRevision.Load() {
 		return
 	}
 	if err := e.router.SetMembers(v.Members); err != nil {
-		e.settings.Log.Error().Err(err).Msg("membership not taken over")
+		e.settings.Log.Error().Err(err).Msg("applying the membership failed")
 		return
 	}
-	e.membersAt.Store(v.Revision)
+	e.membersRevision.Store(v.Revision)
 }
 
-// digest takes in what the control hosts tell of backend servers.
-func (e *Entry) digest(d registrar.Digest) {
-	e.members()
+// applyDigest passes the load and residency of backend servers, as reported by the
+// control hosts, to the router.
+func (e *Entry) applyDigest(d registrar.Digest) {
+	e.syncMembers()
 	now := e.settings.Now()
 	for _, s := range d.Servers {
 		e.router.Report(now, s.Name, router.Report{
 			Running: s.Load.Running, Queued: s.Load.Queued, MaxBatch: s.Load.MaxBatch,
-			LoadsWaiting: -1, SlotsFree: -1, Age: digestAge,
+			LoadsWaiting: -1, SlotsFree: -1, Age: assumedDigestAge,
 		})
 		e.router.Digest(now, s.Name, s.Epoch, s.Resident)
 	}
 }
 
-// load takes in what an answer tells of its backend server.
-func (e *Entry) load(backend string, l messenger.Load) {
+// reportLoad passes the load of a backend server, as reported with an answer, to the
+// router.
+func (e *Entry) reportLoad(backend string, l messenger.Load) {
 	if l.MaxBatch == 0 {
 		return
 	}
--- a/internal/transport/gatekeeper/fault.go
+++ b/internal/transport/gatekeeper/fault.go
@@ -8,19 +8,19 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/translator"
 )
 
-// result is how one attempt ended.
+// result is the result of one attempt.
 type result struct {
 	outcome    messenger.Outcome
 	reason     messenger.Reason
 	detail     string
 	retryAfter time.Duration
-	// suspect tells that the backend server could not be reached.
+	// suspect means that the backend server could not be reached.
 	suspect bool
-	// left tells that the caller is gone.
-	left bool
-	// final forbids another attempt whatever the outcome.
+	// callerLeft means that the caller has left.
+	callerLeft bool
+	// final rules out another attempt, whatever the outcome.
 	final bool
-	// code is the cause, where reason doesn't tell it.
+	// code overrides the error code that follows from reason, if it is set.
 	code translator.Code
 }
 
@@ -32,8 +32,8 @@
 	return result{outcome: messenger.OutcomeUnknown, reason: reason, detail: detail}
 }
 
-// refused returns the result of a dispatch that the companion refused. A refusal
-// means that the attempt didn't run, unless its reason says otherwise.
+// refused returns the result of a dispatch that the companion refused. A refused
+// attempt did not run, unless the reason says otherwise.
 func refused(r *messenger.Refusal) result {
 	switch r.Reason {
 	case messenger.ReasonInternal, messenger.ReasonOutcomeUnknown, messenger.ReasonCompacted:
@@ -45,60 +45,60 @@
 	}
 }
 
-// shape is how an error looks to the caller.
-type shape struct {
+// errorKind is the HTTP status and code of an error.
+type errorKind struct {
 	status int
 	code   translator.Code
 }
 
-// notRunShape returns the error of a request that didn't run.
-func notRunShape(r messenger.Reason) shape {
+// notRunError returns the kind of error for a request that did not run.
+func notRunError(r messenger.Reason) errorKind {
 	switch r {
 	case messenger.ReasonOverloaded:
-		return shape{http.StatusTooManyRequests, translator.CodeOverloaded}
+		return errorKind{http.StatusTooManyRequests, translator.CodeOverloaded}
 	case messenger.ReasonDeadline:
-		return shape{http.StatusServiceUnavailable, translator.CodeDeadline}
+		return errorKind{http.StatusServiceUnavailable, translator.CodeDeadline}
 	case messenger.ReasonLoadFailed:
-		return shape{http.StatusServiceUnavailable, translator.CodeLoadFailed}
+		return errorKind{http.StatusServiceUnavailable, translator.CodeLoadFailed}
 	case messenger.ReasonEngine:
-		return shape{http.StatusServiceUnavailable, translator.CodeEngineRefused}
+		return errorKind{http.StatusServiceUnavailable, translator.CodeEngineRefused}
 	case messenger.ReasonCancelled:
-		return shape{http.StatusServiceUnavailable, translator.CodeCancelled}
+		return errorKind{http.StatusServiceUnavailable, translator.CodeCancelled}
 	default:
-		return shape{http.StatusServiceUnavailable, translator.CodeNoBackend}
+		return errorKind{http.StatusServiceUnavailable, translator.CodeNoBackend}
 	}
 }
 
-// unknownShape returns the error of a request that may have run.
-func unknownShape(r messenger.Reason) shape {
+// unknownOutcomeError returns the kind of error for a request that may have run.
+func unknownOutcomeError(r messenger.Reason) errorKind {
 	if r == messenger.ReasonDeadline {
-		return shape{http.StatusGatewayTimeout, translator.CodeDeadline}
+		return errorKind{http.StatusGatewayTimeout, translator.CodeDeadline}
 	}
-	return shape{http.StatusBadGateway, translator.CodeOutcomeUnknown}
+	return errorKind{http.StatusBadGateway, translator.CodeOutcomeUnknown}
 }
 
-// fault returns the error for the request's last result. NotRun is said only if
+// fault returns the error for the request's last result. Its outcome is NotRun only if
 // no attempt may have run.
 func (q *request) fault(last result) *translator.Fault {
-	if last.outcome == messenger.OutcomeNotRun && !q.ran {
-		s := notRunShape(last.reason)
-		f := translator.NewFault(s.status, s.code, "no backend server ran the request: %s", told(last))
+	if last.outcome == messenger.OutcomeNotRun && !q.mayHaveRun {
+		s := notRunError(last.reason)
+		f := translator.NewFault(s.status, s.code, "no backend server ran the request: %s", describe(last))
 		f.RetryAfter = max(last.retryAfter, q.entry.random.jitter(time.Second))
 		return f
 	}
-	s := unknownShape(last.reason)
+	s := unknownOutcomeError(last.reason)
 	if last.code != "" {
 		s.code = last.code
 	}
-	if q.answer.begun && last.code == "" {
+	if q.answer.headerSent && last.code == "" {
 		s.code = translator.CodeAnswerCut
 	}
-	f := translator.NewFault(s.status, s.code, "the request may have run: %s", told(last))
+	f := translator.NewFault(s.status, s.code, "the request may have run: %s", describe(last))
 	f.Outcome = messenger.OutcomeUnknown
 	return f
 }
 
-func told(r result) string {
+func describe(r result) string {
 	if r.detail == "" {
 		return r.reason.String()
 	}
--- a/internal/transport/gatekeeper/fixture_test.go
+++ b/internal/transport/gatekeeper/fixture_test.go
@@ -34,21 +34,22 @@
 )
 
 const (
-	bearer   = "secret-of-town"
-	stranger = "secret-of-rival"
-	version  = "town/lyrics@3"
-	life     = "first-life"
-	// heartbeat and silence are the connections' intervals.
+	bearer               = "secret-of-town"
+	stranger             = "secret-of-rival"
+	version              = "town/lyrics@3"
+	companionIncarnation = "first-life"
+	// heartbeat and silence are the heartbeat interval and the silence limit of the
+	// connections.
 	heartbeat = 20 * time.Millisecond
 	silence   = 200 * time.Millisecond
 )
 
-// gates opens the gates of a spec.
+// gates holds the functions that open the gates of a spec.
 var gates []func()
 
-// A spec's end opens its gates, before entries and companions are closed: these
-// wait for their requests and handlers, so that one which was held when an
-// expectation failed would hold the whole run until its timeout.
+// Opens the gates at the end of a spec, before entries and companions are closed. Those
+// wait for their requests and handlers, so that a gate left closed by a failed
+// expectation would block the test run until its timeout.
 var _ = AfterEach(func() {
 	for _, open := range gates {
 		open()
@@ -56,7 +57,7 @@
 	gates = nil
 })
 
-// gate returns a channel to wait at and the function that opens it.
+// gate returns a channel to wait on, and the function that closes it.
 func gate() (wait <-chan struct{}, open func()) {
 	c := make(chan struct{})
 	open = sync.OnceFunc(func() { close(c) })
@@ -64,19 +65,19 @@
 	return c, open
 }
 
-// cleanUp has f run at the end of a spec; a benchmark sets its own.
+// cleanUp registers f to run at the end of a spec; a benchmark replaces it.
 var cleanUp = func(f func()) { DeferCleanup(f) }
 
-// control is the state machine behind the entries, without a log.
+// control is the state machine of the control hosts, without a replicated log.
 type control struct {
 	mu    sync.Mutex
 	store *storer.Store
 	index uint64
-	// before and after may fail a proposal before or after it took effect.
+	// before and after may fail a proposal before or after it is applied.
 	before, after func(storer.Command) error
 	lost          atomic.Bool
-	// quota is what becomes of calls with one, and balance what was spent less what was
-	// given back; guarded by mu.
+	// quota is the decision for calls with a quota, and balance the amount spent minus
+	// the amount refunded; guarded by mu.
 	quota   bucketer.Decision
 	balance float64
 }
@@ -103,7 +104,7 @@
 	return r, nil
 }
 
-// Spend admits calls while the decision that the test set says so.
+// Spend returns the decision that the test has set.
 func (c *control) Spend(_ string, _ bucketer.Limit, cost float64) bucketer.Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +147,7 @@
 
 var errLost = subscriber.ErrOutcomeUnknown
 
-// companion is a scripted companion. It greets unless told otherwise.
+// companion is a scripted companion. By default it answers "hello".
 type companion struct {
 	name       string
 	server     *listener.Listener
@@ -157,72 +158,72 @@
 	bodies     chan messenger.Dispatch
 
 	mu sync.Mutex
-	// conns are the connections accepted; guarded by mu.
-	conns []*forgettable
+	// conns holds the accepted connections; guarded by mu.
+	conns []*droppable
 }
 
-// forgettable is a connection that, once forgotten, swallows what is written
-// to it, as when a middle box has lost track of it.
-type forgettable struct {
+// droppable is a connection that can be made to drop all writes, as when a middlebox
+// has lost track of it.
+type droppable struct {
 	net.Conn
-	forgotten atomic.Bool
+	dropping atomic.Bool
 }
 
-func (f *forgettable) Write(data []byte) (int, error) {
-	if f.forgotten.Load() {
+func (f *droppable) Write(data []byte) (int, error) {
+	if f.dropping.Load() {
 		return len(data), nil
 	}
 	return f.Conn.Write(data)
 }
 
-// network accepts connections that forget can reach.
-type network struct {
+// trackingListener records the accepted connections at the companion.
+type trackingListener struct {
 	net.Listener
 	companion *companion
 }
 
-func (n network) Accept() (net.Conn, error) {
+func (n trackingListener) Accept() (net.Conn, error) {
 	conn, err := n.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	f := &forgettable{Conn: conn}
+	f := &droppable{Conn: conn}
 	n.companion.mu.Lock()
 	defer n.companion.mu.Unlock()
 	n.companion.conns = append(n.companion.conns, f)
 	return f, nil
 }
 
-// forget has the connections there are go silent for good.
-func (c *companion) forget() {
+// dropConnections makes all existing connections go silent permanently.
+func (c *companion) dropConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, f := range c.conns {
-		f.forgotten.Store(true)
+		f.dropping.Store(true)
 	}
 }
 
 func newCompanion(name string) *companion {
-	c := &companion{name: name, dispatch: greet, bodies: make(chan messenger.Dispatch, 100)}
+	c := &companion{name: name, dispatch: answerHello, bodies: make(chan messenger.Dispatch, 100)}
 	c.resume = func(*messenger.Conn, messenger.Resume) error {
 		return refuse(messenger.ReasonCompacted, "not scripted")
 	}
-	// Its heartbeats come well within the entries' silence limit.
-	c.server = listener.NewListener(network{listen(), c}, messenger.Settings{
+	// The heartbeats come well within the entries' silence limit.
+	c.server = listener.NewListener(trackingListener{listen(), c}, messenger.Settings{
 		Handler: c, Log: zerolog.Nop(), HeartbeatInterval: heartbeat,
 	})
 	cleanUp(func() { Expect(c.server.Close()).To(Succeed()) })
 	return c
 }
 
-func greet(conn *messenger.Conn, d messenger.Dispatch) error {
-	send(conn, whole(d.Request, d.Attempt, "hello")...)
+func answerHello(conn *messenger.Conn, d messenger.Dispatch) error {
+	send(conn, wholeAnswer(d.Request, d.Attempt, "hello")...)
 	return nil
 }
 
-// listen opens a port at a loopback address of this process alone. Another test
-// process that ran at the same time was otherwise given a port that a spec had
-// closed, and got the requests that the spec still sent there.
+// listen opens a port at a loopback address that is specific to this process. Otherwise
+// another test process could get a port that a spec had closed, and receive requests
+// that the spec still sent there.
 func listen() net.Listener {
 	id := os.Getpid()
 	address := net.IPv4(127, byte(1+id>>16&0x7f), byte(id>>8), byte(id))
@@ -243,13 +244,13 @@
 		case c.bodies <- d:
 		default:
 		}
-		return messenger.Accepted{Incarnation: life}, c.dispatch(conn, d)
+		return messenger.Accepted{Incarnation: companionIncarnation}, c.dispatch(conn, d)
 	case messenger.MethodResume:
 		var r messenger.Resume
 		if err := messenger.Decode(p, &r); err != nil {
 			return nil, err
 		}
-		return messenger.Accepted{Incarnation: life}, c.resume(conn, r)
+		return messenger.Accepted{Incarnation: companionIncarnation}, c.resume(conn, r)
 	case messenger.MethodCancel:
 		c.cancelled.Add(1)
 		return nil, nil
@@ -270,15 +271,15 @@
 	return &messenger.End{Outcome: messenger.OutcomeCompleted, Model: model}
 }
 
-// whole returns the pieces of an answer with the text.
-func whole(request string, attempt int, text string) []messenger.Piece {
+// wholeAnswer returns the pieces of an answer with the text.
+func wholeAnswer(request string, attempt int, text string) []messenger.Piece {
 	data := []byte(`{"id":"1","object":"chat.completion","model":"` + version + `","choices":[{"index":0,"message":{"role":"assistant","content":"` + text + `"},"finish_reason":"stop"}]}`)
 	return []messenger.Piece{{Request: request, Attempt: attempt, Head: head, Data: data, End: completed(version)}}
 }
 
-// streamed returns the pieces of a streamed answer, one for each text and one
-// for its end.
-func streamed(request string, attempt int, texts ...string) []messenger.Piece {
+// streamedAnswer returns the pieces of a streamed answer, one for each text and one for
+// its end.
+func streamedAnswer(request string, attempt int, texts ...string) []messenger.Piece {
 	var pieces []messenger.Piece
 	offset := int64(0)
 	add := func(text string) {
@@ -294,18 +295,18 @@
 	return pieces
 }
 
-// world is a deployment of scripted companions with one or more entries.
-type world struct {
-	control *control
-	index   *indexer.Index
-	at      uint64
-	random  *rand.Rand
+// deployment consists of scripted companions and one or more entries.
+type deployment struct {
+	control  *control
+	index    *indexer.Index
+	revision uint64
+	random   *rand.Rand
 	// now is the entries' clock.
 	now func() time.Time
 }
 
-func newWorld(companions ...*companion) *world {
-	w := &world{
+func newDeployment(companions ...*companion) *deployment {
+	w := &deployment{
 		control: &control{store: storer.NewStore(storer.Settings{}), index: 1000},
 		index:   indexer.NewIndex(indexer.Settings{}), random: rand.New(rand.NewPCG(1, 1)),
 		now: time.Now,
@@ -322,7 +323,7 @@
 		w.put(storer.KindKey, name, "desk", storer.KeySpec{Hash: hex.EncodeToString(hash[:])})
 	}
 	for _, c := range companions {
-		spec := storer.MemberSpec{Address: c.server.Address(), BaseModel: "base", Slots: 4, MaxBatch: 8, Incarnation: life, Epoch: 7}
+		spec := storer.MemberSpec{Address: c.server.Address(), BaseModel: "base", Slots: 4, MaxBatch: 8, Incarnation: companionIncarnation, Epoch: 7}
 		if strings.HasPrefix(c.name, "service") {
 			spec.Kind, spec.BaseModel, spec.Service = storer.MemberKindService, "", "booking"
 		}
@@ -331,10 +332,10 @@
 	return w
 }
 
-func (w *world) put(kind storer.Kind, workspace, name string, spec storer.Spec) {
-	w.at++
-	r := storer.Resource{Kind: kind, Metadata: storer.Metadata{Workspace: workspace, Name: name, Revision: w.at}, Spec: spec}
-	Expect(w.index.Apply([]storer.Change{{Revision: w.at, Resource: r}}, w.at)).To(Succeed())
+func (w *deployment) put(kind storer.Kind, workspace, name string, spec storer.Spec) {
+	w.revision++
+	r := storer.Resource{Kind: kind, Metadata: storer.Metadata{Workspace: workspace, Name: name, Revision: w.revision}, Spec: spec}
+	Expect(w.index.Apply([]storer.Change{{Revision: w.revision, Resource: r}}, w.revision)).To(Succeed())
 }
 
 type entry struct {
@@ -344,8 +345,8 @@
 	pieces   *gatekeeper.PieceRouter
 }
 
-// entry starts an entry that callers reach by HTTP.
-func (w *world) entry(change func(*configurer.EntrySettings)) *entry {
+// entry starts an entry with an HTTP server.
+func (w *deployment) entry(change func(*configurer.EntrySettings)) *entry {
 	s := configurer.Settings{}.WithDefaults().Entry
 	if change != nil {
 		change(&s)
@@ -372,7 +373,7 @@
 	return &entry{Entry: e, url: server.URL, recorder: events, pieces: pieces}
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	*http.Response
 	body string
@@ -389,8 +390,8 @@
 // caller is the HTTP client of the tests.
 var caller = &http.Client{Timeout: time.Minute}
 
-// ask sends a request with header fields in pairs.
-func (e *entry) ask(method, path, body string, fields ...string) answer {
+// call sends a request. The fields are pairs of header names and values.
+func (e *entry) call(method, path, body string, fields ...string) answer {
 	r, err := http.NewRequestWithContext(context.Background(), method, e.url+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	r.Header.Set("Authorization", "Bearer "+bearer)
@@ -409,5 +410,5 @@
 const streamBody = `{"model":"town/lyrics@3","stream":true,"messages":[{"role":"user","content":"may we reprint this?"}]}`
 
 func (e *entry) chat(body string, fields ...string) answer {
-	return e.ask(http.MethodPost, "/v1/chat/completions", body, fields...)
+	return e.call(http.MethodPost, "/v1/chat/completions", body, fields...)
 }
--- a/internal/transport/gatekeeper/hedge.go
+++ b/internal/transport/gatekeeper/hedge.go
@@ -10,10 +10,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// attempt makes one attempt at the chosen backend server, or two where the
-// operators allow a hedge, and gives the caller what completed first.
+// attempt makes one attempt at the chosen backend server, or two if the operators allow
+// hedging, and sends the caller the answer that completes first.
 func (q *request) attempt(ctx context.Context) result {
-	a := q.begin(q.decision)
+	a := q.startAttempt(q.decision)
 	q.answer = a.answer
 	var res result
 	if after := q.entry.retrier.HedgeAfter(); after > 0 && q.idempotent && !q.stream {
@@ -23,7 +23,7 @@
 		res = a.run(ctx)
 	}
 	if a.end != nil {
-		q.wait = millis(a.end.QueueMillis)
+		q.queueWait = millis(a.end.QueueMillis)
 	}
 	if res.outcome == messenger.OutcomeCompleted {
 		return a.finish()
@@ -31,27 +31,27 @@
 	return res
 }
 
-// ended is an attempt with its result.
-type ended struct {
+// attemptResult is an attempt with its result.
+type attemptResult struct {
 	attempt *attempt
 	result  result
 }
 
-// race runs the attempt and, if it has not ended in time, a second one beside
-// it. The first that completes wins, and the other is cancelled.
+// race runs the attempt and, if it has not ended in time, a second one in parallel. The
+// first that completes wins, and the other is cancelled.
 func (q *request) race(ctx context.Context, first *attempt, after time.Duration) (*attempt, result) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan ended, 2)
+	results := make(chan attemptResult, 2)
 	start := func(a *attempt) {
 		a.answer.hedged = true
-		go func() { results <- ended{a, a.run(ctx)} }()
+		go func() { results <- attemptResult{a, a.run(ctx)} }()
 	}
 	running, began := 1, q.entry.settings.Now()
 	start(first)
 	timer := time.NewTimer(after)
 	defer timer.Stop()
-	var best *ended
+	var best *attemptResult
 	for running > 0 {
 		select {
 		case <-timer.C:
@@ -65,7 +65,7 @@
 				best = &e
 			}
 			if e.result.outcome == messenger.OutcomeCompleted {
-				// The other one ends at once, and tells its companion.
+				// The other attempt ends at once, and notifies its companion.
 				cancel()
 			}
 		}
@@ -73,8 +73,8 @@
 	return best.attempt, best.result
 }
 
-// better reports whether r tells more than s: a whole answer more than a doubt,
-// and a doubt more than NotRun, because one of the two may have run.
+// better reports whether r is more conclusive than s: a complete answer precedes an
+// unknown outcome, which precedes NotRun, because one of the two attempts may have run.
 func better(r, s result) bool {
 	rank := func(o messenger.Outcome) int {
 		switch o {
@@ -89,10 +89,10 @@
 	return rank(r.outcome) > rank(s.outcome)
 }
 
-// hedge chooses another backend server for a second attempt, or returns nil. It
-// is called once, when the first attempt has run for the time after; that this
-// has passed is the timer's word. By the entry's clock it may not have, if began
-// was read late or the clock was set back, and the hedge would never be made.
+// hedge chooses another backend server for a second attempt, or returns nil. It is
+// called once, when the timer has measured that the first attempt has run for the time
+// after. By the entry's clock that time may not have passed, if began was read late or
+// the clock was set back; without the correction the hedge would then never be made.
 func (q *request) hedge(first *attempt, began time.Time, after time.Duration) *attempt {
 	e := q.entry
 	now := e.settings.Now()
@@ -108,7 +108,7 @@
 	if e.router.Choose(e.settings.Now(), &q.call, d) != nil {
 		return nil
 	}
-	second := q.begin(d)
+	second := q.startAttempt(d)
 	event := second.event(recorder.KindRetried, "hedge beside "+first.backend)
 	event.Choices = d.Choices()
 	e.settings.Recorder.Record(event)
--- a/internal/transport/gatekeeper/input_test.go
+++ b/internal/transport/gatekeeper/input_test.go
@@ -14,8 +14,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// Each kind of bad input gets its own error, says that nothing ran, tells
-// nothing about other workspaces, and leaves the entry up.
+// Each kind of bad input gets its own error, is reported as not run, reveals nothing
+// about other workspaces, and does not crash the entry.
 var _ = Describe("Bad input", func() {
 	const message = `"messages":[{"role":"user","content":"?"}]`
 	var (
@@ -25,7 +25,7 @@
 
 	BeforeEach(func() {
 		c = newCompanion("engine-1")
-		e = newWorld(c).entry(func(s *configurer.EntrySettings) {
+		e = newDeployment(c).entry(func(s *configurer.EntrySettings) {
 			s.MaxBodyBytes, s.MaxHeaderBytes = configurer.Size(4<<10), configurer.Size(4<<10)
 			s.BodyTimeout = configurer.Duration(100 * time.Millisecond)
 		})
@@ -33,12 +33,12 @@
 
 	AfterEach(func() {
 		Expect(c.dispatched.Load()).To(BeZero())
-		Expect(e.chat(chatBody).StatusCode).To(Equal(http.StatusOK), "the entry is still up")
+		Expect(e.chat(chatBody).StatusCode).To(Equal(http.StatusOK), "the entry still serves")
 	})
 
 	DescribeTable("is refused",
 		func(method, path, body string, status int, code string, fields ...string) {
-			a := e.ask(method, path, body, fields...)
+			a := e.call(method, path, body, fields...)
 			Expect(a.StatusCode).To(Equal(status), a.body)
 			Expect(a.outcome()).To(Equal("NotRun"))
 			Expect(a.body).To(ContainSubstring(`"code":"` + code + `"`))
@@ -51,10 +51,10 @@
 		Entry("deep nesting", "POST", "/v1/chat/completions", strings.Repeat("[", 4000), 400, "invalid_request"),
 		Entry("too large", "POST", "/v1/chat/completions", `{"x":"`+strings.Repeat("x", 5000)+`"}`, 413, "body_too_large"),
 		Entry("no model", "POST", "/v1/chat/completions", `{`+message+`}`, 400, "invalid_request"),
-		Entry("a model that is no name", "POST", "/v1/chat/completions", `{"model":"lyrics",`+message+`}`, 400, "invalid_request"),
+		Entry("a model that is not a name", "POST", "/v1/chat/completions", `{"model":"lyrics",`+message+`}`, 400, "invalid_request"),
 		Entry("no messages", "POST", "/v1/chat/completions", `{"model":"town/lyrics"}`, 400, "invalid_request"),
 		Entry("no prompt", "POST", "/v1/completions", `{"model":"town/lyrics"}`, 400, "invalid_request"),
-		Entry("max_tokens that is no number", "POST", "/v1/chat/completions", `{"model":"town/lyrics","max_tokens":"9",`+message+`}`, 400, "invalid_request"),
+		Entry("max_tokens that is not a number", "POST", "/v1/chat/completions", `{"model":"town/lyrics","max_tokens":"9",`+message+`}`, 400, "invalid_request"),
 		Entry("max_tokens below one", "POST", "/v1/chat/completions", `{"model":"town/lyrics","max_tokens":-1,`+message+`}`, 400, "invalid_request"),
 		Entry("an unknown adapter", "POST", "/v1/chat/completions", `{"model":"town/nobody@1",`+message+`}`, 404, "model_not_found"),
 		Entry("an unknown version", "POST", "/v1/chat/completions", `{"model":"town/lyrics@9",`+message+`}`, 404, "model_not_found"),
@@ -71,21 +71,21 @@
 		Entry("dot segments", "POST", "/services/booking/lookup/%2e%2e/presses", "", 400, "invalid_request"),
 	)
 
-	// Symptom: a caller finds out which adapters a rival has.
-	It("answers another workspace's adapter as one that doesn't exist", func() {
-		ask := func(model string) string {
+	// Guards against callers that find out which adapters another workspace has.
+	It("answers for another workspace's adapter as for one that does not exist", func() {
+		call := func(model string) string {
 			a := e.chat(`{"model":"`+model+`",`+message+`}`, "Authorization", "Bearer "+stranger)
 			Expect(a.StatusCode).To(Equal(404))
 			return strings.ReplaceAll(strings.ReplaceAll(a.body, model, "MODEL"), a.Header.Get("Marigoldpoint-Request"), "ID")
 		}
-		Expect(ask("town/lyrics@3")).To(Equal(ask("town/nobody@3")))
-		Expect(ask("town/undecided")).To(Equal(ask("rival/nobody")))
-		Expect(e.ask("GET", "/v1/models", "", "Authorization", "Bearer "+stranger).body).NotTo(ContainSubstring("lyrics"))
-		Expect(e.ask("POST", "/services/booking/x", "", "Authorization", "Bearer "+stranger).StatusCode).To(Equal(404))
+		Expect(call("town/lyrics@3")).To(Equal(call("town/nobody@3")))
+		Expect(call("town/undecided")).To(Equal(call("rival/nobody")))
+		Expect(e.call("GET", "/v1/models", "", "Authorization", "Bearer "+stranger).body).NotTo(ContainSubstring("lyrics"))
+		Expect(e.call("POST", "/services/booking/x", "", "Authorization", "Bearer "+stranger).StatusCode).To(Equal(404))
 	})
 
-	// Symptom: a few slow callers hold all of an entry's requests.
-	It("ends a sender that is slow, and one that breaks off", func() {
+	// Guards against a few slow callers that occupy all requests of an entry.
+	It("disconnects a sender that is slow or breaks off", func() {
 		for _, breaks := range []bool{false, true} {
 			conn, err := net.Dial("tcp", strings.TrimPrefix(e.url, "http://"))
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/transport/gatekeeper/metrics.go
+++ b/internal/transport/gatekeeper/metrics.go
@@ -18,22 +18,22 @@
 	labelState     = "state"
 )
 
-// metrics are what an entry counts. docs/OPERATING.md says what to do about
-// each.
+// metrics are the Prometheus metrics of an entry. docs/OPERATING.md describes how to
+// respond to each.
 type metrics struct {
-	registerer prometheus.Registerer
-	requests   *prometheus.CounterVec
-	refusals   *prometheus.CounterVec
-	stalls     *prometheus.HistogramVec
-	queueWaits *prometheus.HistogramVec
-	firstBytes *prometheus.HistogramVec
-	choices    prometheus.Histogram
-	retries    *prometheus.CounterVec
-	resumes    prometheus.Counter
-	claims     *prometheus.CounterVec
-	settles    *prometheus.CounterVec
-	wrong      prometheus.Counter
-	cold       prometheus.Counter
+	registerer  prometheus.Registerer
+	requests    *prometheus.CounterVec
+	refusals    *prometheus.CounterVec
+	stalls      *prometheus.HistogramVec
+	queueWaits  *prometheus.HistogramVec
+	firstBytes  *prometheus.HistogramVec
+	choices     prometheus.Histogram
+	retries     *prometheus.CounterVec
+	resumes     prometheus.Counter
+	claims      *prometheus.CounterVec
+	settles     *prometheus.CounterVec
+	wrongModels prometheus.Counter
+	coldChoices prometheus.Counter
 }
 
 var waitBuckets = prometheus.ExponentialBuckets(0.005, 2, 14)
@@ -49,17 +49,17 @@
 	m.queueWaits = histograms(r, "queue_wait_seconds", "Time that requests waited for a place in a batch.")
 	m.firstBytes = histograms(r, "first_byte_seconds", "Time from a request's arrival to its answer's first byte.")
 	m.retries = counters(r, "retry_decisions_total", "Decisions on failed attempts, by verdict.", labelVerdict)
-	m.claims = counters(r, "claims_total", "Claims of calls that may run once, by how they were answered.", labelVerdict)
-	m.settles = counters(r, "claims_settled_total", "Claims settled, by state; Lost ones could not be.", labelState)
-	m.resumes = counter(r, "resumes_total", "Answers asked for again on a new connection.")
-	m.wrong = counter(r, "wrong_model_total", "Answers withheld because the engine named another version.")
-	m.cold = counter(r, "cold_choices_total", "Choices that are expected to load a version.")
-	m.choices = prometheus.NewHistogram(options("choice_seconds", "Time of one choice of a backend server.", prometheus.ExponentialBuckets(5e-7, 2, 12)))
+	m.claims = counters(r, "claims_total", "Claims of calls that may run only once, by verdict.", labelVerdict)
+	m.settles = counters(r, "claims_settled_total", "Claims settled, by state; Lost means that the settlement was not accepted.", labelState)
+	m.resumes = counter(r, "resumes_total", "Answers resumed on a new connection.")
+	m.wrongModels = counter(r, "wrong_model_total", "Answers withheld because the engine named another version.")
+	m.coldChoices = counter(r, "cold_choices_total", "Choices that are expected to load a version.")
+	m.choices = prometheus.NewHistogram(options("choice_seconds", "Duration of one choice of a backend server.", prometheus.ExponentialBuckets(5e-7, 2, 12)))
 	r.MustRegister(m.choices)
 	return m
 }
 
-// observe registers the gauges that read the entry.
+// observe registers the gauges that are read from the entry.
 func (m *metrics) observe(e *Entry) {
 	gauge := func(name, help string, f func() float64) {
 		m.registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
--- a/internal/transport/gatekeeper/models.go
+++ b/internal/transport/gatekeeper/models.go
@@ -8,7 +8,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/indexer"
 )
 
-// modelList and modelBody have OpenAI's published shape.
+// modelList and modelBody follow OpenAI's API.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelBody `json:"data"`
@@ -19,7 +19,7 @@
 	Object  string `json:"object"`
 	Created int64  `json:"created"`
 	OwnedBy string `json:"owned_by"`
-	// Root is the version that answers, as vLLM tells it for an adapter.
+	// Root is the version that answers, as vLLM reports it for an adapter.
 	Root   string `json:"root"`
 	Parent string `json:"parent"`
 }
--- a/internal/transport/gatekeeper/pieces.go
+++ b/internal/transport/gatekeeper/pieces.go
@@ -13,19 +13,19 @@
 // pieceShards is the number of shards of a PieceRouter.
 const pieceShards = 16
 
-// inboxLimit bounds the bytes that wait in one inbox. Companions send only so
-// much before it is acknowledged; a piece beyond is dropped and asked for later.
-const inboxLimit = 16 << 20
+// maxInboxBytes limits the bytes that wait in one inbox. Companions send only a limited
+// amount before it is acknowledged; pieces beyond are dropped and requested later.
+const maxInboxBytes = 16 << 20
 
-// PieceRouter hands the pieces of answers that arrive on any connection to the
-// attempts which wait for them. It is the messenger.Handler of an entry's pool.
+// PieceRouter passes the pieces of answers that arrive on any connection to the
+// attempts that wait for them. It is the messenger.Handler of an entry's pool.
 type PieceRouter struct {
 	shards [pieceShards]pieceShard
 }
 
 type pieceShard struct {
 	mu sync.Mutex
-	// inboxes are the attempts that wait; guarded by mu.
+	// inboxes holds the inboxes of the waiting attempts; guarded by mu.
 	inboxes map[attemptID]*inbox
 }
 
@@ -36,16 +36,16 @@
 
 // inbox holds the pieces that have arrived for one attempt.
 type inbox struct {
-	// arrived gets a value when there is something to take.
+	// arrived receives a value when there are pieces to take.
 	arrived chan struct{}
 
 	mu sync.Mutex
-	// pieces have arrived and were not taken; guarded by mu.
+	// pieces holds the pieces that have arrived and were not taken; guarded by mu.
 	pieces []messenger.Piece
-	// bytes counts their data; guarded by mu.
+	// bytes is the size of their data; guarded by mu.
 	bytes int
-	// lost tells that a piece was dropped; guarded by mu.
-	lost bool
+	// dropped means that a piece was dropped; guarded by mu.
+	dropped bool
 }
 
 // NewPieceRouter returns a PieceRouter without open inboxes.
@@ -57,7 +57,7 @@
 	return p
 }
 
-// Handle takes a piece. One that nobody waits for is late and dropped.
+// Handle delivers a piece. A piece for which no attempt waits is late, and is dropped.
 func (p *PieceRouter) Handle(_ context.Context, _ *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
 	if method != messenger.MethodPiece {
 		return nil, messenger.NewRefusal(messenger.ReasonUnsupported, string(method))
@@ -70,7 +70,7 @@
 	return nil, nil
 }
 
-// Deliver hands the piece to its attempt.
+// Deliver passes the piece to its attempt.
 func (p *PieceRouter) Deliver(piece messenger.Piece) {
 	id := attemptID{piece.Request, piece.Attempt}
 	s := p.shard(id)
@@ -104,8 +104,8 @@
 
 func (b *inbox) put(piece messenger.Piece) {
 	b.mu.Lock()
-	if b.bytes+len(piece.Data) > inboxLimit {
-		b.lost = true
+	if b.bytes+len(piece.Data) > maxInboxBytes {
+		b.dropped = true
 	} else {
 		b.pieces = append(b.pieces, piece)
 		b.bytes += len(piece.Data)
@@ -117,11 +117,11 @@
 	}
 }
 
-// take returns what has arrived, and whether a piece was dropped.
-func (b *inbox) take() (pieces []messenger.Piece, lost bool) {
+// takeAll returns the pieces that have arrived, and whether a piece was dropped.
+func (b *inbox) takeAll() (pieces []messenger.Piece, dropped bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	pieces, lost = b.pieces, b.lost
-	b.pieces, b.bytes, b.lost = nil, 0, false
-	return pieces, lost
+	pieces, dropped = b.pieces, b.dropped
+	b.pieces, b.bytes, b.dropped = nil, 0, false
+	return pieces, dropped
 }
--- a/internal/transport/gatekeeper/quota_test.go
+++ b/internal/transport/gatekeeper/quota_test.go
@@ -14,28 +14,28 @@
 
 var _ = Describe("A workspace's quota", func() {
 	var c *companion
-	var w *world
+	var w *deployment
 	var e *entry
 
 	BeforeEach(func() {
 		c = newCompanion("engine-1")
-		w = newWorld(c)
+		w = newDeployment(c)
 		w.put(storer.KindWorkspace, "town", "town", storer.WorkspaceSpec{TokenRate: 100})
 		e = w.entry(nil)
 		w.control.decide(bucketer.Decision{Admitted: true})
 	})
 
-	It("pays for calls that run", func() {
+	It("is charged for calls that run", func() {
 		c.dispatch = func(conn *messenger.Conn, d messenger.Dispatch) error {
-			send(conn, whole(d.Request, d.Attempt, "answer")...)
+			send(conn, wholeAnswer(d.Request, d.Attempt, "answer")...)
 			return nil
 		}
 		Expect(e.chat(chatBody).StatusCode).To(Equal(http.StatusOK))
 		Expect(w.control.spent()).To(BeNumerically(">", 0))
 	})
 
-	// Guards against calls that never ran and stay paid for.
-	It("is given back for a call that has not run", func() {
+	// Guards against calls that did not run and are not refunded.
+	It("is refunded for a call that has not run", func() {
 		c.dispatch = func(*messenger.Conn, messenger.Dispatch) error {
 			return messenger.NewRefusal(messenger.ReasonStopping, "stopping")
 		}
@@ -43,7 +43,7 @@
 		Expect(w.control.spent()).To(BeZero())
 	})
 
-	It("refuses what is over it at once, with the time to come back", func() {
+	It("refuses calls over it at once, with the time to retry after", func() {
 		w.control.decide(bucketer.Decision{RetryAfter: 1500 * time.Millisecond})
 		refused := e.chat(chatBody)
 		Expect(refused.StatusCode).To(Equal(http.StatusTooManyRequests))
@@ -52,7 +52,7 @@
 		Expect(refused.Header.Get("Retry-After-Ms")).To(Equal("1500"))
 	})
 
-	It("refuses what it can't know", func() {
+	It("refuses calls if it is not known", func() {
 		w.control.decide(bucketer.Decision{Unknown: true})
 		Expect(e.chat(chatBody).StatusCode).To(Equal(http.StatusServiceUnavailable))
 	})
--- a/internal/transport/gatekeeper/request.go
+++ b/internal/transport/gatekeeper/request.go
@@ -17,36 +17,37 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// request is one caller's request on its way through attempts. Its caller's
-// goroutine owns it.
+// request is one caller's request and its attempts. The caller's goroutine owns it.
 type request struct {
 	*exchange
 	deadline   time.Time
 	idempotent bool
 	stream     bool
 	call       router.Call
-	// dispatch is the template of every attempt's.
+	// dispatch is the template for the dispatch of every attempt.
 	dispatch messenger.Dispatch
-	// claim is nil for a call that may be run again.
+	// claim is nil for a call that may run again.
 	claim *claim
 
-	// answer is the latest attempt's. It has begun only if it is the last one.
+	// answer is the answer of the latest attempt. Only that of the last attempt is ever
+	// sent.
 	answer *answer
-	// decision is the latest choice.
+	// decision is the latest decision of the router.
 	decision *router.Decision
 	attempts int
-	// ran tells that an attempt may have run. It never goes back to false.
-	ran bool
-	// paidFor is what the call was charged, in tokens of its workspace's quota.
-	paidFor float64
-	// wait is the queue wait that the last answer told; negative for none.
-	wait time.Duration
+	// mayHaveRun means that an attempt may have run. It is never reset.
+	mayHaveRun bool
+	// quotaCost is the amount charged to the workspace's quota, in tokens.
+	quotaCost float64
+	// queueWait is the time in the queue that the last answer reported; negative if
+	// none.
+	queueWait time.Duration
 }
 
-// serve takes the request through the limits, the claim and the attempts.
+// serve applies the limits, acquires the claim and makes the attempts.
 func (q *request) serve() *translator.Fault {
 	e := q.entry
-	q.wait = -1
+	q.queueWait = -1
 	if fault := q.quarantined(); fault != nil {
 		return fault
 	}
@@ -59,11 +60,11 @@
 	if fault := q.charge(workspace); fault != nil {
 		return fault
 	}
-	defer q.giveBack()
+	defer q.refundQuota()
 	if a := e.limiter.Admit(e.settings.Now(), admission); a.Verdict != limiter.VerdictAdmitted {
 		return limited(a)
 	}
-	defer func() { e.limiter.Done(e.settings.Now(), admission, q.wait) }()
+	defer func() { e.limiter.Done(e.settings.Now(), admission, q.queueWait) }()
 
 	ctx, cancel := q.context()
 	defer cancel()
@@ -80,10 +81,10 @@
 	return q.ended(fault)
 }
 
-// context returns a context that ends at the deadline, and with the caller's
-// connection unless the call is claimed: cancelled half-way, a call that may run
-// only once could never be answered. It goes on, and its caller finds the answer
-// kept when it comes back with the key.
+// context returns a context that ends at the deadline and, unless the call is claimed,
+// with the caller's connection. A claimed call may run only once, and cancelled halfway
+// it could never be answered. It continues, and its caller receives the retained answer
+// when it retries with the key.
 func (q *request) context() (context.Context, context.CancelFunc) {
 	ctx := q.r.Context()
 	if q.claim != nil {
@@ -92,7 +93,7 @@
 	return context.WithTimeout(ctx, q.deadline.Sub(q.entry.settings.Now()))
 }
 
-// limited is the refusal of a call over the limits. It is given at once.
+// limited returns the fault for a call that exceeds the limits.
 func limited(a limiter.Answer) *translator.Fault {
 	var f *translator.Fault
 	switch a.Verdict {
@@ -107,13 +108,13 @@
 	return f
 }
 
-// ended records the request's end, and returns the fault that is still to be
-// written. A request that was answered in part ends in the answer's own way.
+// ended records the end of the request, and returns the fault that is still to be
+// written. The answer of a request that was answered in part is aborted instead.
 func (q *request) ended(fault *translator.Fault) *translator.Fault {
 	e := q.entry
 	outcome := messenger.OutcomeCompleted
 	if fault != nil {
-		q.undecide(fault)
+		q.markUndecided(fault)
 		outcome = fault.Outcome
 	}
 	e.metrics.requests.WithLabelValues(q.dispatch.Workspace, outcome.String()).Inc()
@@ -123,13 +124,13 @@
 			Str("Backend", q.decision.Backend).Int("Attempts", q.attempts).Dur("Took", e.settings.Now().Sub(q.began)).Msg("answered")
 		return nil
 	}
-	if !q.answer.begun {
+	if !q.answer.headerSent {
 		return fault
 	}
 	e.metrics.refusals.WithLabelValues(string(fault.Code)).Inc()
 	e.settings.Recorder.Record(q.event(recorder.KindRequestRefused, "cut: "+fault.Error()))
 	e.settings.Log.Warn().Str("Request", q.id).Str("Workspace", q.dispatch.Workspace).Str("Code", string(fault.Code)).Msg("answer cut off")
-	q.answer.cut(fault)
+	q.answer.abort(fault)
 	return nil
 }
 
@@ -140,8 +141,8 @@
 	}
 }
 
-// run makes attempts until one ends the request. It returns nil when the caller
-// has the whole answer.
+// run makes attempts until one ends the request. It returns nil if the caller has the
+// complete answer.
 func (q *request) run(ctx context.Context) *translator.Fault {
 	var last result
 	for {
@@ -149,25 +150,25 @@
 			return fault
 		}
 		last = q.attempt(ctx)
-		q.ran = q.ran || last.outcome != messenger.OutcomeNotRun
+		q.mayHaveRun = q.mayHaveRun || last.outcome != messenger.OutcomeNotRun
 		if last.outcome == messenger.OutcomeCompleted {
 			q.entry.retrier.Succeeded(q.entry.settings.Now(), q.call.Pool.Name)
-			q.survived(ctx)
+			q.clearSuspect(ctx)
 			return nil
 		}
 		if q.quarantined() != nil {
 			return q.fault(last)
 		}
-		if last.final || !q.again(ctx, last) {
+		if last.final || !q.awaitRetry(ctx, last) {
 			return q.fault(last)
 		}
 	}
 }
 
-// choose picks the backend server of the next attempt.
+// choose selects the backend server of the next attempt.
 func (q *request) choose(last *result) *translator.Fault {
 	e := q.entry
-	e.members()
+	e.syncMembers()
 	q.decision = &router.Decision{}
 	began := time.Now()
 	err := e.router.Choose(e.settings.Now(), &q.call, q.decision)
@@ -180,7 +181,7 @@
 	event.Choices = q.decision.Choices()
 	if err == nil {
 		if q.decision.Cold {
-			e.metrics.cold.Inc()
+			e.metrics.coldChoices.Inc()
 		}
 		event.Detail = fmt.Sprintf("spread %d, cold %t", q.decision.Spread, q.decision.Cold)
 		e.settings.Recorder.Record(event)
@@ -196,13 +197,14 @@
 	return f
 }
 
-// again decides on another attempt after a failed one, and waits for its time.
-func (q *request) again(ctx context.Context, last result) bool {
+// awaitRetry decides whether to retry after a failed attempt, and waits until the retry
+// is due.
+func (q *request) awaitRetry(ctx context.Context, last result) bool {
 	e := q.entry
 	q.call.Avoid = append(q.call.Avoid, q.decision.Backend)
 	d := e.retrier.Decide(e.settings.Now(), retrier.Attempt{
 		Group: q.call.Pool.Name, Number: q.attempts,
-		NotRun: last.outcome == messenger.OutcomeNotRun, Idempotent: q.idempotent, Answered: q.answer.begun,
+		NotRun: last.outcome == messenger.OutcomeNotRun, Idempotent: q.idempotent, Answered: q.answer.headerSent,
 		RetryAfter: last.retryAfter, Alone: e.router.Size(q.call.Pool) <= len(q.call.Avoid), Deadline: q.deadline,
 	})
 	e.metrics.retries.WithLabelValues(d.Verdict.String()).Inc()
--- a/internal/transport/gatekeeper/resolve.go
+++ b/internal/transport/gatekeeper/resolve.go
@@ -13,21 +13,21 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// unknownModel is the answer for an adapter that doesn't exist and for one that
-// belongs to another workspace alike, so that a caller learns nothing about
-// others' adapters.
+// unknownModel returns the fault for an adapter that does not exist, and for one that
+// belongs to another workspace, so that a caller learns nothing about the adapters of
+// others.
 func unknownModel(name string) *translator.Fault {
 	f := translator.NewFault(http.StatusNotFound, translator.CodeModelNotFound, "there is no model %.300q for this key", name)
 	f.Param = "model"
 	return f
 }
 
-// resolve finds the version that the caller means.
+// resolve finds the version for the requested name.
 func (x *exchange) resolve(name translator.Name) (indexer.Target, *translator.Fault) {
 	if name.Workspace != x.holder.Workspace {
 		return indexer.Target{}, unknownModel(name.String())
 	}
-	if name.Version == "" && !x.leased() {
+	if name.Version == "" && !x.awaitLease() {
 		return indexer.Target{}, x.notReady("which version is current")
 	}
 	t, err := x.entry.settings.Index.Resolve(name.Workspace, name.Adapter, name.Version)
@@ -44,34 +44,34 @@
 	}
 }
 
-// notReady refuses what depends on a configuration that the entry can't know to
-// be in force: without contact to the control hosts it would go by rules that
-// the operators may have replaced.
+// notReady refuses a request that depends on a configuration that is not known to be in
+// force: without contact to the control hosts the entry could apply rules that the
+// operators have replaced.
 func (x *exchange) notReady(what string) *translator.Fault {
 	f := translator.NewFault(http.StatusServiceUnavailable, translator.CodeNotReady,
-		"this entry has lost the control hosts and can't tell %s", what)
+		"this entry has lost contact with the control hosts and does not know %s", what)
 	f.RetryAfter = x.entry.random.jitter(2 * time.Second)
 	return f
 }
 
-// leased reports whether the entry may go by the rules that it knows. A request with an
-// idempotency key waits for that, as long as one waits for its claim.
+// awaitLease reports whether the known configuration is in force. A request with an
+// idempotency key waits for that, for as long as it would wait for its claim.
 //
-// Control hosts that change their leader are back in a second or two. Refused meanwhile, a
-// caller with a key could only be told that the outcome is unknown, since nobody can be
-// asked whether the key has run.
-func (x *exchange) leased() bool {
+// Control hosts recover from a change of leader within a second or two. If a request
+// with a key were refused meanwhile, the outcome would have to be Unknown, since nobody
+// could be asked whether the key has run.
+func (x *exchange) awaitLease() bool {
 	e := x.entry
 	if e.settings.Control.LeaseValid() || x.r.Header.Get(translator.HeaderIdempotencyKey) == "" {
 		return e.settings.Control.LeaseValid()
 	}
-	patience := claimPatience
+	timeout := claimTimeout
 	if given, err := translator.Deadline(x.r.Header); err == nil && given > 0 {
-		patience = min(patience, given)
+		timeout = min(timeout, given)
 	}
-	ctx, cancel := context.WithTimeout(x.r.Context(), patience)
+	ctx, cancel := context.WithTimeout(x.r.Context(), timeout)
 	defer cancel()
-	for pauser.Pause(ctx, leasePoll) {
+	for pauser.Pause(ctx, leasePollInterval) {
 		if e.settings.Control.LeaseValid() {
 			return true
 		}
@@ -79,20 +79,20 @@
 	return false
 }
 
-// leasePoll is the time between two looks whether the lease is back.
-const leasePoll = 20 * time.Millisecond
+// leasePollInterval is the time between two checks for a valid lease.
+const leasePollInterval = 20 * time.Millisecond
 
 // rule returns the priority rule of a call.
 func (x *exchange) rule(adapter string) (storer.PriorityRuleSpec, *translator.Fault) {
 	rule, found := x.entry.settings.Index.Rule(x.holder.Workspace, adapter, x.holder.Name)
-	if found && !x.leased() {
-		return rule, x.notReady("which priority rule holds")
+	if found && !x.awaitLease() {
+		return rule, x.notReady("which priority rule is in force")
 	}
 	return rule, nil
 }
 
-// deadline returns the end of the time that the request has: the caller's, the
-// rule's or the entry's own, never later than the entry's.
+// deadline returns the deadline of the request: that of the caller, of the priority
+// rule or of the entry, but never later than that of the entry.
 func (x *exchange) deadline(rule storer.PriorityRuleSpec) (time.Time, *translator.Fault) {
 	longest := time.Duration(x.entry.settings.Entry.RequestTimeout)
 	given, err := translator.Deadline(x.r.Header)
--- a/internal/transport/gatekeeper/serve.go
+++ b/internal/transport/gatekeeper/serve.go
@@ -12,21 +12,21 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// exchange is one HTTP request and what is known of its caller.
+// exchange is one HTTP request, with what is known about its caller.
 type exchange struct {
 	entry *Entry
 	w     http.ResponseWriter
 	r     *http.Request
-	// id is the request id that every answer names.
+	// id is the request id that is part of every answer.
 	id    string
 	began time.Time
-	// holder is whom the bearer key belongs to.
+	// holder is the owner of the bearer key.
 	holder indexer.KeyHolder
 	// content is the body as the caller sent it.
 	content []byte
-	// decided tells that the control group has said whether the request's idempotency
-	// key may run: until then it may have, through another entry.
-	decided bool
+	// keyDecided means that the control group has decided whether the request's
+	// idempotency key may run. Before that, the key may have run through another entry.
+	keyDecided bool
 }
 
 func (e *Entry) routes() *http.ServeMux {
@@ -45,8 +45,8 @@
 	return mux
 }
 
-// serve checks the header's size and passes the request on. Without the check a
-// caller with a header over the listener's limit would get an answer without an
+// serve checks the size of the header and passes the request on. Without the check, a
+// caller whose header exceeds the listener's limit would get an answer without an
 // outcome.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request) {
 	size := len(r.RequestURI)
@@ -71,7 +71,7 @@
 	return x
 }
 
-// handle wraps a handler with what all requests have in common.
+// handle wraps a handler with the steps that all requests share.
 func (e *Entry) handle(f func(x *exchange) *translator.Fault) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		x := e.exchange(w, r)
@@ -94,9 +94,9 @@
 	}
 }
 
-// refuse answers a request of which nothing has been answered.
+// refuse answers a request with a fault if no part of an answer was sent.
 func (e *Entry) refuse(x *exchange, f *translator.Fault) {
-	x.undecide(f)
+	x.markUndecided(f)
 	e.metrics.refusals.WithLabelValues(string(f.Code)).Inc()
 	e.settings.Recorder.Record(recorder.Event{
 		Kind: recorder.KindRequestRefused, Request: x.id, Workspace: x.holder.Workspace,
@@ -107,24 +107,24 @@
 	f.Write(x.w, x.id)
 }
 
-// undecide takes "not run" back from a refusal that was given before anybody was asked
-// whether the request's key has run.
+// markUndecided changes the outcome of a refusal from NotRun to Unknown if it was not
+// determined whether the request's key has run.
 //
-// A caller sends a booking again, with its key, when its connection broke; it comes to an
-// entry that has lost the control hosts, or is full, or stops. Nothing runs by this
-// sending. But the booking may have run by the first one: a caller who is told that
-// nothing did books under another key, and has two. What the same request would meet at
-// any time, as a body that can't be read, stays not run.
-func (x *exchange) undecide(f *translator.Fault) {
-	if x.decided || f.Outcome != messenger.OutcomeNotRun || x.r.Header.Get(translator.HeaderIdempotencyKey) == "" || f.Inherent() {
+// A caller whose connection broke resends a booking with its key, and reaches an entry
+// that has lost the control hosts, is full, or is stopping. This attempt does not run,
+// but the first one may have: a caller that is told NotRun would book again under
+// another key, and have two bookings. Refusals that the same request would get at any
+// time, such as for a malformed body, remain NotRun.
+func (x *exchange) markUndecided(f *translator.Fault) {
+	if x.keyDecided || f.Outcome != messenger.OutcomeNotRun || x.r.Header.Get(translator.HeaderIdempotencyKey) == "" || f.Inherent() {
 		return
 	}
 	f.Outcome, f.Undecided = messenger.OutcomeUnknown, true
 	f.Message += "; whether a request with this idempotency key has run before is not known"
 }
 
-// authenticate finds whom the bearer key belongs to. A disabled key and an
-// unknown one get the same answer.
+// authenticate finds the owner of the bearer key. Disabled and unknown keys get the
+// same answer.
 func (x *exchange) authenticate() *translator.Fault {
 	key := translator.BearerKey(x.r.Header)
 	if key != "" {
@@ -144,7 +144,7 @@
 	case "/v1/models":
 		x.w.Header().Set("Allow", http.MethodGet)
 	default:
-		return translator.NewFault(http.StatusNotFound, translator.CodeNotFound, "there is nothing at this path")
+		return translator.NewFault(http.StatusNotFound, translator.CodeNotFound, "this path does not exist")
 	}
 	return translator.NewFault(http.StatusMethodNotAllowed, translator.CodeMethod, "method %.20s is not allowed here", x.r.Method)
 }
--- a/internal/transport/gatekeeper/service.go
+++ b/internal/transport/gatekeeper/service.go
@@ -11,7 +11,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// serviceTokens is what a call to a plain service counts in the limits.
+// serviceTokens is the number of tokens that a call to a plain service counts in the
+// limits.
 const serviceTokens = 256
 
 // service serves a call to a plain service.
@@ -41,8 +42,8 @@
 	if fault != nil {
 		return fault
 	}
-	// Which calls are idempotent is a rule that operators may have changed; an
-	// entry that can't know takes none to be.
+	// The operators may have changed which calls are idempotent; without a valid lease
+	// the entry treats none as idempotent.
 	idempotent := repeatable(spec, x.r.Method, target) && x.entry.settings.Control.LeaseValid()
 	q := &request{
 		exchange:   x,
@@ -55,12 +56,12 @@
 			Method: x.r.Method, Path: target, Header: translator.Forwarded(x.r.Header), Body: body,
 		},
 	}
-	// A key binds no call that may run again.
-	x.decided = idempotent
+	// A key has no effect on a call that may run again.
+	x.keyDecided = idempotent
 	if !idempotent {
 		if key == "" {
-			// No one else can have the key; the claim still has the entry's own
-			// retries and a late dispatch bounded by one holder.
+			// Nobody else has this key; the claim still limits the entry's own retries
+			// and late dispatches to one holder.
 			key = x.id
 		}
 		q.claimKey(key, body)
@@ -68,9 +69,9 @@
 	return q.serve()
 }
 
-// servicePath returns the path and query below the service, as the caller
-// escaped them. A path with dot segments is refused: it could pass the check
-// against the idempotent paths as one and reach the service as another.
+// servicePath returns the path and query below the service, in the caller's escaping.
+// Paths with dot segments are refused: such a path could match an idempotent path and
+// reach the service as a different one.
 func (x *exchange) servicePath(name string) (string, *translator.Fault) {
 	for segment := range strings.SplitSeq(x.r.URL.Path, "/") {
 		if segment == "." || segment == ".." {
@@ -92,14 +93,14 @@
 	return translator.NewFault(http.StatusNotFound, translator.CodeServiceNotFound, "there is no service %.150q for this key", name)
 }
 
-// servicePool finds the backend servers of a service that the workspace has
-// declared: its own, or those that all workspaces share.
+// servicePool returns the backend servers of a service that the workspace has declared:
+// its own if there are any, or else those that all workspaces share.
 func (x *exchange) servicePool(name string) (router.Pool, storer.ServiceSpec, *translator.Fault) {
 	spec, ok := x.entry.settings.Index.Service(x.holder.Workspace, name)
 	if !ok {
 		return router.Pool{}, spec, unknownService(name)
 	}
-	x.entry.members()
+	x.entry.syncMembers()
 	own := router.Pool{Kind: storer.MemberKindService, Name: x.holder.Workspace + "/" + name}
 	if x.entry.router.Serves(own) {
 		return own, spec, nil
@@ -107,9 +108,9 @@
 	return router.Pool{Kind: storer.MemberKindService, Name: name}, spec, nil
 }
 
-// repeatable reports whether the operators declared the call idempotent, by its
-// method or by a path prefix that ends at a segment's end. The path is compared
-// as the service will see it.
+// repeatable reports whether the operators declared the call idempotent, by its method
+// or by a path prefix of whole segments. The path is compared in the form in which the
+// service receives it.
 func repeatable(spec storer.ServiceSpec, method, target string) bool {
 	if slices.Contains(spec.IdempotentMethods, method) {
 		return true
--- a/internal/transport/gatekeeper/settings.go
+++ b/internal/transport/gatekeeper/settings.go
@@ -22,7 +22,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/subscriber"
 )
 
-// Index is what an entry reads of the configuration; an *indexer.Index.
+// Index is the configuration as an entry reads it, an *indexer.Index.
 type Index interface {
 	Resolve(workspace, adapter, version string) (indexer.Target, error)
 	Rule(workspace, adapter, key string) (storer.PriorityRuleSpec, bool)
@@ -34,87 +34,85 @@
 	Suspects() *blamer.List
 }
 
-// Control is what an entry asks of the control hosts; a *subscriber.Client.
+// Control is the client of the control hosts, a *subscriber.Client.
 type Control interface {
-	// Propose submits a command and returns the state machine's answer. Its
-	// errors leave open whether the command takes effect, except for
-	// subscriber.ErrNotAccepted.
+	// Propose submits a command and returns the state machine's result. After an error
+	// the command may still take effect, unless the error is subscriber.ErrNotAccepted.
 	Propose(ctx context.Context, e storer.Envelope) (storer.Result, error)
 	// LeaseValid reports whether the configuration is known to be in force.
 	LeaseValid() bool
 	// Spend admits a call of a workspace with a quota, or refuses it.
 	Spend(workspace string, limit bucketer.Limit, cost float64) bucketer.Decision
-	// Refund gives back what a call that has not run was admitted with.
+	// Refund returns the cost of a call that did not run.
 	Refund(workspace string, cost float64)
-	// AwaitReport has control asked at once for what is left of quotas, and reports whether
-	// an answer came.
+	// AwaitReport requests the remaining quotas from control at once, and reports
+	// whether an answer arrived.
 	AwaitReport(ctx context.Context) bool
-	// OnDigest registers what takes residency and load changes.
+	// OnDigest registers the receiver of changes of residency and load.
 	OnDigest(f func(registrar.Digest))
 }
 
-// Pool opens connections to companions; a *dialer.Pool whose messages go to
-// a PieceRouter.
+// Pool opens connections to companions. It is a *dialer.Pool whose handler is a
+// PieceRouter.
 type Pool interface {
 	Conn(ctx context.Context, address string) (*messenger.Conn, error)
 }
 
-// Times of an entry that the settings leave open.
+// Time limits of an entry that are not configurable.
 const (
-	// resumeLimit is the longest time for which the entry asks a companion that
-	// it can't reach for the rest of an answer.
-	resumeLimit = 15 * time.Second
-	// gapPatience is the time that a missing piece may be late before it is
-	// asked for.
-	gapPatience = 200 * time.Millisecond
-	// digestAge is the age of the load in a digest: two ticks on its way.
-	digestAge = time.Second
-	// claimPatience is the longest time for which the entry tries to have a call
-	// claimed: longer than an election takes.
-	claimPatience = 5 * time.Second
-	// settleLimit is the longest time for which the entry tries to settle a
-	// claim.
-	settleLimit = 30 * time.Second
-	// writePatience is the time beyond the deadline for which a caller that
-	// reads slowly is waited for.
-	writePatience = 5 * time.Second
+	// resumeTimeout is the maximum time for which the entry tries to get the rest of an
+	// answer from a companion that it can't reach.
+	resumeTimeout = 15 * time.Second
+	// gapTimeout is how late a missing piece may be before it is requested again.
+	gapTimeout = 200 * time.Millisecond
+	// assumedDigestAge is the assumed age of the load in a digest: two ticks in
+	// transit.
+	assumedDigestAge = time.Second
+	// claimTimeout is the maximum time for which the entry tries to claim a call. It is
+	// longer than an election.
+	claimTimeout = 5 * time.Second
+	// settleTimeout is the maximum time for which the entry tries to settle a claim.
+	settleTimeout = 30 * time.Second
+	// writeGrace is how long after the deadline a slowly reading caller may take to
+	// read the answer.
+	writeGrace = 5 * time.Second
 )
 
-// Settings are what an entry is made of. Index, Control, Pool, Pieces, Now and
-// Random must be set.
+// Settings are the options of an Entry. Index, Control, Pool, PieceRouter, Now and
+// Random are required.
 type Settings struct {
-	// Node is the process's name.
+	// Node is the name of the process.
 	Node          string
 	Region        string
 	FailureDomain string
-	// Entry is read with its defaults filled in.
+	// Entry holds the entry's settings, with defaults applied.
 	Entry configurer.EntrySettings
-	// Entries is the number of entries that share the callers; 0 means 1.
+	// Entries is the number of entries that share the load of callers; 0 means 1.
 	Entries int
 	Index   Index
 	Control Control
 	Pool    Pool
-	// Pieces takes the pieces that arrive on the pool's connections.
+	// PieceRouter receives the pieces that arrive on the pool's connections.
 	PieceRouter *PieceRouter
 	// Recorder and Registerer may be nil.
 	Recorder   *recorder.Recorder
 	Registerer prometheus.Registerer
 	Log        zerolog.Logger
 	Now        func() time.Time
-	// Random is taken over by the entry.
+	// Random is used only by the entry from then on.
 	Random *rand.Rand
 }
 
 func (s Settings) check() {
 	switch {
 	case s.Index == nil, s.Control == nil, s.Pool == nil, s.PieceRouter == nil:
-		panic("gatekeeper: settings need index, control, pool and pieces")
+		panic("gatekeeper: settings need index, control, pool and piece router")
 	case s.Now == nil, s.Random == nil:
 		panic("gatekeeper: settings need clock and random source")
 	}
 }
 
-// routerSettings returns the router's part of the settings.
+// routerSettings returns the settings of the router.
 func (s Settings) routerSettings() router.Settings {
 	return router.Settings{
 		Policy:        policyOf(s.Entry.Policy),
@@ -141,8 +139,8 @@
 	}
 }
 
-// Limits returns the limits of the listener for callers. The header's is twice
-// the setting: up to there the entry answers for itself, with the outcome.
+// Limits returns the limits of the callers' listener. The header limit is twice the
+// setting: up to that size the entry answers itself, with an outcome.
 func Limits(e configurer.EntrySettings) listener.Limits {
 	return listener.Limits{
 		MaxHeaderBytes: int(2 * e.MaxHeaderBytes),
@@ -151,6 +149,5 @@
 	}
 }
 
-// certain reports whether a proposal's error means that it certainly takes no
-// effect.
+// certain reports whether the error of a proposal proves that it takes no effect.
 func certain(err error) bool { return errors.Is(err, subscriber.ErrNotAccepted) }
--- a/internal/transport/gatekeeper/suspect.go
+++ b/internal/transport/gatekeeper/suspect.go
@@ -11,28 +11,29 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// tellLimit bounds the wait until control takes in what an entry tells of a request: an
-// election, several times over.
-const tellLimit = 10 * time.Second
+// proposeTimeout limits the wait until control accepts a report on a request: several
+// times as long as an election.
+const proposeTimeout = 10 * time.Second
 
-// identity returns what makes the request the same as others of its caller.
+// identity returns the properties by which requests of a caller are recognized as the
+// same.
 func (x *exchange) identity() identifier.Request {
 	return identifier.Request{
 		Caller: x.holder.Workspace + "/" + x.holder.Name, Method: x.r.Method, Target: x.r.URL.RequestURI(), Body: x.content,
 	}
 }
 
-// maySuspect reports whether backend servers may have ended under the request. While there
-// are no suspects it costs a call nothing.
+// maySuspect reports whether backend servers may have ended while they ran the request.
+// It is cheap as long as there are no suspects.
 func (q *request) maySuspect() bool {
 	known, t := q.entry.settings.Index.Suspects(), q.entry.suspects
 	return t.Any(known) && t.SuspectAt(known, q.identity().Place())
 }
 
-// quarantined refuses a request under which as many backend servers ended as may.
+// quarantined refuses a request if too many backend servers ended while they ran it.
 //
-// One that ends whatever runs it, and that its caller repeats, takes one backend server
-// after the other, each with all that is in progress there.
+// A request that crashes its backend server, and that its caller repeats, takes down
+// one backend server after another, each with all requests in progress there.
 func (q *request) quarantined() *translator.Fault {
 	e := q.entry
 	if !q.maySuspect() {
@@ -49,38 +50,39 @@
 	return f
 }
 
-// blame notes the lives of a backend server that ended while they ran the request, and tells
-// control of them, which adds up what all entries tell.
-func (q *request) blame(ctx context.Context, backend string, lives []string, progressed bool) {
-	if len(lives) == 0 {
+// reportEnds records the incarnations of a backend server that ended while they ran the
+// request, and reports them to control, which adds up the reports of all entries.
+func (q *request) reportEnds(ctx context.Context, backend string, incarnations []string, progressed bool) {
+	if len(incarnations) == 0 {
 		return
 	}
 	of := q.identity()
 	requests := []storer.EndedRequest{{Name: identifier.Identify(of).String(), Place: of.Place(), Progressed: progressed}}
-	for _, life := range lives {
-		c := storer.CountEnds{Service: q.call.Pool.Name, Life: suspecter.Life(backend, life), Requests: requests}
+	for _, incarnation := range incarnations {
+		c := storer.CountEnds{Service: q.call.Pool.Name, Life: suspecter.Life(backend, incarnation), Requests: requests}
 		q.entry.suspects.Ended(q.entry.settings.Now(), c)
-		q.tell(ctx, c)
+		q.propose(ctx, c)
 	}
 }
 
-// survived notes that a run has answered the request: it does not end what runs it.
-func (q *request) survived(ctx context.Context) {
+// clearSuspect records that a backend server answered the request, which therefore does
+// not crash its backend server.
+func (q *request) clearSuspect(ctx context.Context) {
 	if !q.maySuspect() {
 		return
 	}
 	if id := identifier.Identify(q.identity()); q.entry.suspects.Answered(q.entry.settings.Index.Suspects(), id) {
-		q.tell(ctx, storer.ClearSuspects{Names: []string{id.String()}})
+		q.propose(ctx, storer.ClearSuspects{Names: []string{id.String()}})
 	}
 }
 
-// tell has control take a change in, beside the request.
-func (q *request) tell(ctx context.Context, c storer.Command) {
+// propose submits a command in the background, and logs a failure.
+func (q *request) propose(ctx context.Context, c storer.Command) {
 	e := q.entry
-	e.beside(ctx, tellLimit, func(ctx context.Context) {
+	e.runDetached(ctx, proposeTimeout, func(ctx context.Context) {
 		if _, err := e.settings.Control.Propose(ctx, storer.Envelope{Command: c}); err != nil {
-			// What this entry has seen goes on to count here.
-			e.settings.Log.Warn().Err(err).Str("Request", q.id).Msg("control was not told of a request's ends or answers")
+			// The entry's own record remains in effect locally.
+			e.settings.Log.Warn().Err(err).Str("Request", q.id).Msg("reporting a request's failures or answers to control failed")
 		}
 	})
 }
