--- a/internal/transport/requester/backup.go
+++ b/internal/transport/requester/backup.go
@@ -20,28 +20,28 @@
 )
 
 const (
-	// exportPage is the number of resources asked for at once.
-	exportPage = "1000"
-	// importParallel is the number of changes sent at once. Changes that wait
-	// together are committed together.
-	importParallel = 16
-	// maxLine bounds a line of a back-up, in bytes; the API takes no longer body.
-	maxLine = 64 << 10
+	// exportPageSize is the number of resources requested per page.
+	exportPageSize = "1000"
+	// importConcurrency is the number of changes sent concurrently. Changes that wait
+	// at the same time are committed together.
+	importConcurrency = 16
+	// maxLineBytes limits a line of a back-up; the API accepts no larger body.
+	maxLineBytes = 64 << 10
 )
 
-// exportedKinds are what operators declare in a workspace, in an order in which
-// each can be declared after those before it. An adapter's current version is
-// the exception: it must be there first.
+// exportedKinds are the kinds that operators declare in a workspace, ordered so that
+// each can be declared after those before it. The current version of an adapter is the
+// exception: it must exist before it becomes current.
 var exportedKinds = []storer.Kind{
 	storer.KindAdapter, storer.KindVersion, storer.KindPriorityRule, storer.KindService, storer.KindKey,
 }
 
-// Export writes all that operators have declared to w, one resource a line. Of
-// callers' keys it writes the hashes. It returns the number of resources.
+// Export writes all resources that operators have declared to w, one JSON document per
+// line, and returns their number. Of callers' keys it writes the hashes.
 //
-// It reads list after list, so changes made meanwhile may be in it in part. An
-// adapter is read before its versions: the one that was current then can't be
-// missing unless it was deleted meanwhile.
+// It reads one list after another, so that changes made meanwhile may be included in
+// part. An adapter is read before its versions, so that its current version is included
+// unless it was deleted meanwhile.
 func (c *Client) Export(ctx context.Context, w io.Writer) (count int, err error) {
 	e := exporter{client: c, out: json.NewEncoder(w)}
 	workspaces, err := e.list(ctx, workspacesPath)
@@ -66,9 +66,9 @@
 
 // list writes the resources at path and returns their names.
 func (e *exporter) list(ctx context.Context, path string) (names []string, err error) {
-	query := url.Values{"Limit": {exportPage}}
+	query := url.Values{"Limit": {exportPageSize}}
 	for {
-		data, err := e.client.once(ctx, http.MethodGet, path+"?"+query.Encode(), nil, nil)
+		data, err := e.client.request(ctx, http.MethodGet, path+"?"+query.Encode(), nil, nil)
 		if err != nil {
 			return nil, errors.Annotatef(err, "list %s", path)
 		}
@@ -77,7 +77,7 @@
 			return nil, errors.Annotatef(err, "list %s", path)
 		}
 		for _, d := range page.Items {
-			// A revision put back would be a condition, which no new group meets.
+			// An imported revision would be a condition that no new group meets.
 			d.Metadata.Revision = 0
 			if err := e.out.Encode(storer.Resource{Kind: d.Kind, Metadata: d.Metadata, Spec: d.Spec}); err != nil {
 				return nil, errors.Annotate(err, "write")
@@ -92,20 +92,21 @@
 	}
 }
 
-// ImportResult tells what became of a back-up's lines.
+// ImportResult is the result of an import.
 type ImportResult struct {
-	// Declared counts the resources in force as the back-up has them.
+	// Declared is the number of resources that are in force as in the back-up.
 	Declared int
-	// Refused tells why the others are not, by their names.
+	// Refused holds the paths of the other resources, each with the reason.
 	Refused []string
 }
 
-// Import declares what Export wrote. Resources that the back-up does not hold
-// stay as they are. The changes bear idempotency keys that begin with identity:
-// an import that broke off, and is begun again with the same one, changes nothing
-// twice. An empty identity means a new one.
+// Import declares the resources that Export wrote. Resources that are not in the
+// back-up are left unchanged. The idempotency keys of the changes begin with identity:
+// an import that failed, and is repeated with the same identity, applies no change
+// twice. An empty identity selects a new one.
 //
-// An error tells that it broke off; refusals of single resources are in Imported.
+// An error means that the import is incomplete; refusals of single resources are listed
+// in the result.
 func (c *Client) Import(ctx context.Context, r io.Reader, identity string) (ImportResult, error) {
 	if identity == "" {
 		identity = rand.Text()
@@ -117,7 +118,7 @@
 	i := importer{client: c, identity: identity}
 	for _, step := range importSteps(resources) {
 		if err := i.declare(ctx, step); err != nil {
-			return i.imported, errors.Annotatef(err, "the import broke off; begin it again with identity %s", identity)
+			return i.imported, errors.Annotatef(err, "the import is incomplete; repeat it with identity %s", identity)
 		}
 	}
 	return i.imported, nil
@@ -126,7 +127,7 @@
 func readBackup(r io.Reader) ([]storer.Resource, error) {
 	var resources []storer.Resource
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for number := 1; lines.Scan(); number++ {
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
@@ -147,14 +148,15 @@
 // declaration is one change of an import.
 type declaration struct {
 	resource storer.Resource
-	// create leaves alone what exists.
+	// create means that an existing resource is left unchanged.
 	create bool
 }
 
-// importSteps puts the resources into an order in which they can be declared;
-// those of one step can be declared at once. An adapter with a current version
-// comes twice: first, only where there is none, without it, and after the
-// versions as it is. A living adapter so never loses its current version.
+// importSteps orders the resources so that they can be declared; those of one step can
+// be declared concurrently. An adapter with a current version is declared twice: before
+// the versions without the current version, and only if the adapter does not exist, and
+// after the versions as it is. An adapter in use therefore never loses its current
+// version.
 func importSteps(resources []storer.Resource) [][]declaration {
 	steps := make([][]declaration, storer.KindMember+1)
 	const last = storer.KindNone
@@ -185,10 +187,10 @@
 	imported ImportResult
 }
 
-// declare carries out one step.
+// declare declares the resources of one step.
 func (i *importer) declare(ctx context.Context, step []declaration) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(importParallel)
+	group.SetLimit(importConcurrency)
 	for _, d := range step {
 		group.Go(func() error { return i.put(ctx, d) })
 	}
@@ -208,11 +210,12 @@
 	_, err = i.client.Put(ctx, path, document, Conditions{
 		Create: d.create, IdempotencyKey: fmt.Sprintf("%s/%t/%v/%s", i.identity, d.create, d.resource.Kind, m.Name),
 	})
-	return i.note(path, d, err)
+	return i.recordResult(path, d, err)
 }
 
-// note keeps what became of a change, and returns an error that ends the import.
-func (i *importer) note(path string, d declaration, err error) error {
+// recordResult records the result of a change, and returns an error if the import must
+// end.
+func (i *importer) recordResult(path string, d declaration, err error) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	var refused *RefusedError
--- a/internal/transport/requester/client.go
+++ b/internal/transport/requester/client.go
@@ -17,42 +17,42 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/operator"
 )
 
-// workspacesPath is the path of the list of workspaces, and precedes that of all
-// resources but members.
+// workspacesPath is the path of the list of workspaces, and the prefix of the paths of
+// all resources except members.
 const workspacesPath = operator.Prefix + "workspaces"
 
 // resourcePath returns the path of WORKSPACE, WORKSPACE/KIND or
 // WORKSPACE/KIND/NAME.
 func resourcePath(path string) string { return workspacesPath + "/" + path }
 
-// maxAnswerBytes bounds an answer that is read whole.
+// maxAnswerBytes limits an answer that is read in full.
 const maxAnswerBytes = 64 << 20
 
-// The defaults of a client.
+// Defaults of Settings.
 const (
 	DefaultAttempts = 5
 	DefaultPause    = 300 * time.Millisecond
 )
 
-// Settings are the options of a client.
+// Settings are the options of a Client.
 type Settings struct {
-	// Address is an operators' listener, IP:port. Required.
+	// Address is the IP:port of an operators' listener. Required.
 	Address string
 	// Key is the operators' bearer key; empty means none.
 	Key string
-	// Attempts bounds how often a change is sent; 0 means DefaultAttempts.
+	// Attempts is the maximum number of times that a change is sent; 0 means
+	// DefaultAttempts.
 	Attempts int
-	// Pause is the time between attempts where the answer names none; 0 means
-	// DefaultPause.
+	// Pause is the time between two attempts; 0 means DefaultPause.
 	Pause time.Duration
-	// Client sends; nil means one of its own.
+	// Client sends the requests; nil means a new http.Client.
 	Client *http.Client
 }
 
-// Client asks one operators' listener.
+// Client sends requests to one operators' listener.
 type Client struct{ settings Settings }
 
-// NewClient returns a client.
+// NewClient returns a client with defaults applied to unset options.
 func NewClient(s Settings) *Client {
 	if s.Attempts <= 0 {
 		s.Attempts = DefaultAttempts
@@ -66,23 +66,23 @@
 	return &Client{settings: s}
 }
 
-// Conditions are what a change asks of the resource as it is.
+// Conditions are the preconditions of a change.
 type Conditions struct {
-	// IfMatch is the revision last read; 0 means none.
+	// IfMatch is the required revision of the resource; 0 means any.
 	IfMatch uint64
-	// Create asks that the resource does not exist yet.
+	// Create requires that the resource does not exist yet.
 	Create bool
-	// IdempotencyKey identifies the change; empty means a new one.
+	// IdempotencyKey identifies the change; empty means a new key.
 	IdempotencyKey string
 }
 
-// RefusedError is an answer that refuses the request.
+// RefusedError is the error for an answer that refuses the request.
 type RefusedError struct {
 	Status  int
 	Problem operator.Problem
 }
 
-// Error tells the reason and the detail.
+// Error returns the status, the reason and the detail.
 func (r *RefusedError) Error() string {
 	return strconv.Itoa(r.Status) + " " + r.Problem.Reason.String() + ": " + r.Problem.Detail
 }
@@ -90,21 +90,22 @@
 // Get returns the document at path, which is WORKSPACE, WORKSPACE/KIND or
 // WORKSPACE/KIND/NAME.
 func (c *Client) Get(ctx context.Context, path string) ([]byte, error) {
-	return c.once(ctx, http.MethodGet, resourcePath(path), nil, nil)
+	return c.request(ctx, http.MethodGet, resourcePath(path), nil, nil)
 }
 
-// Put declares the resource at path and returns it as accepted.
+// Put declares the resource at path and returns it as accepted. The error for a refusal
+// is a *RefusedError.
 func (c *Client) Put(ctx context.Context, path string, document []byte, conditions Conditions) ([]byte, error) {
 	return c.change(ctx, http.MethodPut, path, document, conditions)
 }
 
-// Delete ends the resource at path.
+// Delete deletes the resource at path. The error for a refusal is a *RefusedError.
 func (c *Client) Delete(ctx context.Context, path string, conditions Conditions) ([]byte, error) {
 	return c.change(ctx, http.MethodDelete, path, nil, conditions)
 }
 
-// Watch writes the changes at path after a revision to w, one JSON document a
-// line, until ctx ends or the watch does.
+// Watch writes the changes at path after a revision to w, one JSON document per line,
+// until ctx or the watch ends.
 func (c *Client) Watch(ctx context.Context, path string, after uint64, w io.Writer) error {
 	query := url.Values{"Watch": {"true"}}
 	if after > 0 {
@@ -116,15 +117,16 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return refused(response)
+		return readRefusal(response)
 	}
 	if _, err := io.Copy(w, response.Body); err != nil && ctx.Err() == nil {
-		return errors.Annotate(err, "the watch broke off")
+		return errors.Annotate(err, "the watch was interrupted")
 	}
 	return nil
 }
 
-// change sends a change until it is accepted or refused for good.
+// change sends a change until it is accepted, refused with a permanent error, or out of
+// attempts.
 func (c *Client) change(ctx context.Context, method, path string, document []byte, conditions Conditions) ([]byte, error) {
 	header := http.Header{"Content-Type": {"application/json"}}
 	key := conditions.IdempotencyKey
@@ -139,8 +141,8 @@
 		header.Set("If-None-Match", "*")
 	}
 	for attempt := 1; ; attempt++ {
-		answer, err := c.once(ctx, method, resourcePath(path), document, header)
-		if err == nil || attempt == c.settings.Attempts || !again(err) {
+		answer, err := c.request(ctx, method, resourcePath(path), document, header)
+		if err == nil || attempt == c.settings.Attempts || !retryable(err) {
 			return answer, errors.Trace(err)
 		}
 		if !pauser.Pause(ctx, c.settings.Pause) {
@@ -149,8 +151,8 @@
 	}
 }
 
-// again tells whether a failed change is worth sending once more.
-func again(err error) bool {
+// retryable reports whether a failed change is worth retrying.
+func retryable(err error) bool {
 	var r *RefusedError
 	if !errors.As(err, &r) {
 		return true
@@ -158,14 +160,14 @@
 	return r.Status >= http.StatusInternalServerError || r.Status == http.StatusTooManyRequests
 }
 
-func (c *Client) once(ctx context.Context, method, path string, document []byte, header http.Header) ([]byte, error) {
+func (c *Client) request(ctx context.Context, method, path string, document []byte, header http.Header) ([]byte, error) {
 	response, err := c.send(ctx, method, path, document, header)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return nil, refused(response)
+		return nil, readRefusal(response)
 	}
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	return answer, errors.Annotate(err, "reading the answer")
@@ -186,7 +188,7 @@
 	return response, errors.Trace(err)
 }
 
-func refused(response *http.Response) error {
+func readRefusal(response *http.Response) error {
 	r := &RefusedError{Status: response.StatusCode}
 	body := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes))
 	if err := body.Decode(&r.Problem); err != nil {
--- a/internal/transport/requester/doc.go
+++ b/internal/transport/requester/doc.go
@@ -1,6 +1,6 @@
-// Package requester is the client of the operators' resource API, and of the part
-// of it by which they change the control group.
+// Package requester implements the client of the operators' resource API, including the
+// part that changes the control group.
 //
-// A change whose answer was lost is sent again under the same idempotency key,
-// so that it takes effect once whatever became of the first answer.
+// A change whose answer was lost is sent again under the same idempotency key, so that
+// it takes effect once, whatever became of the first request.
 package requester
--- a/internal/transport/requester/group.go
+++ b/internal/transport/requester/group.go
@@ -13,15 +13,16 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/controller"
 )
 
-// GroupRefusedError is an answer that refuses a request about the control group.
+// GroupRefusedError is the error for an answer that refuses a request about the control
+// group.
 type GroupRefusedError struct {
 	Status int
 	Reason string
-	// Accepted is "No" where a change certainly has no effect.
+	// Accepted is "No" if the change certainly has no effect.
 	Accepted string
 }
 
-// Error tells the reason, and whether a change may have taken effect.
+// Error returns the reason, and whether a change may have taken effect.
 func (g *GroupRefusedError) Error() string {
 	text := strconv.Itoa(g.Status) + ": " + g.Reason
 	if g.Accepted != "" {
@@ -30,13 +31,13 @@
 	return text
 }
 
-// Group returns the control group as one of its hosts sees it.
+// Group returns the control group as seen by one of its hosts.
 func (c *Client) Group(ctx context.Context) (distributor.Group, error) {
 	return c.group(ctx, http.MethodGet, "", nil)
 }
 
-// AddHost adds a host to the control group. It returns once the host has taken
-// the whole state over.
+// AddHost adds a host to the control group. It returns when the host has received the
+// whole state.
 func (c *Client) AddHost(ctx context.Context, h distributor.GroupHost) (distributor.Group, error) {
 	body, err := json.Marshal(h)
 	if err != nil {
@@ -50,15 +51,15 @@
 	return c.group(ctx, http.MethodDelete, hostPath(id), nil)
 }
 
-// TransferLeadership hands leadership to another host of the control group.
+// TransferLeadership transfers the leadership to another host of the control group.
 func (c *Client) TransferLeadership(ctx context.Context) (distributor.Group, error) {
 	return c.group(ctx, http.MethodPost, "/transfer", nil)
 }
 
 func hostPath(id uint64) string { return "/hosts/" + strconv.FormatUint(id, 10) }
 
-// group sends one request about the control group. It is never sent again by
-// itself: after a lost answer operators look at the group first.
+// group sends one request about the control group. It never retries: after a lost
+// answer operators must check the group first.
 func (c *Client) group(ctx context.Context, method, path string, body []byte) (g distributor.Group, err error) {
 	response, err := c.send(ctx, method, controller.AdministrationPath+path, body, nil)
 	if err != nil {
--- a/internal/transport/requester/requester_test.go
+++ b/internal/transport/requester/requester_test.go
@@ -28,9 +28,9 @@
 type deployment struct {
 	*requester.Client
 	store interface{ Revision() uint64 }
-	// lose has the listener drop the connection after so many changes were
-	// carried out and before their answers.
-	lose chan struct{}
+	// dropReplies holds one value for each change after which the listener drops the
+	// connection instead of sending the reply.
+	dropReplies chan struct{}
 }
 
 func newDeployment() *deployment {
@@ -56,14 +56,14 @@
 	group := controller.Administration(s, notAccepted)
 	mux.Handle(controller.AdministrationPath, group)
 	mux.Handle(controller.AdministrationPath+"/", group)
-	d := &deployment{store: c.Store(), lose: make(chan struct{}, 100)}
+	d := &deployment{store: c.Store(), dropReplies: make(chan struct{}, 100)}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPut {
 			mux.ServeHTTP(w, r)
 			return
 		}
 		select {
-		case <-d.lose:
+		case <-d.dropReplies:
 			mux.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		default:
@@ -87,14 +87,14 @@
 	return b.String()
 }
 
-// until collects what is written, up to a text.
-type until struct {
+// untilText collects what is written, and calls reached once it contains the text.
+type untilText struct {
 	written []byte
 	text    string
 	reached func()
 }
 
-func (u *until) Write(b []byte) (int, error) {
+func (u *untilText) Write(b []byte) (int, error) {
 	u.written = append(u.written, b...)
 	if bytes.Contains(u.written, []byte(u.text)) {
 		u.reached()
@@ -102,8 +102,8 @@
 	return len(b), nil
 }
 
-// filled is a deployment with a resource of each kind.
-func filled() *deployment {
+// populated returns a deployment with a resource of each kind.
+func populated() *deployment {
 	d := newDeployment()
 	d.declare("portal", `{"Share":3}`)
 	d.declare("portal/adapters/forms", `{"BaseModel":"base"}`)
@@ -119,22 +119,20 @@
 var _ = Describe("A back-up", func() {
 	ctx := context.Background()
 
-	// Symptom: a deployment that was formed anew answers other versions than
-	// before, or refuses its callers' keys.
-	// Sequence: a majority of the disks is lost; operators form a new group and
-	// declare what they had backed up; answers are lost on the way.
-	// Cause to prevent: a back-up that lacks something, or can't be declared in
-	// its own order.
-	It("declares all that was declared, over lost answers, in a new group", func() {
-		old, fresh := filled(), newDeployment()
+	// Guards against a back-up that is incomplete, or can't be declared in its own
+	// order. A majority of the disks is lost, operators form a new group and declare
+	// their back-up, and some replies are lost: afterwards the deployment must answer
+	// with the same versions and accept the same keys as before.
+	It("restores all resources in a new group, despite lost replies", func() {
+		old, fresh := populated(), newDeployment()
 		backup := old.export()
 		Expect(strings.Split(strings.TrimSpace(backup), "\n")).To(HaveLen(8))
 		Expect(backup).NotTo(ContainSubstring("a-bearer-key-in-clear"))
 		for range 3 {
-			fresh.lose <- struct{}{}
+			fresh.dropReplies <- struct{}{}
 		}
 		Expect(fresh.Import(ctx, strings.NewReader(backup), "first")).To(Equal(requester.ImportResult{Declared: 8}))
-		Expect(fresh.lose).To(BeEmpty())
+		Expect(fresh.dropReplies).To(BeEmpty())
 		Expect(fresh.export()).To(Equal(backup))
 
 		again := fresh.store.Revision()
@@ -142,8 +140,8 @@
 		Expect(fresh.store.Revision()).To(Equal(again))
 	})
 
-	It("puts a living deployment back without taking away what is current, and names what is refused", func() {
-		d := filled()
+	It("restores a running deployment without removing a current version, and lists refused resources", func() {
+		d := populated()
 		backup := d.export()
 		d.declare("portal/versions/forms@v2", `{"Source":"portal/forms/v2"}`)
 		d.declare("portal/adapters/forms", `{"BaseModel":"base","Current":"v2"}`)
@@ -155,7 +153,7 @@
 		Expect(imported.Refused).To(HaveExactElements(ContainSubstring("portal/versions/forms@v1: 400 Invalid")))
 		watching, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
-		history := &until{text: `"Current":"v1"`, reached: cancel}
+		history := &untilText{text: `"Current":"v1"`, reached: cancel}
 		Expect(d.Watch(watching, "portal/adapters/forms", before, history)).To(Succeed())
 		Expect(string(history.written)).To(ContainSubstring(history.text))
 		Expect(string(history.written)).NotTo(ContainSubstring(`"Current":""`))
@@ -165,7 +163,7 @@
 })
 
 var _ = Describe("The control group", func() {
-	It("is shown, and what can't be done is refused with its reason", func() {
+	It("is returned, and invalid changes are refused with their reason", func() {
 		d := newDeployment()
 		Eventually(func() ([]distributor.GroupHost, error) {
 			g, err := d.Group(context.Background())
