--- a/internal/transport/streamer/assembler.go
+++ b/internal/transport/streamer/assembler.go
@@ -8,47 +8,46 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// ErrEarlyLimit means that more bytes wait for a missing piece than the limit.
+// ErrEarlyLimit means that the bytes that wait for a missing piece exceed the limit.
 const ErrEarlyLimit = errors.ConstError("too many bytes wait for a missing piece")
 
-// ErrInconsistentPieces means that two pieces tell different things of one answer.
-const ErrInconsistentPieces = errors.ConstError("pieces of one answer contradict each other")
+// ErrInconsistentPieces means that two pieces of an answer contradict each other.
+const ErrInconsistentPieces = errors.ConstError("pieces of one answer are inconsistent")
 
-// Assembler puts the pieces of one answer in order. It is not safe for
-// concurrent use.
+// Assembler puts the pieces of one answer in order. It is not safe for concurrent use.
 type Assembler struct {
-	// limit bounds the bytes in early.
+	// limit is the maximum of earlyBytes.
 	limit int64
-	// next is the offset of the first byte not given yet.
+	// next is the offset of the first byte that was not returned yet.
 	next int64
-	// early are the pieces that lie beyond next, in order of offset.
+	// early holds the pieces beyond next, ordered by offset.
 	early []messenger.Piece
-	// earlyBytes is the sum of the bytes in early.
+	// earlyBytes is the size of the data in early.
 	earlyBytes int64
 	head       *messenger.Head
 	end        *messenger.End
-	// length is the length of the whole answer, once end is known.
+	// length is the length of the complete answer, valid if end is set.
 	length int64
 	done   bool
 }
 
-// NewAssembler returns an assembler that holds back at most limit bytes which
-// came before their predecessors.
+// NewAssembler returns an assembler that holds at most limit bytes which arrived before
+// their predecessors.
 func NewAssembler(limit int64) *Assembler { return &Assembler{limit: limit} }
 
-// Next returns the offset of the first byte that has not been given. It is the
-// offset to acknowledge and to resume from.
+// Next returns the offset of the first byte that was not returned yet. It is the offset
+// to acknowledge and to resume from.
 func (a *Assembler) Next() int64 { return a.next }
 
 // Head returns the answer's head, or nil while it has not arrived.
 func (a *Assembler) Head() *messenger.Head { return a.head }
 
-// Add takes in a piece. It returns the bytes that follow those given before, the
-// ending once all bytes are given, and whether something is missing before a
-// piece that is already here. The ready bytes may be the piece's own. Errors are
-// ErrTooMuch and ErrContradiction; the answer can't be told whole after either.
+// Add adds a piece. It returns the bytes that follow those returned before, the end
+// once all bytes were returned, and whether bytes are missing before a piece or end
+// that has arrived. The returned bytes may share memory with the piece. The errors are
+// ErrEarlyLimit and ErrInconsistentPieces; after either the answer can't be completed.
 func (a *Assembler) Add(p messenger.Piece) (ready []byte, done *messenger.End, gap bool, err error) {
-	if err := a.ends(p); err != nil {
+	if err := a.recordEnd(p); err != nil {
 		return nil, nil, false, err
 	}
 	if p.Head != nil && a.head == nil {
@@ -74,8 +73,8 @@
 	return ready, done, len(a.early) > 0 || a.end != nil && a.next < a.length, nil
 }
 
-// ends notes the ending, and refuses bytes beyond it.
-func (a *Assembler) ends(p messenger.Piece) error {
+// recordEnd records the end of the answer, and rejects bytes beyond it.
+func (a *Assembler) recordEnd(p messenger.Piece) error {
 	to := p.Offset + int64(len(p.Data))
 	if p.Offset < 0 || a.end != nil && to > a.length {
 		return errors.Trace(ErrInconsistentPieces)
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// advance appends what of p is new to ready.
+// advance appends the new bytes of p to ready.
 func (a *Assembler) advance(ready []byte, p messenger.Piece) []byte {
 	skip := a.next - p.Offset
 	if skip >= int64(len(p.Data)) {
--- a/internal/transport/streamer/buffer.go
+++ b/internal/transport/streamer/buffer.go
@@ -11,25 +11,26 @@
 	"github.com/juju/errors"
 )
 
-// The errors of a Buffer.
+// Errors of a Buffer.
 const (
-	// ErrSeen means that the attempt is known already.
+	// ErrSeen means that the attempt is already known.
 	ErrSeen = errors.ConstError("attempt already seen")
-	// ErrOtherAttempt means that another attempt of a request that may run only
-	// once is known.
+	// ErrOtherAttempt means that another attempt of a request that may run only once is
+	// known.
 	ErrOtherAttempt = errors.ConstError("another attempt may have run")
-	// ErrBarred means that someone was told the attempt had never been seen.
+	// ErrBarred means that the attempt was reported as never seen, and must not run any
+	// more.
 	ErrBarred = errors.ConstError("attempt declared never seen")
 	// ErrNeverSeen means that the attempt was unknown, and is barred from now on.
 	ErrNeverSeen = errors.ConstError("attempt never seen")
-	// ErrNotHeld means that bytes asked for are not held any more.
+	// ErrNotHeld means that the requested bytes are no longer held.
 	ErrNotHeld = errors.ConstError("bytes not held")
-	// ErrReplaced means that another reader took over.
+	// ErrReplaced means that another reader was attached.
 	ErrReplaced = errors.ConstError("reader replaced")
-	// ErrAbandoned means that nobody took the answer for too long.
-	ErrAbandoned = errors.ConstError("nobody takes the answer")
-	// ErrTooManyBarred means that no more attempts can be remembered now.
-	ErrTooManyBarred = errors.ConstError("too many attempts remembered")
+	// ErrAbandoned means that no entry acknowledged the answer for too long.
+	ErrAbandoned = errors.ConstError("no entry acknowledges the answer")
+	// ErrTooManyBarred means that the maximum number of barred attempts is reached.
+	ErrTooManyBarred = errors.ConstError("too many barred attempts")
 )
 
 // Defaults of Settings.
@@ -39,30 +40,28 @@
 	DefaultMaxBarred = 65536
 )
 
-// Settings are the options of a Buffer. The zero value of each field means its
+// Settings are the options of a Buffer. The zero value of each field selects its
 // default.
 type Settings struct {
-	// Limit bounds the bytes of all answers; DefaultLimit by default.
+	// Limit is the maximum number of bytes in all answers; 0 means DefaultLimit.
 	Limit int64
-	// AnswerLimit bounds the bytes of one answer that nobody has acknowledged; a
-	// sixteenth of Limit by default.
+	// AnswerLimit is the maximum number of unacknowledged bytes in one answer; 0 means
+	// a sixteenth of Limit, but at least MaxPieceBytes.
 	AnswerLimit int64
-	// Retention is the time for which an ended answer is remembered;
-	// DefaultRetention by default.
+	// Retention is how long an answer is kept after its end, and how long an attempt
+	// stays barred; 0 means DefaultRetention.
 	Retention time.Duration
-	// MaxBarred bounds the attempts that are remembered as never seen;
-	// DefaultMaxBarred by default.
+	// MaxBarred is the maximum number of barred attempts; 0 means DefaultMaxBarred.
 	MaxBarred int
 }
 
-// ID names one attempt at a request.
+// ID identifies one attempt at a request.
 type ID struct {
 	Request string
 	Attempt int
 }
 
-// Buffer holds the answers of one companion. It may be used by several
-// goroutines.
+// Buffer holds the answers of one companion. It is safe for concurrent use.
 type Buffer struct {
 	settings Settings
 	room     room
@@ -72,14 +71,12 @@
 
 const shardCount = 16
 
-// shard holds the attempts of the requests that fall to it, so that requests
-// rarely wait for each other's lock.
+// shard holds the attempts of a part of the requests, to reduce lock contention.
 type shard struct {
 	mu sync.Mutex
-	// requests holds the attempts of each request; guarded by mu.
+	// requests holds the answers by request; guarded by mu.
 	requests map[string][]*Answer
-	// barred holds the attempts declared never seen, with the time since when;
-	// guarded by mu.
+	// barred holds the barred attempts and when each was last requested; guarded by mu.
 	barred map[ID]time.Time
 }
 
@@ -105,9 +102,10 @@
 	return &b.shards[xxhash.Sum64String(request)%shardCount]
 }
 
-// Begin makes room for the answer to an attempt. With once, the request may run
-// only once: another attempt known of it is refused with ErrOtherAttempt unless
-// that one certainly did not run. The answer is returned with ErrSeen too.
+// Begin creates the answer to an attempt. If once is set, the request may run only
+// once, and Begin returns ErrOtherAttempt if another attempt of it is known. For a
+// known attempt it returns the answer together with ErrSeen, and for a barred one
+// ErrBarred.
 func (b *Buffer) Begin(id ID, once bool) (*Answer, error) {
 	s := b.shard(id.Request)
 	s.mu.Lock()
@@ -123,13 +121,13 @@
 			return nil, errors.Trace(ErrOtherAttempt)
 		}
 	}
-	a := &Answer{id: id, buffer: b, keep: once, changed: make(chan struct{})}
+	a := &Answer{id: id, buffer: b, retain: once, changed: make(chan struct{})}
 	s.requests[id.Request] = append(s.requests[id.Request], a)
 	return a, nil
 }
 
-// Discard forgets an attempt that was refused before it began, as if it had
-// never come.
+// Discard removes an attempt that was refused before it started, as if it had never
+// arrived.
 func (b *Buffer) Discard(id ID) {
 	s := b.shard(id.Request)
 	s.mu.Lock()
@@ -137,9 +135,9 @@
 	s.remove(id.Request, func(a *Answer) bool { return a.id == id })
 }
 
-// FindOrBar returns the answer to an attempt. An unknown one is barred: should its
-// dispatch arrive late, it is refused. So ErrNeverSeen is certain, also for a
-// dispatch that is still on its way.
+// FindOrBar returns the answer to an attempt. It bars an unknown attempt and returns
+// ErrNeverSeen: a dispatch that is still in transit will be refused, so that the error
+// is reliable. It returns ErrTooManyBarred if the attempt can't be barred.
 func (b *Buffer) FindOrBar(now time.Time, id ID) (*Answer, error) {
 	s := b.shard(id.Request)
 	s.mu.Lock()
@@ -159,7 +157,7 @@
 	return nil, errors.Trace(ErrNeverSeen)
 }
 
-// Lookup returns the answer to an attempt if it is known, and nil otherwise.
+// Lookup returns the answer to an attempt, or nil if it is unknown.
 func (b *Buffer) Lookup(id ID) *Answer {
 	s := b.shard(id.Request)
 	s.mu.Lock()
@@ -172,7 +170,7 @@
 	return nil
 }
 
-// Sweep forgets what is older than the retention.
+// Sweep removes answers and barred attempts that are older than the retention.
 func (b *Buffer) Sweep(now time.Time) {
 	limit := now.Add(-b.settings.Retention)
 	for i := range b.shards {
@@ -197,7 +195,7 @@
 	return a.end != nil && a.endedAt.Before(limit)
 }
 
-// remove drops the attempts of the request that match. The caller holds mu.
+// remove removes the answers of the request that match. The caller holds mu.
 func (s *shard) remove(request string, match func(*Answer) bool) {
 	kept := slices.DeleteFunc(s.requests[request], func(a *Answer) bool {
 		if !match(a) {
@@ -220,12 +218,12 @@
 	a.discard()
 }
 
-// Unreleased returns the number of answers that no entry has taken whole and that
-// one may still take: entries come back for an answer within the limit.
+// Unreleased returns the number of answers that no entry has received in full and that
+// one may still fetch: entries return for an answer within the limit.
 func (b *Buffer) Unreleased(now time.Time, limit time.Duration) int {
 	n := 0
 	for _, a := range b.answers() {
-		if a.awaited(now, limit) {
+		if a.fetchable(now, limit) {
 			n++
 		}
 	}
--- a/internal/transport/streamer/buffer_test.go
+++ b/internal/transport/streamer/buffer_test.go
@@ -19,11 +19,11 @@
 )
 
 var _ = Describe("A buffer", func() {
-	It("bars an attempt that it declared never seen", func() {
-		// Symptom: a review that was reported as not run runs.
-		// Events: the dispatch is stuck in the network; the entry asks after it on a
-		// new connection, hears "never seen", and reports it; the dispatch arrives.
-		// Cause: the companion forgot what it had said.
+	It("bars an attempt that it reported as never seen", func() {
+		// Guards against running a request that was reported as not run: the dispatch
+		// is delayed in the network, the entry asks for the attempt on a new
+		// connection, is told that it was never seen, and reports that; then the
+		// dispatch arrives. The companion must remember what it reported.
 		b := NewBuffer(Settings{})
 		_, err := b.FindOrBar(start, id)
 		Expect(errors.Is(err, ErrNeverSeen)).To(BeTrue())
@@ -33,7 +33,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("rather leaves a question open than forget a barred attempt", func() {
+	It("returns an error rather than forget a barred attempt", func() {
 		b := NewBuffer(Settings{MaxBarred: 1, Retention: time.Minute})
 		other := ID{Request: "r2", Attempt: 1}
 		_, err := b.FindOrBar(start, id)
@@ -45,7 +45,7 @@
 		Expect(errors.Is(err, ErrNeverSeen)).To(BeTrue())
 	})
 
-	It("takes a second attempt only of what may run twice", func() {
+	It("accepts a second attempt only of a request that may run twice", func() {
 		b := NewBuffer(Settings{})
 		_, err := b.Begin(id, true)
 		Expect(err).NotTo(HaveOccurred())
@@ -55,7 +55,7 @@
 		Expect(errors.Is(err, ErrOtherAttempt)).To(BeTrue())
 	})
 
-	It("keeps a whole answer for another entry, until memory is short", func() {
+	It("retains a complete answer for another entry, until memory is short", func() {
 		b := NewBuffer(Settings{})
 		a, err := b.Begin(id, true)
 		Expect(err).NotTo(HaveOccurred())
@@ -78,9 +78,8 @@
 })
 
 func TestWriterWaitsForRoom(t *testing.T) {
-	// Symptom: a companion's memory grows with each slow caller.
-	// Events: the engine is faster than the entry takes the answer.
-	// Cause: nothing held up the reading from the engine.
+	// Guards against memory that grows with each slow caller: the engine generates
+	// faster than the entry acknowledges, so that reading from the engine must block.
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := NewBuffer(Settings{AnswerLimit: 8})
--- a/internal/transport/streamer/property_test.go
+++ b/internal/transport/streamer/property_test.go
@@ -13,8 +13,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// TestPropertyWhole sends random answers through a buffer, over connections that
-// break and deliver late, twice and out of order, to an assembler.
+// TestPropertyWhole sends random answers through a buffer to an assembler, over
+// connections that break and that deliver pieces late, twice and out of order.
 func TestPropertyWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBuffer(Settings{})
@@ -26,18 +26,18 @@
 		p.attach(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"write": p.write, "write2": p.write, "send": p.send, "send2": p.send, "deliver": p.deliver,
-			"deliver2": p.deliver, "double": p.double, "break": p.attach, "acknowledge": p.acknowledge,
+			"deliver2": p.deliver, "double": p.duplicate, "break": p.attach, "acknowledge": p.acknowledge,
 		})
 		a.End(start, messenger.End{Outcome: messenger.OutcomeCompleted})
 		for i := 0; p.done == nil; i++ {
 			if i > 1000 {
-				t.Fatalf("answer stays open at %d of %d", p.assembler.Next(), len(p.sent))
+				t.Fatalf("answer does not end, at %d of %d", p.assembler.Next(), len(p.sent))
 			}
 			p.attach(t)
-			for p.reads() {
+			for p.readOne() {
 			}
-			for len(p.flying) > 0 {
-				p.take(0)
+			for len(p.inFlight) > 0 {
+				p.receive(0)
 			}
 		}
 		if !bytes.Equal(p.got, p.sent) {
@@ -57,8 +57,8 @@
 	sent      []byte
 	got       []byte
 	done      *messenger.End
-	// flying are the pieces on their way.
-	flying []messenger.Piece
+	// inFlight holds the pieces in transit.
+	inFlight []messenger.Piece
 }
 
 func (p *pipe) write(t *rapid.T) {
@@ -70,8 +70,8 @@
 	p.sent = append(p.sent, data...)
 }
 
-// reads moves one piece from the buffer into flight.
-func (p *pipe) reads() bool {
+// readOne moves one piece from the buffer into transit.
+func (p *pipe) readOne() bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	piece, err := p.reader.Next(ctx)
@@ -81,19 +81,19 @@
 		}
 		return false
 	}
-	p.flying = append(p.flying, piece)
+	p.inFlight = append(p.inFlight, piece)
 	return piece.End == nil
 }
 
 func (p *pipe) send(t *rapid.T) {
 	if p.reader.answer.Ended() == nil {
-		p.reads()
+		p.readOne()
 	}
 }
 
-func (p *pipe) take(i int) {
-	piece := p.flying[i]
-	p.flying = append(p.flying[:i], p.flying[i+1:]...)
+func (p *pipe) receive(i int) {
+	piece := p.inFlight[i]
+	p.inFlight = append(p.inFlight[:i], p.inFlight[i+1:]...)
 	ready, done, _, err := p.assembler.Add(piece)
 	if err != nil {
 		p.t.Fatal(err)
@@ -108,23 +108,23 @@
 }
 
 func (p *pipe) deliver(t *rapid.T) {
-	if len(p.flying) == 0 {
+	if len(p.inFlight) == 0 {
 		t.Skip("nothing in flight")
 	}
-	p.take(rapid.IntRange(0, len(p.flying)-1).Draw(t, "piece"))
+	p.receive(rapid.IntRange(0, len(p.inFlight)-1).Draw(t, "piece"))
 }
 
-func (p *pipe) double(t *rapid.T) {
-	if len(p.flying) == 0 {
+func (p *pipe) duplicate(t *rapid.T) {
+	if len(p.inFlight) == 0 {
 		t.Skip("nothing in flight")
 	}
-	p.flying = append(p.flying, p.flying[rapid.IntRange(0, len(p.flying)-1).Draw(t, "piece")])
+	p.inFlight = append(p.inFlight, p.inFlight[rapid.IntRange(0, len(p.inFlight)-1).Draw(t, "piece")])
 }
 
-// attach breaks the connection, with some of what is in flight, and resumes.
+// attach breaks the connection, which loses some of the pieces in transit, and resumes.
 func (p *pipe) attach(t *rapid.T) {
-	if len(p.flying) > 0 {
-		p.flying = p.flying[:rapid.IntRange(0, len(p.flying)).Draw(t, "kept")]
+	if len(p.inFlight) > 0 {
+		p.inFlight = p.inFlight[:rapid.IntRange(0, len(p.inFlight)).Draw(t, "kept")]
 	}
 	r, err := p.answer.Attach(p.assembler.Next())
 	if err != nil {
--- a/internal/transport/streamer/reader.go
+++ b/internal/transport/streamer/reader.go
@@ -9,40 +9,41 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// Attach begins a new reader from the offset and ends the one before it: an
-// entry that comes back on a new connection may still have its old one open.
+// Attach creates a reader at the offset and replaces the previous reader: an entry that
+// returns on a new connection may still have its old one open. It returns ErrNotHeld if
+// the bytes at the offset are not held.
 func (a *Answer) Attach(offset int64) (*Reader, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if offset < a.base || offset > a.base+int64(len(a.data)) {
 		return nil, errors.Trace(ErrNotHeld)
 	}
-	a.link++
-	a.leftAt = time.Time{}
+	a.generation++
+	a.detachedAt = time.Time{}
 	a.wake()
-	return &Reader{answer: a, link: a.link, offset: offset, first: true}, nil
+	return &Reader{answer: a, generation: a.generation, offset: offset, first: true}, nil
 }
 
-// Reader gives the pieces of an answer to one connection.
+// Reader reads the pieces of an answer for one connection.
 type Reader struct {
-	answer *Answer
-	link   int
-	offset int64
-	first  bool
+	answer     *Answer
+	generation int
+	offset     int64
+	first      bool
 }
 
-// Detach notes that the reader has ended.
+// Detach records that the reader has ended.
 func (r *Reader) Detach(now time.Time) {
 	a := r.answer
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.link == r.link {
-		a.leftAt = now
+	if a.generation == r.generation {
+		a.detachedAt = now
 	}
 }
 
-// Next waits for the next piece. It returns ErrReplaced once another reader was
-// attached, and the context's error. The piece with the ending is the last.
+// Next waits for the next piece. It returns ErrReplaced if another reader was attached,
+// and the cause of the context's end. The last piece contains the end.
 func (r *Reader) Next(ctx context.Context) (messenger.Piece, error) {
 	for {
 		piece, wait, err := r.poll()
@@ -62,13 +63,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	piece := messenger.Piece{Request: a.id.Request, Attempt: a.id.Attempt, Offset: r.offset}
-	if a.link != r.link {
+	if a.generation != r.generation {
 		return piece, nil, errors.Trace(ErrReplaced)
 	}
 	if a.dropped && r.offset < a.base && (a.end == nil || a.end.Outcome != messenger.OutcomeCompleted) {
-		// The reader can't send the whole any more. An ending that claims no whole
-		// answer is true after any of its bytes; one that does must follow them all,
-		// so that the entry misses those that are gone.
+		// The reader can no longer send the complete answer. An end other than
+		// Completed is correct after any part of the answer. Completed must follow all
+		// bytes, so that the entry notices the missing ones.
 		if a.end == nil {
 			return piece, a.changed, nil
 		}
@@ -78,7 +79,7 @@
 		}
 		return piece, nil, nil
 	}
-	// Another connection may have acknowledged what this one has not sent.
+	// Another connection may have acknowledged bytes that this one has not sent.
 	if r.offset < a.base {
 		r.offset = a.base
 		piece.Offset = a.base
--- a/internal/transport/streamer/reclaim.go
+++ b/internal/transport/streamer/reclaim.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Reclaim frees bytes until no more than target are held. First go answers that
-// nobody will take: they have ended, and no entry came back within the limit.
-// Then go bytes which are only kept for entries to come, of calls that may run
-// only once. Of each kind the oldest ended go first. Endings stay.
+// Reclaim frees bytes until at most target bytes are held. Answers that nobody will
+// fetch are freed first: they have ended, and no entry returned within the limit. Bytes
+// that are only retained for later requests, of calls that may run only once, follow.
+// Within each group the answers that ended first are freed first. Ends are kept.
 //
-// Bytes that an entry still reads, or may come back for, are never freed.
+// Bytes that an entry still reads, or may return for, are never freed.
 func (b *Buffer) Reclaim(now time.Time, limit time.Duration, target int64) {
 	if b.room.used.Load() <= target {
 		return
 	}
 	all := b.answers()
-	slices.SortFunc(all, func(x, y *Answer) int { return x.ended().Compare(y.ended()) })
+	slices.SortFunc(all, func(x, y *Answer) int { return x.endTime().Compare(y.endTime()) })
 	for _, kept := range []bool{false, true} {
 		for _, a := range all {
 			if b.room.used.Load() <= target {
 				return
 			}
-			if a.keep == kept {
+			if a.retain == kept {
 				a.reclaim(now, limit)
 			}
 		}
 	}
 }
 
-// answers returns all answers, without a lock on any.
+// answers returns all answers. It locks the shards one by one, but no answer.
 func (b *Buffer) answers() []*Answer {
 	var all []*Answer
 	for i := range b.shards {
@@ -43,20 +43,20 @@
 	return all
 }
 
-// reclaim frees what nobody is known to need.
+// reclaim frees the bytes that nobody is known to need.
 func (a *Answer) reclaim(now time.Time, limit time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.end != nil && !a.awaitedLocked(now, limit) {
+	if a.end != nil && !a.fetchableLocked(now, limit) {
 		a.discard()
 		return
 	}
-	if a.drop() > 0 {
+	if a.dropAcknowledged() > 0 {
 		a.wake()
 	}
 }
 
-func (a *Answer) ended() time.Time {
+func (a *Answer) endTime() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.endedAt
--- a/internal/transport/streamer/release_test.go
+++ b/internal/transport/streamer/release_test.go
@@ -10,7 +10,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-var _ = Describe("An answer that nobody has taken", func() {
+var _ = Describe("An answer that nobody has acknowledged", func() {
 	const limit = 20 * time.Second
 	var b *Buffer
 	var a *Answer
@@ -29,12 +29,11 @@
 		return r
 	}
 
-	// Symptom: a companion's planned stop waits two minutes for nobody.
-	// Events: an entry is killed while it takes an answer, or its acknowledgement
-	// is lost; the answer ends; the companion stops.
-	// Cause: it was waited for until the retention's end, although entries give up
-	// coming back long before.
-	It("is not waited for once its entry is gone for too long", func() {
+	// Guards against a planned stop that waits two minutes for nobody: an entry is
+	// killed while it reads an answer, or its acknowledgement is lost, and the answer
+	// ends. The answer was awaited until its retention ended, although entries stop
+	// returning for it long before.
+	It("is not awaited once its entry has been gone for too long", func() {
 		r := attach()
 		ended()
 		Expect(b.Unreleased(start.Add(time.Hour), limit)).To(Equal(1), "an entry is reading")
@@ -43,23 +42,23 @@
 		Expect(b.Unreleased(start.Add(limit+1), limit)).To(BeZero())
 	})
 
-	It("is waited for again when an entry comes back", func() {
+	It("is awaited again when an entry returns", func() {
 		first := attach()
 		ended()
 		second := attach()
 		first.Detach(start)
-		Expect(b.Unreleased(start.Add(time.Hour), limit)).To(Equal(1), "the replaced reader's end counts for nothing")
+		Expect(b.Unreleased(start.Add(time.Hour), limit)).To(Equal(1), "the end of a replaced reader has no effect")
 		second.Detach(start)
 		attach()
 		Expect(b.Unreleased(start.Add(time.Hour), limit)).To(Equal(1))
 	})
 
-	It("is waited for while it has not ended", func() {
+	It("is awaited while it has not ended", func() {
 		attach().Detach(start)
 		Expect(b.Unreleased(start.Add(time.Hour), limit)).To(Equal(1))
 	})
 
-	It("is not waited for when it was given up", func() {
+	It("is not awaited if its attempt was cancelled", func() {
 		attach()
 		a.Release()
 		Expect(b.Unreleased(start, limit)).To(BeZero())
--- a/internal/transport/streamer/room.go
+++ b/internal/transport/streamer/room.go
@@ -6,50 +6,49 @@
 	"sync/atomic"
 )
 
-// room is the memory that all answers of a buffer share. Its lock is taken under
-// those of answers, and none is taken under it.
+// room is the memory that all answers of a buffer share. Its lock may be acquired while
+// an answer is locked, but not the other way round.
 type room struct {
 	limit int64
-	// used counts the bytes held in all answers.
+	// used is the number of bytes held in all answers.
 	used atomic.Int64
-	// waiting is the length of queue, which spares the lock while nobody waits.
+	// waiting is the length of queue; it avoids locking while nobody waits.
 	waiting atomic.Int32
 
 	mu sync.Mutex
-	// queue holds the *place of each writer that waits, the first come first;
-	// guarded by mu.
+	// queue holds the *waiter of each blocked writer in FIFO order; guarded by mu.
 	queue list.List
 }
 
-// place is a writer's place in a room's queue.
-type place struct {
+// waiter is a writer in a room's queue.
+type waiter struct {
 	bytes int64
-	// ready is closed once there may be room for the bytes.
+	// ready is closed when there may be room for the bytes.
 	ready chan struct{}
-	// element is the place in the queue, and nil once ready is closed; guarded by
+	// element is the position in the queue, and nil once ready is closed; guarded by
 	// room.mu.
 	element *list.Element
 }
 
-// turn returns the channel that is closed when it is the writer's turn. One
-// without a place waits for ever.
-func (p *place) turn() <-chan struct{} {
+// readyChan returns the channel that is closed when there may be room. For a nil waiter
+// it returns nil, which blocks forever.
+func (p *waiter) readyChan() <-chan struct{} {
 	if p == nil {
 		return nil
 	}
 	return p.ready
 }
 
-// fits tells whether n more bytes fit.
-func (r *room) fits(n int64) bool { return r.used.Load()+n <= r.limit }
+// hasRoom reports whether n more bytes fit.
+func (r *room) hasRoom(n int64) bool { return r.used.Load()+n <= r.limit }
 
-// take counts n bytes as held.
-func (r *room) take(n int64) { r.used.Add(n) }
+// reserve counts n bytes as held.
+func (r *room) reserve(n int64) { r.used.Add(n) }
 
-// free counts n bytes as held no more, and wakes the writers that they make room
-// for. Without it a writer would wait for its own entry although others had made
-// room: streams stood still beside an empty buffer.
-func (r *room) free(n int64) {
+// release no longer counts n bytes as held, and wakes the writers for which there is
+// room now. If writers waited only for their own answer, streams would block although
+// other answers had freed memory.
+func (r *room) release(n int64) {
 	if n == 0 {
 		return
 	}
@@ -62,24 +61,24 @@
 	r.wake()
 }
 
-// join queues for n bytes, or returns nil if they fit now. It looks again once it
-// is queued, so that no bytes can be freed unseen between look and queue.
-func (r *room) join(n int64) *place {
+// enqueue adds a waiter for n bytes, or returns nil if they fit now. It checks the room
+// after it has incremented waiting, so that no release in between is missed.
+func (r *room) enqueue(n int64) *waiter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiting.Add(1)
-	if r.fits(n) {
+	if r.hasRoom(n) {
 		r.waiting.Add(-1)
 		return nil
 	}
-	p := &place{bytes: n, ready: make(chan struct{})}
+	p := &waiter{bytes: n, ready: make(chan struct{})}
 	p.element = r.queue.PushBack(p)
 	return p
 }
 
-// leave gives up a place, if there is one. A writer whose turn it was has used
-// the room by then or does not need it; what is left is for the next.
-func (r *room) leave(p *place) {
+// dequeue removes a waiter, which may be nil, and wakes the next ones: a writer whose
+// turn it was has used the room by then, or does not need it.
+func (r *room) dequeue(p *waiter) {
 	if p == nil {
 		return
 	}
@@ -91,13 +90,12 @@
 	r.wake()
 }
 
-// wake wakes the first writers, as many as there is room for. The caller holds
-// mu.
+// wake wakes the first writers for which there is room. The caller holds mu.
 func (r *room) wake() {
 	promised := int64(0)
 	for e := r.queue.Front(); e != nil; e = r.queue.Front() {
-		p, ok := e.Value.(*place)
-		if !ok || !r.fits(promised+p.bytes) {
+		p, ok := e.Value.(*waiter)
+		if !ok || !r.hasRoom(promised+p.bytes) {
 			return
 		}
 		promised += p.bytes
@@ -106,8 +104,8 @@
 	}
 }
 
-// remove takes a place out of the queue. The caller holds mu.
-func (r *room) remove(p *place) {
+// remove removes a waiter from the queue. The caller holds mu.
+func (r *room) remove(p *waiter) {
 	r.queue.Remove(p.element)
 	p.element = nil
 	r.waiting.Add(-1)
--- a/internal/transport/streamer/room_test.go
+++ b/internal/transport/streamer/room_test.go
@@ -26,13 +26,12 @@
 	completed = messenger.End{Outcome: messenger.OutcomeCompleted}
 )
 
-var _ = Describe("Memory of answers that nobody takes", func() {
-	// Symptom: new streams slow down and stop, beside callers that come and go.
-	// Events: callers leave in mid-stream, which cancels their attempts; the engine
-	// gives a few more pieces; the attempts end.
-	// Cause: only acknowledged bytes were freed, and nobody acknowledges these:
-	// they stayed until the retention's end.
-	It("is free at the cancellation, and the ending stays", func() {
+var _ = Describe("Memory of answers that nobody acknowledges", func() {
+	// Guards against streams that slow down and stop while callers come and go: callers
+	// leave in the middle of a stream, which cancels their attempts, and the engine
+	// sends a few more pieces before it ends. Nobody acknowledges these bytes, which
+	// stayed in memory until their retention ended.
+	It("is freed at the cancellation, and the end is kept", func() {
 		b := NewBuffer(Settings{})
 		a := begin(b, "left", false, "unread")
 		r, err := a.Attach(0)
@@ -46,18 +45,18 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.End).To(HaveValue(Equal(cut)))
 		_, err = b.Begin(a.ID(), false)
-		Expect(errors.Is(err, ErrSeen)).To(BeTrue(), "a late second sending must not run")
+		Expect(errors.Is(err, ErrSeen)).To(BeTrue(), "a late second dispatch must not run")
 		_, err = a.Attach(0)
-		Expect(errors.Is(err, ErrNotHeld)).To(BeTrue(), "the answer must not pass for an empty one")
+		Expect(errors.Is(err, ErrNotHeld)).To(BeTrue(), "the answer must not be taken for an empty one")
 		_, err = a.Attach(a.Length())
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("never lets a cut answer pass for a whole one", func() {
-		// Symptom: a clearance that lacks its end counts as complete.
-		// Events: the answer ends whole; its cancellation arrives late and drops the
-		// bytes; a reader has sent none of them yet.
-		// Cause: the ending was sent after the bytes that were there.
+	It("never presents a cut answer as complete", func() {
+		// Guards against taking a clearance without its end for complete: the answer
+		// ends as Completed, its cancellation arrives late and drops the bytes, and a
+		// reader has sent none of them yet. It must not send the end after the bytes
+		// that are left.
 		b := NewBuffer(Settings{})
 		a := begin(b, "left", false, "whole")
 		r, err := a.Attach(0)
@@ -72,7 +71,7 @@
 		Expect(gap).To(BeTrue())
 	})
 
-	It("stays held for a call that may run only once, until memory is short", func() {
+	It("is retained for a call that may run only once, until memory is short", func() {
 		b := NewBuffer(Settings{})
 		a := begin(b, "review", true, "whole")
 		a.End(start, completed)
@@ -84,10 +83,9 @@
 		Expect(b.Used()).To(BeZero())
 	})
 
-	It("is reclaimed from the longest abandoned first, and never from what may be fetched", func() {
-		// Symptom: the buffer stays full after an entry was killed.
-		// Events: its answers end; nobody acknowledges them; others need the room.
-		// Cause: only acknowledged bytes were reclaimed.
+	It("is reclaimed from the answers abandoned longest first, and never from those that may be fetched", func() {
+		// Guards against a buffer that stays full after an entry was killed: its
+		// answers end, nobody acknowledges them, and others need the memory.
 		b := NewBuffer(Settings{})
 		end := func(a *Answer, at time.Time) {
 			r, err := a.Attach(0)
@@ -123,9 +121,9 @@
 })
 
 func TestWriterWaitsForRoomOfOthers(t *testing.T) {
-	// Symptom: streams stand still beside an empty buffer.
-	// Events: the buffer is full; writers wait; other answers' bytes are freed.
-	// Cause: a waiting writer looked again only when its own answer changed.
+	// Guards against streams that block beside an empty buffer: the buffer is full,
+	// writers wait, and bytes of other answers are freed. A waiting writer checked for
+	// room only when its own answer changed.
 	for name, free := range map[string]func(*Buffer, *Answer){
 		"acknowledged": func(_ *Buffer, a *Answer) { a.Acknowledge(a.Length(), false) },
 		"released":     func(_ *Buffer, a *Answer) { a.Release() },
@@ -147,7 +145,7 @@
 				write(context.Background(), y)
 				write(context.Background(), z)
 				Expect(done).To(BeEmpty())
-				// A writer that leaves the queue must not take its turn along.
+				// A writer that leaves the queue must pass its turn on.
 				leave(errors.ConstError("left"))
 				Expect(<-done).To(MatchError("left"))
 				free(b, other)
