--- a/internal/transport/dialer/pool.go
+++ b/internal/transport/dialer/pool.go
@@ -1,9 +1,9 @@
-// Package dialer keeps one live messenger connection to each address that a
-// process talks to.
+// Package dialer keeps one open messenger connection to each address that a process
+// uses.
 //
-// A connection that ended is replaced at the next use. After a failed dial
-// further ones to the same address fail at once until a jittered back-off has
-// passed, so that a host which is down is not dialled by every request.
+// A connection that has ended is replaced at the next use. After a failed dial further
+// ones to the same address fail at once until a jittered back-off has passed, so that a
+// host that is down is not dialled by every request.
 package dialer
 
 import (
@@ -18,7 +18,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// The defaults of a pool.
+// Defaults of Settings.
 const (
 	DefaultDialTimeout    = time.Second
 	DefaultBackOffInitial = 50 * time.Millisecond
@@ -27,31 +27,31 @@
 	DefaultIdleLimit = 2 * time.Minute
 )
 
-// Settings are a pool's options.
+// Settings are the options of a Pool.
 type Settings struct {
 	Messenger messenger.Settings
-	// DialTimeout bounds one dial; 0 means DefaultDialTimeout.
+	// DialTimeout limits one dial; 0 means DefaultDialTimeout.
 	DialTimeout time.Duration
-	// BackOffInitial and BackOffMax bound the pause after failed dials; 0 means
-	// the defaults.
+	// BackOffInitial and BackOffMax limit the back-off after failed dials; 0 means the
+	// defaults.
 	BackOffInitial time.Duration
 	BackOffMax     time.Duration
-	// IdleLimit closes connections nobody asked for; 0 means DefaultIdleLimit.
+	// IdleLimit is the time after which an unused connection is closed; 0 means
+	// DefaultIdleLimit.
 	IdleLimit time.Duration
-	// Random jitters the back-off.
+	// Random is the source for the jitter of the back-off. Required.
 	Random *rand.Rand
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// NotConnectedError is the error of a use of an address that can't be reached:
-// nothing was sent.
+// NotConnectedError is the error if an address can't be reached. Nothing was sent.
 type NotConnectedError struct {
 	Address string
 	Cause   error
 }
 
-// Error tells the address and cause.
+// Error returns the address and the cause.
 func (n *NotConnectedError) Error() string {
 	return "no connection to " + n.Address + ": " + n.Cause.Error()
 }
@@ -59,42 +59,42 @@
 // Unwrap returns the cause.
 func (n *NotConnectedError) Unwrap() error { return n.Cause }
 
-// Pool keeps connections by address. It may be used by several goroutines.
+// Pool holds connections by address. It is safe for concurrent use.
 type Pool struct {
 	settings Settings
 
 	mu sync.Mutex
-	// peers holds every address used; guarded by mu.
+	// peers holds all addresses that were used; guarded by mu.
 	peers map[string]*peer
-	// closed refuses further use; guarded by mu.
+	// closed means that the pool may not be used any more; guarded by mu.
 	closed bool
 	// random is settings.Random; guarded by mu.
-	random *rand.Rand
-	stop   chan struct{}
-	swept  sync.WaitGroup
+	random  *rand.Rand
+	stop    chan struct{}
+	sweeper sync.WaitGroup
 }
 
 // peer is the state of one address.
 type peer struct {
-	// dialing lets one goroutine dial at a time.
+	// dialing is a semaphore that allows one dial at a time.
 	dialing chan struct{}
 
 	mu sync.Mutex
-	// conn is the live connection or nil; guarded by mu.
+	// conn is the open connection, or nil; guarded by mu.
 	conn *messenger.Conn
-	// former holds connections that were replaced while they were suspect: what
-	// was sent on them may still be answered there. Guarded by mu.
-	former []*messenger.Conn
-	// used is the time of the last use; guarded by mu.
-	used time.Time
-	// pause is the current back-off, until the end of which dials fail with
-	// cause; guarded by mu.
-	pause time.Duration
-	until time.Time
-	cause error
+	// superseded holds the suspect connections that were replaced: requests sent on
+	// them may still be answered there. Guarded by mu.
+	superseded []*messenger.Conn
+	// lastUsed is the time of the last use; guarded by mu.
+	lastUsed time.Time
+	// backOff is the length of the last back-off. Until backOffUntil, dials fail with
+	// cause. All are guarded by mu.
+	backOff      time.Duration
+	backOffUntil time.Time
+	cause        error
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool. It panics if s.Random is nil.
 func NewPool(s Settings) *Pool {
 	if s.Random == nil {
 		panic("dialer: NewPool needs a random source")
@@ -115,7 +115,7 @@
 		s.Dial = dialTCP
 	}
 	p := &Pool{settings: s, peers: make(map[string]*peer), random: s.Random, stop: make(chan struct{})}
-	p.swept.Add(1)
+	p.sweeper.Add(1)
 	go p.sweep()
 	return p
 }
@@ -124,8 +124,8 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// Conn returns a live connection to address, dialling where there is none. Its
-// error is a *NotConnectedError or the context's.
+// Conn returns an open connection to address, and dials if there is none. The error is
+// a *NotConnectedError, or that of the context.
 func (p *Pool) Conn(ctx context.Context, address string) (*messenger.Conn, error) {
 	e, err := p.peer(address)
 	if err != nil {
@@ -143,13 +143,13 @@
 	if c := e.live(); c != nil {
 		return c, nil
 	}
-	if err := e.pausing(); err != nil {
+	if err := e.backOffError(); err != nil {
 		return nil, &NotConnectedError{Address: address, Cause: err}
 	}
 	return p.dial(ctx, address, e)
 }
 
-// Live returns the connection that Conn would return without a dial, or nil.
+// Live returns the connection that Conn would return without dialling, or nil.
 func (p *Pool) Live(address string) *messenger.Conn {
 	e, err := p.peer(address)
 	if err != nil {
@@ -178,7 +178,7 @@
 	network, err := p.settings.Dial(dialing, address)
 	if err != nil {
 		if ctx.Err() == nil {
-			e.failed(err, p.settings, p.jitter())
+			e.dialFailed(err, p.settings, p.jitter())
 		}
 		return nil, &NotConnectedError{Address: address, Cause: err}
 	}
@@ -186,7 +186,7 @@
 	p.mu.Lock()
 	closed := p.closed
 	if !closed {
-		e.opened(c)
+		e.dialSucceeded(c)
 	}
 	p.mu.Unlock()
 	if closed {
@@ -195,17 +195,17 @@
 	return c, nil
 }
 
-// jitter returns a factor from 0.5 to 1.5.
+// jitter returns a random factor in [0.5, 1.5).
 func (p *Pool) jitter() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return 0.5 + p.random.Float64()
 }
 
-// live returns the open connection, or nil where a new one is to be dialled: when
-// all connections of a process go silent at once, as when a middle box loses its
-// table, calls given to them would each wait for the silence limit, although new
-// connections work.
+// live returns the open connection, or nil if a new one is to be dialled. A connection
+// with missing heartbeats is replaced at once: when all connections of a process go
+// silent together, such as when a middlebox loses its table, calls on them would each
+// wait for the silence limit, although new connections work.
 func (e *peer) live() *messenger.Conn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -217,64 +217,65 @@
 		e.conn = nil
 		return nil
 	case e.conn.Suspect():
-		e.former = append(e.former, e.conn)
+		e.superseded = append(e.superseded, e.conn)
 		e.conn = nil
 		return nil
 	default:
-		e.used = time.Now()
+		e.lastUsed = time.Now()
 		return e.conn
 	}
 }
 
-// unused removes and returns the connections that nobody needs any more, or all
-// of them.
+// unused removes and returns the connections that were idle for longer than idle or
+// have ended, or all connections if all is set.
 func (e *peer) unused(idle time.Duration, all bool) []*messenger.Conn {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var unused, kept []*messenger.Conn
-	for _, c := range e.former {
+	for _, c := range e.superseded {
 		if all || c.Ended() || c.Idle() > idle {
 			unused = append(unused, c)
 			continue
 		}
 		kept = append(kept, c)
 	}
-	e.former = kept
-	if e.conn != nil && (all || min(time.Since(e.used), e.conn.Idle()) > idle) {
+	e.superseded = kept
+	if e.conn != nil && (all || min(time.Since(e.lastUsed), e.conn.Idle()) > idle) {
 		unused = append(unused, e.conn)
 		e.conn = nil
 	}
 	return unused
 }
 
-// pausing returns the last dial's error during the back-off.
-func (e *peer) pausing() error {
+// backOffError returns the error of the last dial during the back-off, and nil
+// otherwise.
+func (e *peer) backOffError() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().Before(e.until) {
+	if time.Now().Before(e.backOffUntil) {
 		return e.cause
 	}
 	return nil
 }
 
-func (e *peer) failed(cause error, s Settings, jitter float64) {
+func (e *peer) dialFailed(cause error, s Settings, jitter float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.pause = min(max(2*e.pause, s.BackOffInitial), s.BackOffMax)
-	e.until = time.Now().Add(time.Duration(float64(e.pause) * jitter))
+	e.backOff = min(max(2*e.backOff, s.BackOffInitial), s.BackOffMax)
+	e.backOffUntil = time.Now().Add(time.Duration(float64(e.backOff) * jitter))
 	e.cause = cause
 }
 
-func (e *peer) opened(c *messenger.Conn) {
+func (e *peer) dialSucceeded(c *messenger.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.conn, e.used, e.pause, e.until = c, time.Now(), 0, time.Time{}
+	e.conn, e.lastUsed, e.backOff, e.backOffUntil = c, time.Now(), 0, time.Time{}
 }
 
-// sweep closes idle connections: an entry would otherwise keep one to every
-// companion it ever used.
+// sweep closes idle connections. Otherwise an entry would keep one to every companion
+// that it ever used.
 func (p *Pool) sweep() {
-	defer p.swept.Done()
+	defer p.sweeper.Done()
 	ticker := time.NewTicker(p.settings.IdleLimit / 4)
 	defer ticker.Stop()
 	for {
@@ -299,7 +300,8 @@
 	return idle
 }
 
-// Close ends all connections and waits for their handlers.
+// Close closes all connections and waits for their handlers. It returns the first
+// error.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	if p.closed {
@@ -313,7 +315,7 @@
 		open = append(open, e.unused(0, true)...)
 	}
 	p.mu.Unlock()
-	p.swept.Wait()
+	p.sweeper.Wait()
 	var first error
 	for _, c := range open {
 		if err := c.Close(); err != nil && first == nil {
--- a/internal/transport/dialer/pool_test.go
+++ b/internal/transport/dialer/pool_test.go
@@ -16,41 +16,41 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/dialer"
 )
 
-// forgetful is a connection which, once forgotten, swallows what is written to
-// it, as after a middle box lost track of it.
-type forgetful struct {
+// droppable is a connection that can be made to drop all writes, as when a middlebox
+// has lost track of it.
+type droppable struct {
 	net.Conn
-	forgotten atomic.Bool
+	dropping atomic.Bool
 }
 
-func (f *forgetful) Write(b []byte) (int, error) {
-	if f.forgotten.Load() {
+func (f *droppable) Write(b []byte) (int, error) {
+	if f.dropping.Load() {
 		return len(b), nil
 	}
 	return f.Conn.Write(b)
 }
 
-// host answers dials with pipes, or refuses them.
-type host struct {
-	boxes   []*forgetful
+// fakeHost answers dials with pipes, or refuses them.
+type fakeHost struct {
+	boxes   []*droppable
 	dials   int
 	refuses bool
 	far     []*messenger.Conn
 }
 
-func (h *host) dial(context.Context, string) (net.Conn, error) {
+func (h *fakeHost) dial(context.Context, string) (net.Conn, error) {
 	h.dials++
 	if h.refuses {
 		return nil, errors.New("refused")
 	}
 	near, far := net.Pipe()
-	box := &forgetful{Conn: far}
+	box := &droppable{Conn: far}
 	h.boxes = append(h.boxes, box)
 	h.far = append(h.far, messenger.NewConn(box, messenger.Settings{})) //nolint:contextcheck // The connection outlives its dial.
 	return near, nil
 }
 
-func (h *host) close() {
+func (h *fakeHost) close() {
 	for _, c := range h.far {
 		_ = c.Close()
 	}
@@ -58,17 +58,17 @@
 
 const address = "127.0.0.1:1"
 
-func newPool(h *host) *dialer.Pool {
+func newPool(h *fakeHost) *dialer.Pool {
 	return dialer.NewPool(dialer.Settings{Dial: h.dial, Random: rand.New(rand.NewPCG(1, 2))})
 }
 
-// Symptom: requests to a host that is down each wait for a dial of their own, and
-// the host is met by a storm of dials when it returns. Sequence: the host goes
-// down; many requests name it. Cause: no memory of the failed dial.
+// Guards against requests to a host that is down that each wait for a dial of their
+// own, and against a storm of dials when the host returns: failed dials were not
+// remembered.
 func TestFailedDialIsNotRepeatedDuringBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h := &host{refuses: true}
+		h := &fakeHost{refuses: true}
 		p := newPool(h)
 		for range 100 {
 			_, err := p.Conn(context.Background(), address)
@@ -86,28 +86,28 @@
 	})
 }
 
-// Symptom: after a middle box lost its table an entry refuses calls for more than
-// two seconds, although new connections work. Sequence: all connections go silent;
-// each new call is given to one of them and waits for the silence limit. Cause: the
-// pool gave out connections on which heartbeats were missing already.
+// Guards against an entry that refuses calls for more than two seconds after a
+// middlebox lost its table, although new connections work: all connections go silent,
+// and the pool returned connections on which heartbeats were already missing, so that
+// each new call waited for the silence limit.
 func TestSuspectConnectionIsReplacedForNewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h := &host{}
+		h := &fakeHost{}
 		p := newPool(h)
 		first, err := p.Conn(context.Background(), address)
 		g.Expect(err).NotTo(HaveOccurred())
 		<-time.After(time.Minute)
 		same, err := p.Conn(context.Background(), address)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(same).To(BeIdenticalTo(first), "heartbeats keep it")
+		g.Expect(same).To(BeIdenticalTo(first), "heartbeats keep it open")
 
-		h.boxes[0].forgotten.Store(true)
+		h.boxes[0].dropping.Store(true)
 		<-time.After(3 * messenger.DefaultHeartbeatInterval)
 		second, err := p.Conn(context.Background(), address)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(second).NotTo(BeIdenticalTo(first))
-		g.Expect(first.Done()).NotTo(BeClosed(), "what was sent on it may still be answered")
+		g.Expect(first.Done()).NotTo(BeClosed(), "requests sent on it may still be answered")
 		<-time.After(messenger.DefaultSilenceLimit)
 		g.Expect(first.Done()).To(BeClosed())
 		g.Expect(second.Done()).NotTo(BeClosed())
@@ -116,15 +116,15 @@
 	})
 }
 
-// Symptom: a control host that has returned stays behind for seconds. Sequence: it
-// is down for long, and each failed dial doubles the pause; it returns just after
-// one. Cause: the pause was bounded by what suits many callers, and not by how long
-// one peer may be missed.
+// Guards against a control host that lags behind for seconds after its return: it is
+// down for a long time, each failed dial doubles the back-off, and it returns just
+// after one. The maximum of the back-off suited many callers that share one address,
+// but not how long a single peer may be missed.
 func TestReturnedHostIsReachedWithinTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const bound = 250 * time.Millisecond
-		h := &host{refuses: true}
+		h := &fakeHost{refuses: true}
 		p := dialer.NewPool(dialer.Settings{Dial: h.dial, Random: rand.New(rand.NewPCG(1, 2)), BackOffMax: bound})
 		for range 600 {
 			_, err := p.Conn(context.Background(), address)
@@ -141,13 +141,13 @@
 	})
 }
 
-// Symptom: a stream of several minutes is cut by the expiry of idle connections.
-// Sequence: an entry dispatches, then only receives pieces. Cause: idleness was
-// counted from the last use of the pool rather than from the last message.
+// Guards against closing the connection of a stream that lasts several minutes as idle:
+// an entry dispatches, and then only receives pieces. Idleness was counted from the
+// last use of the pool instead of the last message.
 func TestIdleExpirySparesConnectionsAtWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		h := &host{}
+		h := &fakeHost{}
 		p := newPool(h)
 		c, err := p.Conn(context.Background(), address)
 		g.Expect(err).NotTo(HaveOccurred())
