--- a/internal/transport/gatekeeper/pieces.go
+++ b/internal/transport/gatekeeper/pieces.go
@@ -10,22 +10,22 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// pieceShards is the number of shards of Pieces.
+// pieceShards is the number of shards of a PieceRouter.
 const pieceShards = 16
 
-// inboxLimit bounds the bytes that wait in one inbox. Companions send only so
-// much before it is acknowledged; a piece beyond is dropped and asked for later.
-const inboxLimit = 16 << 20
+// maxInboxBytes limits the bytes that wait in one inbox. Companions send only a limited
+// amount before it is acknowledged; pieces beyond are dropped and requested later.
+const maxInboxBytes = 16 << 20
 
-// Pieces hands the pieces of answers that arrive on any connection to the
-// attempts which wait for them. It is the messenger.Handler of an entry's pool.
-type Pieces struct {
+// PieceRouter passes the pieces of answers that arrive on any connection to the
+// attempts that wait for them. It is the messenger.Handler of an entry's pool.
+type PieceRouter struct {
 	shards [pieceShards]pieceShard
 }
 
 type pieceShard struct {
 	mu sync.Mutex
-	// inboxes are the attempts that wait; guarded by mu.
+	// inboxes holds the inboxes of the waiting attempts; guarded by mu.
 	inboxes map[attemptID]*inbox
 }
 
@@ -36,29 +36,29 @@
 
 // inbox holds the pieces that have arrived for one attempt.
 type inbox struct {
-	// arrived gets a value when there is something to take.
+	// arrived receives a value when there are pieces to take.
 	arrived chan struct{}
 
 	mu sync.Mutex
-	// pieces have arrived and were not taken; guarded by mu.
+	// pieces holds the pieces that have arrived and were not taken; guarded by mu.
 	pieces []messenger.Piece
-	// bytes counts their data; guarded by mu.
+	// bytes is the size of their data; guarded by mu.
 	bytes int
-	// lost tells that a piece was dropped; guarded by mu.
-	lost bool
+	// dropped means that a piece was dropped; guarded by mu.
+	dropped bool
 }
 
-// NewPieces returns a Pieces that nobody waits at.
-func NewPieces() *Pieces {
-	p := &Pieces{}
+// NewPieceRouter returns a PieceRouter without open inboxes.
+func NewPieceRouter() *PieceRouter {
+	p := &PieceRouter{}
 	for i := range p.shards {
 		p.shards[i].inboxes = make(map[attemptID]*inbox)
 	}
 	return p
 }
 
-// Handle takes a piece. One that nobody waits for is late and dropped.
-func (p *Pieces) Handle(_ context.Context, _ *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
+// Handle delivers a piece. A piece for which no attempt waits is late, and is dropped.
+func (p *PieceRouter) Handle(_ context.Context, _ *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
 	if method != messenger.MethodPiece {
 		return nil, messenger.NewRefusal(messenger.ReasonUnsupported, string(method))
 	}
@@ -66,12 +66,12 @@
 	if err := messenger.Decode(params, &piece); err != nil {
 		return nil, err
 	}
-	p.Put(piece)
+	p.Deliver(piece)
 	return nil, nil
 }
 
-// Put hands the piece to its attempt.
-func (p *Pieces) Put(piece messenger.Piece) {
+// Deliver passes the piece to its attempt.
+func (p *PieceRouter) Deliver(piece messenger.Piece) {
 	id := attemptID{piece.Request, piece.Attempt}
 	s := p.shard(id)
 	s.mu.Lock()
@@ -82,11 +82,11 @@
 	}
 }
 
-func (p *Pieces) shard(id attemptID) *pieceShard {
+func (p *PieceRouter) shard(id attemptID) *pieceShard {
 	return &p.shards[xxhash.Sum64String(id.request)%pieceShards]
 }
 
-func (p *Pieces) open(id attemptID) *inbox {
+func (p *PieceRouter) open(id attemptID) *inbox {
 	box := &inbox{arrived: make(chan struct{}, 1)}
 	s := p.shard(id)
 	s.mu.Lock()
@@ -95,7 +95,7 @@
 	return box
 }
 
-func (p *Pieces) close(id attemptID) {
+func (p *PieceRouter) close(id attemptID) {
 	s := p.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,8 +104,8 @@
 
 func (b *inbox) put(piece messenger.Piece) {
 	b.mu.Lock()
-	if b.bytes+len(piece.Data) > inboxLimit {
-		b.lost = true
+	if b.bytes+len(piece.Data) > maxInboxBytes {
+		b.dropped = true
 	} else {
 		b.pieces = append(b.pieces, piece)
 		b.bytes += len(piece.Data)
@@ -117,11 +117,11 @@
 	}
 }
 
-// take returns what has arrived, and whether a piece was dropped.
-func (b *inbox) take() (pieces []messenger.Piece, lost bool) {
+// takeAll returns the pieces that have arrived, and whether a piece was dropped.
+func (b *inbox) takeAll() (pieces []messenger.Piece, dropped bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	pieces, lost = b.pieces, b.lost
-	b.pieces, b.bytes, b.lost = nil, 0, false
-	return pieces, lost
+	pieces, dropped = b.pieces, b.dropped
+	b.pieces, b.bytes, b.dropped = nil, 0, false
+	return pieces, dropped
 }
--- a/internal/transport/starter/roles.go
+++ b/internal/transport/starter/roles.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	pieces := gatekeeper.NewPieces()
+	pieces := gatekeeper.NewPieceRouter()
 	p.pool = dialer.NewPool(dialer.Settings{
 		Messenger: p.messenger(pieces), Random: p.fork(), Dial: p.dialPeers(configurer.RoleCompanion),
 	})
@@ -106,7 +106,7 @@
 		Index:         p.index,
 		Control:       p.client,
 		Pool:          p.pool,
-		Pieces:        pieces,
+		PieceRouter:   pieces,
 		Recorder:      p.recorder,
 		Registerer:    p.settings.Registry,
 		Log:           p.settings.Log,
