--- a/cmd/marigoldpoint/certificates.go
+++ b/cmd/marigoldpoint/certificates.go
@@ -85,7 +85,7 @@
 }
 
 // write keeps a pair and tells where.
-func (a pairArguments) write(out io.Writer, pair sealer.Pair, until time.Time) error {
+func (a pairArguments) write(out io.Writer, pair sealer.KeyPair, until time.Time) error {
 	if err := pair.Write(a.Certificate, a.Key); err != nil {
 		return err
 	}
--- a/internal/transport/attendant/engine.go
+++ b/internal/transport/attendant/engine.go
@@ -70,7 +70,7 @@
 	return slots
 }
 
-//go:generate stringer -type=OrderKind,Reply -output=kinds_string.go
+//go:generate stringer -type=OrderKind,Reply -linecomment -output=kinds_string.go
 
 // OrderKind is what an order asks for.
 type OrderKind int
@@ -103,17 +103,17 @@
 const (
 	// ReplyAccepted means that the order is being carried out.
 	ReplyAccepted Reply = iota
-	// ReplyHolds means that what was asked for is so.
-	ReplyHolds
-	// ReplyOvertaken means that another order is in progress, or that the engine
+	// ReplyAlreadyDone means that what was asked for is so.
+	ReplyAlreadyDone // ReplyHolds
+	// ReplyConflict means that another order is in progress, or that the engine
 	// has accepted others since.
-	ReplyOvertaken
+	ReplyConflict // ReplyOvertaken
 	// ReplyFenced means that a higher fencing token was seen.
 	ReplyFenced
-	// ReplyElsewhere means that another life of the engine was meant.
-	ReplyElsewhere
-	// ReplyRefused means that the order makes no sense to the engine.
-	ReplyRefused
+	// ReplyWrongIncarnation means that another life of the engine was meant.
+	ReplyWrongIncarnation // ReplyElsewhere
+	// ReplyInvalid means that the order makes no sense to the engine.
+	ReplyInvalid // ReplyRefused
 )
 
 // versionName returns MODEL/ADAPTER@VERSION.
--- a/internal/transport/attendant/fixture_test.go
+++ b/internal/transport/attendant/fixture_test.go
@@ -89,11 +89,11 @@
 func (e *engine) carryOut(o attendant.Order) attendant.Reply {
 	switch {
 	case o.Incarnation != "" && o.Incarnation != e.life:
-		return attendant.ReplyElsewhere
+		return attendant.ReplyWrongIncarnation
 	case o.Fence < e.fence:
 		return attendant.ReplyFenced
 	case e.busy || o.Expect != e.sequence:
-		return attendant.ReplyOvertaken
+		return attendant.ReplyConflict
 	}
 	e.fence = o.Fence
 	e.sequence++
@@ -114,7 +114,7 @@
 		after(func() { e.busy, e.empty = false, false })
 	case o.Kind == attendant.OrderUnload:
 		delete(e.held, o.Adapter)
-		return attendant.ReplyHolds
+		return attendant.ReplyAlreadyDone
 	default:
 		if e.pending[o.Adapter] = o.Version; e.empty || len(e.held)+len(e.pending) > slots {
 			e.crashed = fmt.Sprintf("ordered to hold %v and %v", e.held, e.pending)
--- a/internal/transport/attendant/observing.go
+++ b/internal/transport/attendant/observing.go
@@ -23,7 +23,7 @@
 		a.notice()
 		if a.loadingModel() {
 			// Requests wait for it.
-			timer.Reset(a.settings.LoadPoll)
+			timer.Reset(a.settings.LoadPollInterval)
 		} else {
 			timer.Reset(a.settings.ObserveInterval)
 		}
--- a/internal/transport/attendant/ordering.go
+++ b/internal/transport/attendant/ordering.go
@@ -108,7 +108,7 @@
 // awaitAdapter waits until the engine holds the version.
 func (a *Attendant) awaitAdapter(version string, began time.Time) error {
 	missing := 0
-	for a.pause(a.settings.LoadPoll) {
+	for a.pause(a.settings.LoadPollInterval) {
 		r, err := a.read()
 		if err != nil {
 			return err
@@ -128,7 +128,7 @@
 		} else if missing++; missing > missingLimit {
 			return errors.New("the engine gave the load up")
 		}
-		if a.settings.Now().Sub(began) > a.settings.LoadLimit {
+		if a.settings.Now().Sub(began) > a.settings.LoadTimeout {
 			return errors.New("the load took too long")
 		}
 	}
@@ -156,7 +156,7 @@
 
 // awaitGone waits until the engine holds the version no more.
 func (a *Attendant) awaitGone(version string) error {
-	for began := a.settings.Now(); a.settings.Now().Sub(began) < a.settings.LoadLimit; {
+	for began := a.settings.Now(); a.settings.Now().Sub(began) < a.settings.LoadTimeout; {
 		r, err := a.read()
 		if err != nil {
 			return err
@@ -164,7 +164,7 @@
 		if !r.occupies(version) {
 			return nil
 		}
-		if !a.pause(a.settings.LoadPoll) {
+		if !a.pause(a.settings.LoadPollInterval) {
 			break
 		}
 	}
@@ -226,12 +226,12 @@
 			sent++
 		}
 		last = err
-		limit := a.settings.LoadLimit
+		limit := a.settings.LoadTimeout
 		if errors.Is(err, errNoSlot) {
 			a.wake()
 			limit = slotLooks * a.settings.ObserveInterval
 		}
-		if a.settings.Now().Sub(began) > limit || !a.pause(a.settings.LoadPoll) {
+		if a.settings.Now().Sub(began) > limit || !a.pause(a.settings.LoadPollInterval) {
 			break
 		}
 	}
@@ -259,10 +259,10 @@
 	switch {
 	case err != nil:
 		return false, true, err
-	case reply == ReplyAccepted, reply == ReplyHolds:
+	case reply == ReplyAccepted, reply == ReplyAlreadyDone:
 		return true, true, nil
 	default:
-		return reply == ReplyFenced || reply == ReplyRefused, true, errors.Errorf("the engine answered %s", reply)
+		return reply == ReplyFenced || reply == ReplyInvalid, true, errors.Errorf("the engine answered %s", reply)
 	}
 }
 
--- a/internal/transport/attendant/settings.go
+++ b/internal/transport/attendant/settings.go
@@ -17,9 +17,9 @@
 	// DefaultObserveInterval is the time between two looks at an engine at which
 	// no order is under way. Only a restart is found by it.
 	DefaultObserveInterval = 250 * time.Millisecond
-	// DefaultTellInterval is the least time between two states told to entries: a
+	// DefaultPublishInterval is the least time between two states told to entries: a
 	// third of a load, so that what an entry believes of a slot is seldom wrong.
-	DefaultTellInterval = 80 * time.Millisecond
+	DefaultPublishInterval = 80 * time.Millisecond
 	// DefaultPrefillRate is the number of prompt tokens that an engine reads in a
 	// second. It only ranks engines, and entries use the same.
 	DefaultPrefillRate = 38_000
@@ -32,10 +32,10 @@
 	// host: some twenty times what it takes. One that was lost holds up all that
 	// wait for an adapter there, and is looked for in the engine's report.
 	DefaultOrderTimeout = 90 * time.Millisecond
-	// DefaultLoadPoll is the time between two looks at a load under way.
-	DefaultLoadPoll = 25 * time.Millisecond
-	// DefaultLoadLimit is the time after which a load counts as failed.
-	DefaultLoadLimit = 4 * time.Second
+	// DefaultLoadPollInterval is the time between two looks at a load under way.
+	DefaultLoadPollInterval = 25 * time.Millisecond
+	// DefaultLoadTimeout is the time after which a load counts as failed.
+	DefaultLoadTimeout = 4 * time.Second
 	// maxLoads is the number of adapters on their way to one engine at most; the users'
 	// engines take no more at once. How many there are the pacer decides.
 	maxLoads = 4
@@ -63,14 +63,14 @@
 	View func() *tracker.View
 
 	ObserveInterval time.Duration
-	TellInterval    time.Duration
+	PublishInterval time.Duration
 	// PrefillRate is in tokens a second.
-	PrefillRate  float64
-	Patience     time.Duration
-	HalfLife     time.Duration
-	OrderTimeout time.Duration
-	LoadPoll     time.Duration
-	LoadLimit    time.Duration
+	PrefillRate      float64
+	Patience         time.Duration
+	HalfLife         time.Duration
+	OrderTimeout     time.Duration
+	LoadPollInterval time.Duration
+	LoadTimeout      time.Duration
 
 	Registerer prometheus.Registerer
 	Log        zerolog.Logger
@@ -82,13 +82,13 @@
 
 func (s Settings) withDefaults() Settings {
 	s.ObserveInterval = cmp.Or(s.ObserveInterval, DefaultObserveInterval)
-	s.TellInterval = cmp.Or(s.TellInterval, DefaultTellInterval)
+	s.PublishInterval = cmp.Or(s.PublishInterval, DefaultPublishInterval)
 	s.PrefillRate = cmp.Or(s.PrefillRate, DefaultPrefillRate)
 	s.Patience = cmp.Or(s.Patience, DefaultPatience)
 	s.HalfLife = cmp.Or(s.HalfLife, DefaultHalfLife)
 	s.OrderTimeout = cmp.Or(s.OrderTimeout, DefaultOrderTimeout)
-	s.LoadPoll = cmp.Or(s.LoadPoll, DefaultLoadPoll)
-	s.LoadLimit = cmp.Or(s.LoadLimit, DefaultLoadLimit)
+	s.LoadPollInterval = cmp.Or(s.LoadPollInterval, DefaultLoadPollInterval)
+	s.LoadTimeout = cmp.Or(s.LoadTimeout, DefaultLoadTimeout)
 	if s.Now == nil {
 		s.Now = time.Now
 	}
--- a/internal/transport/attendant/telling.go
+++ b/internal/transport/attendant/telling.go
@@ -18,7 +18,7 @@
 // last word. The whole each time, as a JSON object, was half of what went between
 // failure domains at 25 entries before 46 engines.
 func (a *Attendant) tell(u *audience) {
-	for a.pause(a.settings.TellInterval) {
+	for a.pause(a.settings.PublishInterval) {
 		for _, t := range a.news(u) {
 			if len(t.entries) == 0 {
 				continue
@@ -72,7 +72,7 @@
 		return nil
 	}
 	now := a.settings.Now()
-	if !u.whole && now.Sub(u.toldAt) < placer.TellingInterval(a.settings.TellInterval, len(u.conns), u == a.near) {
+	if !u.whole && now.Sub(u.toldAt) < placer.TellingInterval(a.settings.PublishInterval, len(u.conns), u == a.near) {
 		// One that comes in between is told at once what the others know: what they are
 		// told next builds on that.
 		return []telling{{state: u.told, entries: u.ignorant()}}
--- a/internal/transport/companion/companion.go
+++ b/internal/transport/companion/companion.go
@@ -114,7 +114,7 @@
 	} else if c.maxBatch == 0 {
 		c.maxBatch = DefaultServiceBatch
 	}
-	c.settings.Control.OnVoid(c.voided)
+	c.settings.Control.OnMembershipEnd(c.voided)
 	if err := c.join(ctx); err != nil {
 		return errors.Annotate(err, "joining the membership")
 	}
--- a/internal/transport/companion/hint.go
+++ b/internal/transport/companion/hint.go
@@ -1,6 +1,6 @@
 package companion
 
-// Hint has the engine's state read soon, where something tells that the engine may
+// RefreshEngineState has the engine's state read soon, where something tells that the engine may
 // have restarted. Only what is read counts: a false hint costs one reading. For a
 // plain service it does nothing.
-func (c *Companion) Hint() { c.read() }
+func (c *Companion) RefreshEngineState() { c.read() }
--- a/internal/transport/companion/settings.go
+++ b/internal/transport/companion/settings.go
@@ -41,8 +41,8 @@
 	Renew(r registrar.Renewal)
 	// Leave marks the membership as leaving, or ends it.
 	Leave(ctx context.Context, name string, epoch uint64, ended bool) error
-	// OnVoid registers what is called when a membership has ended.
-	OnVoid(f func(name string, epoch uint64))
+	// OnMembershipEnd registers what is called when a membership has ended.
+	OnMembershipEnd(f func(name string, epoch uint64))
 	// LeaseValid tells whether there was contact with a leader lately.
 	LeaseValid() bool
 	// RequestPermit waits for a permit to load.
--- a/internal/transport/companion/suite_test.go
+++ b/internal/transport/companion/suite_test.go
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (f *fakeControl) OnVoid(g func(string, uint64)) { f.void = g }
+func (f *fakeControl) OnMembershipEnd(g func(string, uint64)) { f.void = g }
 
 func (f *fakeControl) RequestPermit(ctx context.Context, r permitter.Request) (permitter.Grant, error) {
 	f.asked.Add(1)
--- a/internal/transport/controller/faults_test.go
+++ b/internal/transport/controller/faults_test.go
@@ -72,7 +72,7 @@
 		voids := &atomic.Int64{}
 		epoch := &atomic.Uint64{}
 		epoch.Store(lease.Epoch)
-		n.OnVoid(func(string, uint64) { voids.Add(1) })
+		n.OnMembershipEnd(func(string, uint64) { voids.Add(1) })
 		stop := make(chan struct{})
 		done := make(chan struct{})
 		go func() {
@@ -166,7 +166,7 @@
 		for _, e := range entries {
 			killed := time.Now()
 			Eventually(func() bool {
-				age, ok := e.AskedAge()
+				age, ok := e.ConfirmedAge()
 				return ok && age < time.Since(killed)
 			}, patience).Should(BeTrue())
 		}
--- a/internal/transport/listener/http.go
+++ b/internal/transport/listener/http.go
@@ -91,9 +91,9 @@
 // Address returns the address listened on.
 func (h *HTTP) Address() string { return h.network.Addr().String() }
 
-// Retire ends the connections that are idle, and the others with their answer, so that
+// DisableKeepAlives ends the connections that are idle, and the others with their answer, so that
 // their callers go elsewhere. New ones are still accepted, for one answer each.
-func (h *HTTP) Retire() {
+func (h *HTTP) DisableKeepAlives() {
 	h.retiring.Store(true)
 	h.endIdle()
 }
@@ -114,7 +114,7 @@
 
 // Shutdown stops accepting and waits for the requests in progress until ctx ends.
 func (h *HTTP) Shutdown(ctx context.Context) error {
-	h.Retire()
+	h.DisableKeepAlives()
 	if err := h.network.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return errors.Trace(err)
 	}
--- a/internal/transport/relayer/keys.go
+++ b/internal/transport/relayer/keys.go
@@ -31,7 +31,7 @@
 	if r.settings.Control == nil || r.settings.KeyLease <= 0 {
 		return true
 	}
-	age, ok := r.settings.Control.AskedAge()
+	age, ok := r.settings.Control.ConfirmedAge()
 	return ok && age < r.settings.KeyLease
 }
 
@@ -40,7 +40,7 @@
 	if r.settings.Control == nil {
 		return true
 	}
-	age, ok := r.settings.Control.AskedAge()
+	age, ok := r.settings.Control.ConfirmedAge()
 	return ok && age < r.settings.Now().Sub(at)
 }
 
--- a/internal/transport/relayer/keys_test.go
+++ b/internal/transport/relayer/keys_test.go
@@ -36,7 +36,7 @@
 	c.age, c.answers = age, answers
 }
 
-func (c *control) AskedAge() (time.Duration, bool) {
+func (c *control) ConfirmedAge() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.age, c.age >= 0
--- a/internal/transport/relayer/settings.go
+++ b/internal/transport/relayer/settings.go
@@ -41,9 +41,9 @@
 
 // Control is the entry's end towards the control hosts. *subscriber.Client is one.
 type Control interface {
-	// AskedAge returns how long ago the entry asked what was accepted and has held it
+	// ConfirmedAge returns how long ago the entry asked what was accepted and has held it
 	// since, and false where it never did.
-	AskedAge() (time.Duration, bool)
+	ConfirmedAge() (time.Duration, bool)
 	// AwaitReport has control asked at once, and waits for an answer; it reports whether
 	// one came.
 	AwaitReport(ctx context.Context) bool
--- a/internal/transport/sealer/issuer.go
+++ b/internal/transport/sealer/issuer.go
@@ -36,8 +36,8 @@
 	keyKind                     = "PRIVATE KEY"
 )
 
-// Pair is a certificate and its key, both in PEM.
-type Pair struct {
+// KeyPair is a certificate and its key, both in PEM.
+type KeyPair struct {
 	Certificate []byte
 	Key         configurer.Secret
 }
@@ -45,7 +45,7 @@
 // Write puts the pair into two files, each replaced as a whole: a process that
 // reads them meanwhile finds an old or a new one, never a part. The key goes
 // first, so that once the certificate is new both are.
-func (p Pair) Write(certificateFile, keyFile string) error {
+func (p KeyPair) Write(certificateFile, keyFile string) error {
 	if err := replace(keyFile, []byte(p.Key.Reveal()), keyMode); err != nil {
 		return errors.Trace(err)
 	}
@@ -81,10 +81,10 @@
 
 // NewAuthority makes an authority that is valid for a time from now on, and the
 // pair to keep it in.
-func NewAuthority(name string, now time.Time, validity time.Duration) (*Authority, Pair, error) {
+func NewAuthority(name string, now time.Time, validity time.Duration) (*Authority, KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, Pair{}, errors.Trace(err)
+		return nil, KeyPair{}, errors.Trace(err)
 	}
 	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: name},
@@ -98,10 +98,10 @@
 	a := &Authority{certificate: template, key: key}
 	der, pair, err := a.sign(template, key)
 	if err != nil {
-		return nil, Pair{}, errors.Trace(err)
+		return nil, KeyPair{}, errors.Trace(err)
 	}
 	if a.certificate, err = x509.ParseCertificate(der); err != nil {
-		return nil, Pair{}, errors.Trace(err)
+		return nil, KeyPair{}, errors.Trace(err)
 	}
 	return a, pair, nil
 }
@@ -129,18 +129,18 @@
 }
 
 // Issue makes a process's certificate, valid for a time from now on.
-func (a *Authority) Issue(i Identity, now time.Time, validity time.Duration) (Pair, error) {
+func (a *Authority) Issue(i Identity, now time.Time, validity time.Duration) (KeyPair, error) {
 	names := i.uris()
 	if read, err := IdentityOf(&x509.Certificate{URIs: names}); err != nil || read.Node != i.Node {
-		return Pair{}, errors.NotValidf("identity of the node %q with the roles %v", i.Node, i.Roles)
+		return KeyPair{}, errors.NotValidf("identity of the node %q with the roles %v", i.Node, i.Roles)
 	}
 	notAfter := now.Add(validity)
 	if notAfter.After(a.certificate.NotAfter) {
-		return Pair{}, errors.NotValidf("certificate until %v from an authority that ends at %v", notAfter.UTC(), a.certificate.NotAfter)
+		return KeyPair{}, errors.NotValidf("certificate until %v from an authority that ends at %v", notAfter.UTC(), a.certificate.NotAfter)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Trace(err)
+		return KeyPair{}, errors.Trace(err)
 	}
 	_, pair, err := a.sign(&x509.Certificate{
 		Subject:     pkix.Name{CommonName: i.Node},
@@ -154,16 +154,16 @@
 }
 
 // sign makes the certificate of a key.
-func (a *Authority) sign(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, Pair, error) {
+func (a *Authority) sign(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, KeyPair, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key.Public(), a.key)
 	if err != nil {
-		return nil, Pair{}, errors.Trace(err)
+		return nil, KeyPair{}, errors.Trace(err)
 	}
 	encoded, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return nil, Pair{}, errors.Trace(err)
+		return nil, KeyPair{}, errors.Trace(err)
 	}
-	return der, Pair{
+	return der, KeyPair{
 		Certificate: pem.EncodeToMemory(&pem.Block{Type: certificateKind, Bytes: der}),
 		Key:         configurer.NewSecret(string(pem.EncodeToMemory(&pem.Block{Type: keyKind, Bytes: encoded}))),
 	}, nil
--- a/internal/transport/sealer/suite_test.go
+++ b/internal/transport/sealer/suite_test.go
@@ -24,7 +24,7 @@
 // deployment is an authority and the folder of its files.
 type deployment struct {
 	authority *sealer.Authority
-	root      sealer.Pair
+	root      sealer.KeyPair
 	folder    string
 	writes    int
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-func (d *deployment) issue(node string, validity time.Duration, roles ...configurer.Role) sealer.Pair {
+func (d *deployment) issue(node string, validity time.Duration, roles ...configurer.Role) sealer.KeyPair {
 	GinkgoHelper()
 	p, err := d.authority.Issue(sealer.Identity{Node: node, Roles: roles}, time.Now(), validity)
 	Expect(err).NotTo(HaveOccurred())
@@ -62,7 +62,7 @@
 }
 
 // put writes all files of a node; it trusts the authorities given besides its own.
-func (d *deployment) put(node string, p sealer.Pair, others ...*deployment) {
+func (d *deployment) put(node string, p sealer.KeyPair, others ...*deployment) {
 	GinkgoHelper()
 	trusted := d.root.Certificate
 	for _, o := range others {
--- a/internal/transport/starter/announce.go
+++ b/internal/transport/starter/announce.go
@@ -35,7 +35,7 @@
 		p.settings.Log.Info().Str("Address", a.Address).Stringer("Kind", a.Kind).Str("Incarnation", a.Incarnation).
 			Msg("backend server announced itself")
 	case p.incarnation != a.Incarnation:
-		p.companion.Hint()
+		p.companion.RefreshEngineState()
 	}
 	p.incarnation = a.Incarnation
 	return nil
--- a/internal/transport/subscriber/client.go
+++ b/internal/transport/subscriber/client.go
@@ -114,9 +114,9 @@
 	return c
 }
 
-// OnVoid has f called when a membership has ended though its companion renewed
+// OnMembershipEnd has f called when a membership has ended though its companion renewed
 // it. F must be quick.
-func (c *Client) OnVoid(f func(name string, epoch uint64)) {
+func (c *Client) OnMembershipEnd(f func(name string, epoch uint64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onVoid = f
--- a/internal/transport/subscriber/reports.go
+++ b/internal/transport/subscriber/reports.go
@@ -14,13 +14,13 @@
 // another control host.
 const reportTimeout = 700 * time.Millisecond
 
-// AskedAge returns how long ago the node asked what was accepted and has held it since,
+// ConfirmedAge returns how long ago the node asked what was accepted and has held it since,
 // and false where it never did.
 //
 // Unlike Age it rests on the node's own questions: an answer covers all that was accepted
 // before the question left. A pulse that lay in a socket while this host stood still
 // extends Age, and not this.
-func (c *Client) AskedAge() (time.Duration, bool) {
+func (c *Client) ConfirmedAge() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.knowledge.Age(c.settings.Now())
@@ -83,7 +83,7 @@
 // reportPause returns the time until the next report.
 func (c *Client) reportPause() time.Duration {
 	if c.accounts.Tight(c.settings.Now()) {
-		return c.settings.TightInterval
+		return c.settings.LowQuotaReportInterval
 	}
 	return c.settings.ReportInterval
 }
--- a/internal/transport/subscriber/reports_test.go
+++ b/internal/transport/subscriber/reports_test.go
@@ -105,7 +105,7 @@
 func TestKnowledgeOfKeysRestsOnOwnQuestions(t *testing.T) {
 	withClient(t, func(g *WithT, h *host, c *Client, _ *tracker.Tracker) {
 		<-time.After(time.Second)
-		age, ok := c.AskedAge()
+		age, ok := c.ConfirmedAge()
 		g.Expect(ok).To(BeTrue())
 		g.Expect(age).To(BeNumerically("<=", DefaultReportInterval))
 
@@ -114,7 +114,7 @@
 		g.Expect(h.connection().Notify(context.Background(), messenger.MethodPulse, distributor.Pulse{Term: 1})).To(Succeed())
 		synctest.Wait()
 		g.Expect(c.LeaseValid()).To(BeTrue(), "the pulse arrived")
-		age, _ = c.AskedAge()
+		age, _ = c.ConfirmedAge()
 		g.Expect(age).To(BeNumerically(">=", 2*time.Second))
 	})
 }
@@ -128,7 +128,7 @@
 		defer cancel()
 		<-time.After(DefaultReportInterval)
 		g.Expect(c.AwaitReport(ctx)).To(BeTrue())
-		age, _ := c.AskedAge()
+		age, _ := c.ConfirmedAge()
 		g.Expect(age).To(Equal(500 * time.Millisecond))
 	})
 }
@@ -139,14 +139,14 @@
 	withClient(t, func(g *WithT, h *host, c *Client, index *tracker.Tracker) {
 		h.set(0, 7)
 		<-time.After(time.Second)
-		_, ok := c.AskedAge()
+		_, ok := c.ConfirmedAge()
 		g.Expect(ok).To(BeFalse())
 		packed, err := distributor.Pack(distributor.Delta{Last: true, UpTo: 7, Changes: []storer.Change{}})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(h.connection().Notify(context.Background(), messenger.MethodDelta, packed)).To(Succeed())
 		synctest.Wait()
 		g.Expect(index.Revision()).To(Equal(uint64(7)))
-		age, ok := c.AskedAge()
+		age, ok := c.ConfirmedAge()
 		g.Expect(ok).To(BeTrue())
 		g.Expect(age).To(BeNumerically("<=", time.Second))
 	})
--- a/internal/transport/subscriber/settings.go
+++ b/internal/transport/subscriber/settings.go
@@ -26,8 +26,8 @@
 
 	DefaultAcknowledgeInterval = 200 * time.Millisecond
 
-	DefaultReportInterval = 250 * time.Millisecond
-	DefaultTightInterval  = 100 * time.Millisecond
+	DefaultReportInterval         = 250 * time.Millisecond
+	DefaultLowQuotaReportInterval = 100 * time.Millisecond
 )
 
 // Settings are the options of a Client.
@@ -72,8 +72,8 @@
 	Keyed func() bool
 	// ReportInterval is the time between two reports, and TightInterval that while a
 	// quota is nearly spent; 0 means the defaults.
-	ReportInterval time.Duration
-	TightInterval  time.Duration
+	ReportInterval         time.Duration
+	LowQuotaReportInterval time.Duration
 
 	// Messenger holds the intervals of connections; the rest is set here.
 	Messenger messenger.Settings
@@ -99,7 +99,7 @@
 	s.ReturnInterval = cmp.Or(s.ReturnInterval, DefaultReturnInterval)
 	s.AcknowledgeInterval = cmp.Or(s.AcknowledgeInterval, DefaultAcknowledgeInterval)
 	s.ReportInterval = cmp.Or(s.ReportInterval, DefaultReportInterval)
-	s.TightInterval = cmp.Or(s.TightInterval, DefaultTightInterval)
+	s.LowQuotaReportInterval = cmp.Or(s.LowQuotaReportInterval, DefaultLowQuotaReportInterval)
 	if s.Now == nil {
 		s.Now = time.Now
 	}
