--- a/internal/transport/attendant/admission.go
+++ b/internal/transport/attendant/admission.go
@@ -10,267 +10,272 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// guest is a request that waits for its adapter, or is admitted. Its fields are
+// admission is a request that waits for its adapter or has been admitted. Its fields are
 // guarded by Attendant.mu.
-type guest struct {
-	admit messenger.Admit
-	conn  *messenger.Conn
-	// version is the one that the guest gets, and name its name in the table;
-	// empty where it needs no adapter.
+type admission struct {
+	msg  messenger.Admit
+	conn *messenger.Conn
+	// version is the adapter version that the request gets, and name its name in the slot
+	// table; name is empty if the request needs no adapter.
 	version uint64
 	name    string
-	// wanted tells that the table knows the guest.
-	wanted bool
-	// done is closed when the wait ends; refused then tells why it failed.
+	// inTable reports whether the slot table has a request for this admission.
+	inTable bool
+	// done is closed when the wait ends; refused then holds the reason if it failed.
 	done     chan struct{}
 	admitted bool
 	refused  *messenger.Refusal
-	began    time.Time
+	started  time.Time
 }
 
-// earlyLimit is for how long a release is remembered that came first.
-const earlyLimit = 5 * time.Second
+// earlyReleaseRetention is how long a release that arrived before its admission is kept.
+const earlyReleaseRetention = 5 * time.Second
 
-// admit waits until the request's adapter is ready.
+// admit waits until the request's adapter is ready, for at most m.WaitMillis.
 func (a *Attendant) admit(ctx context.Context, conn *messenger.Conn, m messenger.Admit) (any, error) {
-	g, refusal := a.receive(conn, m) //nolint:contextcheck // Orders outlive the request that led to them.
+	adm, refusal := a.register(conn, m) //nolint:contextcheck // Orders outlive the request that led to them.
 	if refusal != nil {
 		return nil, refusal
 	}
 	timer := time.NewTimer(time.Duration(m.WaitMillis) * time.Millisecond)
 	defer timer.Stop()
 	select {
-	case <-g.done:
+	case <-adm.done:
 	case <-timer.C:
 	case <-ctx.Done():
 	case <-a.root.Done():
 	}
-	return a.answer(g) //nolint:contextcheck // Orders outlive the request that led to them.
+	return a.result(adm) //nolint:contextcheck // Orders outlive the request that led to them.
 }
 
-// answer tells how the wait ended. A guest that still waits is dropped.
-func (a *Attendant) answer(g *guest) (any, error) {
+// result returns the outcome of the wait. A request that is still waiting is removed and
+// refused.
+func (a *Attendant) result(adm *admission) (any, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	waited := a.settings.Now().Sub(g.began)
+	waited := a.settings.Now().Sub(adm.started)
 	switch {
-	case g.admitted:
+	case adm.admitted:
 		a.metrics.waited.Observe(waited.Seconds())
-		return messenger.Admitted{Version: g.version}, nil
-	case g.refused == nil:
-		a.drop(g)
-		g.refused = messenger.NewRefusal(messenger.ReasonDeadline, "the adapter was not ready in time")
+		return messenger.Admitted{Version: adm.version}, nil
+	case adm.refused == nil:
+		a.remove(adm)
+		adm.refused = messenger.NewRefusal(messenger.ReasonDeadline, "adapter was not ready within the wait limit")
 	}
 	a.metrics.refused.Inc()
-	a.settings.Log.Info().Str("Request", g.admit.Request).Str("Version", g.name).Dur("Waited", waited).
-		Str("Reason", g.refused.Detail).Int("Guests", len(a.guests)).Msg("not admitted")
-	return nil, g.refused
+	a.settings.Log.Info().Str("Request", adm.msg.Request).Str("Version", adm.name).Dur("Waited", waited).
+		Str("Reason", adm.refused.Detail).Int("Guests", len(a.admissions)).Msg("not admitted")
+	return nil, adm.refused
 }
 
-// receive takes a request in, and admits it at once where its adapter is there.
-func (a *Attendant) receive(conn *messenger.Conn, m messenger.Admit) (*guest, *messenger.Refusal) {
+// register records a request, and admits it at once if its adapter is loaded.
+func (a *Attendant) register(conn *messenger.Conn, m messenger.Admit) (*admission, *messenger.Refusal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.follow(conn)
+	a.releaseOnDisconnect(conn)
 	now := a.settings.Now()
-	if _, released := a.early[m.Request]; released {
-		delete(a.early, m.Request)
-		return nil, messenger.NewRefusal(messenger.ReasonCancelled, "released before it was admitted")
+	if _, released := a.earlyReleases[m.Request]; released {
+		delete(a.earlyReleases, m.Request)
+		return nil, messenger.NewRefusal(messenger.ReasonCancelled, "request was released before its admission arrived")
 	}
 	switch {
 	case a.closed:
-		return nil, messenger.NewRefusal(messenger.ReasonStopping, "the companion stops")
+		return nil, messenger.NewRefusal(messenger.ReasonStopping, "companion is stopping")
 	case a.table == nil || !a.reachable:
-		return nil, messenger.NewRefusal(messenger.ReasonUnavailable, "the engine was not seen lately")
+		return nil, messenger.NewRefusal(messenger.ReasonUnavailable, "engine is not reachable")
 	case m.Incarnation != "" && a.incarnation != "" && m.Incarnation != a.incarnation:
-		return nil, messenger.NewRefusal(messenger.ReasonStaleEpoch, "another life of the engine")
-	case m.Model != "" && !a.report.holds(m.Model) && a.ordered != m.Model:
-		return nil, messenger.NewRefusal(messenger.ReasonUnavailable, "the engine does not hold the model")
-	case a.guests[m.Request] != nil:
-		return nil, messenger.NewRefusal(messenger.ReasonMalformed, "the request is admitted already")
+		return nil, messenger.NewRefusal(messenger.ReasonStaleEpoch, "engine has another incarnation")
+	case m.Model != "" && !a.report.hasModel(m.Model) && a.orderedModel != m.Model:
+		return nil, messenger.NewRefusal(messenger.ReasonUnavailable, "engine has not loaded the model")
+	case a.admissions[m.Request] != nil:
+		return nil, messenger.NewRefusal(messenger.ReasonMalformed, "request is already admitted")
 	}
-	if refusal := a.sendBack(m); refusal != nil {
+	if refusal := a.checkExpectedWait(m); refusal != nil {
 		return nil, refusal
 	}
-	g := &guest{admit: m, conn: conn, done: make(chan struct{}), began: now}
-	a.guests[m.Request] = g
-	a.change()
-	if m.Adapter == "" && a.report.holds(m.Model) {
-		a.let(g, now)
-		return g, nil
+	adm := &admission{msg: m, conn: conn, done: make(chan struct{}), started: now}
+	a.admissions[m.Request] = adm
+	a.markChanged()
+	if m.Adapter == "" && a.report.hasModel(m.Model) {
+		a.grant(adm, now)
+		return adm, nil
 	}
 	if m.Adapter == "" {
-		a.blocked[m.Request] = g
-		return g, nil
+		a.blocked[m.Request] = adm
+		return adm, nil
 	}
-	g.version = max(m.Version, a.settings.View().Newest(adapterName(m.Model, m.Adapter)))
-	g.name = versionName(m.Model, m.Adapter, g.version)
-	a.want(g, now)
-	return g, nil
+	adm.version = max(m.Version, a.settings.View().Newest(adapterName(m.Model, m.Adapter)))
+	adm.name = versionName(m.Model, m.Adapter, adm.version)
+	a.requestSlot(adm, now)
+	return adm, nil
 }
 
-// sendBack refuses a request whose entry was misled by an old state, so that it goes
-// elsewhere. The caller holds mu.
-func (a *Attendant) sendBack(m messenger.Admit) *messenger.Refusal {
+// checkExpectedWait refuses a request that would wait much longer here than its entry
+// expected from an outdated engine state, so that the entry can choose another engine. The
+// caller holds mu.
+func (a *Attendant) checkExpectedWait(m messenger.Admit) *messenger.Refusal {
 	if !m.Movable || m.Adapter == "" {
 		return nil
 	}
 	version := max(m.Version, a.settings.View().Newest(adapterName(m.Model, m.Adapter)))
-	state := a.wholeState()
+	state := a.fullState()
 	wait, misled := placer.Misled(&state, adapterName(m.Model, m.Adapter), version, time.Duration(m.ExpectedMillis)*time.Millisecond)
 	if !misled {
 		return nil
 	}
 	a.metrics.sentBack.Inc()
-	r := messenger.NewRefusal(messenger.ReasonMisled, "the request would wait much longer than expected")
+	r := messenger.NewRefusal(messenger.ReasonMisled, "request would wait much longer than its entry expected")
 	r.RetryAfterMillis = wait.Milliseconds()
 	return r
 }
 
-// want has the table wait for the guest's version, once the model is there and no
-// other version of the adapter is in the way. The caller holds mu.
-func (a *Attendant) want(g *guest, now time.Time) {
-	if !a.report.holds(g.admit.Model) {
-		a.blocked[g.admit.Request] = g
+// requestSlot requests the admission's version from the slot table once the model is loaded
+// and no other version of the adapter occupies a slot. The caller holds mu.
+func (a *Attendant) requestSlot(adm *admission, now time.Time) {
+	if !a.report.hasModel(adm.msg.Model) {
+		a.blocked[adm.msg.Request] = adm
 		return
 	}
 	for _, r := range a.table.Residencies(nil) {
 		model, adapter, version := splitVersion(r.Version)
-		if model != g.admit.Model || adapter != g.admit.Adapter || version == g.version {
+		if model != adm.msg.Model || adapter != adm.msg.Adapter || version == adm.version {
 			continue
 		}
-		if version > g.version {
-			g.version, g.name = version, r.Version
+		if version > adm.version {
+			adm.version, adm.name = version, r.Version
 			continue
 		}
-		a.blocked[g.admit.Request] = g
-		a.displace(r.Version, now)
+		a.blocked[adm.msg.Request] = adm
+		a.replaceVersion(r.Version, now)
 		return
 	}
-	delete(a.blocked, g.admit.Request)
-	g.wanted = true
+	delete(a.blocked, adm.msg.Request)
+	adm.inTable = true
 	a.apply(a.table.Want(now, loader.Want{
-		Request: g.admit.Request, Workspace: g.admit.Model, Share: 1, Version: g.name, Source: g.name,
-		Due: g.began.Add(time.Duration(g.admit.SlackMillis) * time.Millisecond),
+		Request: adm.msg.Request, Workspace: adm.msg.Model, Share: 1, Version: adm.name, Source: adm.name,
+		Due: adm.started.Add(time.Duration(adm.msg.SlackMillis) * time.Millisecond),
 	}))
-	a.settle(now)
+	a.admitReady(now)
 }
 
-// displace makes a version give its slot up; guests that wait for it wait for the
-// later one. The caller holds mu.
-func (a *Attendant) displace(version string, now time.Time) {
-	for _, g := range a.guests {
-		if g.name == version && g.wanted && !g.admitted {
-			g.wanted = false
-			a.apply(a.table.Drop(now, g.admit.Request))
-			g.version = max(g.version, a.settings.View().Newest(adapterName(g.admit.Model, g.admit.Adapter)))
-			g.name = versionName(g.admit.Model, g.admit.Adapter, g.version)
-			a.blocked[g.admit.Request] = g
+// replaceVersion makes the table free the slot of a version. Requests that wait for that
+// version are moved to the newest one. The caller holds mu.
+func (a *Attendant) replaceVersion(version string, now time.Time) {
+	for _, adm := range a.admissions {
+		if adm.name == version && adm.inTable && !adm.admitted {
+			adm.inTable = false
+			a.apply(a.table.Drop(now, adm.msg.Request))
+			adm.version = max(adm.version, a.settings.View().Newest(adapterName(adm.msg.Model, adm.msg.Adapter)))
+			adm.name = versionName(adm.msg.Model, adm.msg.Adapter, adm.version)
+			a.blocked[adm.msg.Request] = adm
 		}
 	}
 	a.apply(a.table.Replace(now, version))
 }
 
-// settle admits the guests whose version is ready, and lets those go on that an
-// earlier version blocked. The caller holds mu.
-func (a *Attendant) settle(now time.Time) {
-	for _, g := range a.guests {
-		if g.wanted && !g.admitted && g.refused == nil && a.table.Pin(g.admit.Request) {
-			a.let(g, now)
+// admitReady admits the requests whose version is loaded, and requests a slot for those
+// that are no longer blocked by an earlier version or a missing model. The caller holds mu.
+func (a *Attendant) admitReady(now time.Time) {
+	for _, adm := range a.admissions {
+		if adm.inTable && !adm.admitted && adm.refused == nil && a.table.Pin(adm.msg.Request) {
+			a.grant(adm, now)
 		}
 	}
-	for _, g := range a.blocked {
+	for _, adm := range a.blocked {
 		switch {
-		case !a.report.holds(g.admit.Model) || a.otherVersion(g):
-		case g.admit.Adapter == "":
-			delete(a.blocked, g.admit.Request)
-			a.let(g, now)
+		case !a.report.hasModel(adm.msg.Model) || a.hasOtherVersion(adm):
+		case adm.msg.Adapter == "":
+			delete(a.blocked, adm.msg.Request)
+			a.grant(adm, now)
 		default:
-			a.want(g, now)
+			a.requestSlot(adm, now)
 		}
 	}
 }
 
-// otherVersion reports whether another version of the guest's adapter has a slot.
-// The caller holds mu.
-func (a *Attendant) otherVersion(g *guest) bool {
-	if g.admit.Adapter == "" {
+// hasOtherVersion reports whether another version of the adapter occupies a slot. The
+// caller holds mu.
+func (a *Attendant) hasOtherVersion(adm *admission) bool {
+	if adm.msg.Adapter == "" {
 		return false
 	}
 	for _, r := range a.table.Residencies(nil) {
 		model, adapter, version := splitVersion(r.Version)
-		if model == g.admit.Model && adapter == g.admit.Adapter && version != g.version {
+		if model == adm.msg.Model && adapter == adm.msg.Adapter && version != adm.version {
 			return true
 		}
 	}
 	return false
 }
 
-// let admits the guest. The caller holds mu.
-func (a *Attendant) let(g *guest, now time.Time) {
-	g.admitted = true
-	fresh := a.book.read(g.admit, g.version)
-	read := placer.ReadTime(fresh, g.admit.Tokens, a.settings.PrefillRate)
-	if a.readUntil.Before(now) {
-		a.readUntil = now
+// grant admits the request. The caller holds mu.
+func (a *Attendant) grant(adm *admission, now time.Time) {
+	adm.admitted = true
+	uncached := a.cache.prefill(adm.msg, adm.version)
+	prefill := placer.ReadTime(uncached, adm.msg.Tokens, a.settings.PrefillRate)
+	if a.prefillEnd.Before(now) {
+		a.prefillEnd = now
 	}
-	a.readUntil = a.readUntil.Add(read)
-	a.change()
-	close(g.done)
+	a.prefillEnd = a.prefillEnd.Add(prefill)
+	a.markChanged()
+	close(adm.done)
 }
 
-// refuse ends a guest's wait. The caller holds mu.
-func (a *Attendant) refuse(g *guest, r *messenger.Refusal) {
-	delete(a.guests, g.admit.Request)
-	delete(a.blocked, g.admit.Request)
-	g.refused = r
-	close(g.done)
+// refuse ends the wait of a request with a refusal. The caller holds mu.
+func (a *Attendant) refuse(adm *admission, r *messenger.Refusal) {
+	delete(a.admissions, adm.msg.Request)
+	delete(a.blocked, adm.msg.Request)
+	adm.refused = r
+	close(adm.done)
 }
 
-// release ends an admission.
+// release ends an admission, or cancels the wait for it. A release that arrives first is
+// kept for earlyReleaseRetention.
 func (a *Attendant) release(request string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	g := a.guests[request]
-	if g == nil {
-		a.early[request] = a.settings.Now()
+	adm := a.admissions[request]
+	if adm == nil {
+		a.earlyReleases[request] = a.settings.Now()
 		return
 	}
-	if !g.admitted {
-		a.drop(g)
-		g.refused = messenger.NewRefusal(messenger.ReasonCancelled, "released while it waited")
-		close(g.done)
+	if !adm.admitted {
+		a.remove(adm)
+		adm.refused = messenger.NewRefusal(messenger.ReasonCancelled, "request was released while it waited")
+		close(adm.done)
 		return
 	}
-	a.drop(g)
+	a.remove(adm)
 }
 
-// drop forgets a guest. The caller holds mu.
-func (a *Attendant) drop(g *guest) {
-	delete(a.guests, g.admit.Request)
-	delete(a.blocked, g.admit.Request)
-	a.change()
-	if g.wanted {
+// remove deletes an admission and releases its slot. The caller holds mu.
+func (a *Attendant) remove(adm *admission) {
+	delete(a.admissions, adm.msg.Request)
+	delete(a.blocked, adm.msg.Request)
+	a.markChanged()
+	if adm.inTable {
 		now := a.settings.Now()
-		a.apply(a.table.Drop(now, g.admit.Request))
-		a.settle(now)
+		a.apply(a.table.Drop(now, adm.msg.Request))
+		a.admitReady(now)
 	}
 }
 
-func (a *Attendant) backlog() int {
-	return int(max(0, a.readUntil.Sub(a.settings.Now())).Milliseconds())
+// backlogMillis returns the expected time to prefill the prompts admitted so far, in
+// milliseconds. The caller holds mu.
+func (a *Attendant) backlogMillis() int {
+	return int(max(0, a.prefillEnd.Sub(a.settings.Now())).Milliseconds())
 }
 
-// waitingRead returns the time to read the prompts of the guests that wait, in
-// milliseconds. The caller holds mu.
-func (a *Attendant) waitingRead() int {
-	var read time.Duration
-	for _, g := range a.guests {
-		if !g.admitted {
-			read += placer.ReadTime(a.book.unread(g.admit, g.version), g.admit.Tokens, a.settings.PrefillRate)
+// waitingMillis returns the expected time to prefill the prompts of the waiting requests,
+// in milliseconds. The caller holds mu.
+func (a *Attendant) waitingMillis() int {
+	var prefill time.Duration
+	for _, adm := range a.admissions {
+		if !adm.admitted {
+			prefill += placer.ReadTime(a.cache.uncachedTokens(adm.msg, adm.version), adm.msg.Tokens, a.settings.PrefillRate)
 		}
 	}
-	return int(read.Milliseconds())
+	return int(prefill.Milliseconds())
 }
 
 func loadRefusal(f loader.FailAction) *messenger.Refusal {
--- a/internal/transport/attendant/attendant.go
+++ b/internal/transport/attendant/attendant.go
@@ -12,99 +12,106 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/pauser"
 )
 
-// Attendant stands beside one engine. It may be used by several goroutines.
+// Attendant manages one engine. It is safe for concurrent use.
 type Attendant struct {
 	settings Settings
 	metrics  *metrics
-	// life rises with each start of the process.
-	life   uint64
-	root   context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
-	// look wakes the observer.
-	look chan struct{}
-
-	// ordering is held while an order is given: each bases on the sequence that
-	// the one before left.
-	ordering sync.Mutex
+	// generation increases with each start of the process: the start time in Unix
+	// milliseconds.
+	generation uint64
+	root       context.Context
+	cancel     context.CancelFunc
+	tasks      sync.WaitGroup
+	// wakeup starts a poll of the engine at once.
+	wakeup chan struct{}
+
+	// orderMu is held while an order is sent: each order is based on the sequence that the
+	// previous one left.
+	orderMu sync.Mutex
 
 	mu sync.Mutex
-	// table is nil until the engine was seen; guarded by mu, as all below.
+	// table is nil until the first report of the engine; guarded by mu, as all fields
+	// below.
 	table *loader.Table
-	// pacer bounds the loads under way.
+	// pacer limits the concurrent loads.
 	pacer *pacer.Pacer
-	// report is the last one, of the life of the engine named incarnation, whose
-	// membership has the epoch.
+	// report is the last report. It belongs to the engine's incarnation, whose membership
+	// has the given epoch.
 	report      Report
 	incarnation string
 	epoch       uint64
-	// reachable tells whether the last look at the engine succeeded.
-	reachable bool
-	guests    map[string]*guest
-	// former is the model that the engine held last.
-	former string
-	// ordered is the model that the engine is loading; empty means none.
-	ordered string
-	// blocked are guests that wait until their model is there, or an earlier version
-	// of their adapter has left its slot.
-	blocked map[string]*guest
-	// early holds releases that came before their admission, with their time.
-	early map[string]time.Time
-	// entries are the connections of entries, whose end ends what was admitted.
+	// reachable reports whether the last poll of the engine succeeded.
+	reachable  bool
+	admissions map[string]*admission
+	// previousModel is the model that the engine held last.
+	previousModel string
+	// orderedModel is the model that the engine is loading; empty if none.
+	orderedModel string
+	// blocked holds the requests that wait for their model to be loaded, or for an earlier
+	// version of their adapter to leave its slot.
+	blocked map[string]*admission
+	// earlyReleases holds the arrival times of releases that arrived before their
+	// admission.
+	earlyReleases map[string]time.Time
+	// entries are the connections of entries; the end of a connection ends the admissions
+	// made over it.
 	entries map[*messenger.Conn]struct{}
-	// near are the entries of the engine's own failure domain, and far the others.
-	near, far *audience
-	book      *cachebook
-	// recent lists adapters that left their slots, the latest last, and left those
-	// among them that no audience was told of yet.
-	recent []string
-	left   []string
-	// readUntil is when the prompts admitted so far are expected to be read.
-	readUntil time.Time
-	closed    bool
+	// localEntries are the entries in the engine's own failure domain, remoteEntries those
+	// in others.
+	localEntries, remoteEntries *subscriberGroup
+	cache                       *promptCache
+	// evicted lists the adapters that have left their slots, the latest last; newlyEvicted
+	// are those that have not been handed to the subscriber groups yet.
+	evicted      []string
+	newlyEvicted []string
+	// prefillEnd is when the prompts admitted so far are expected to be prefilled.
+	prefillEnd time.Time
+	closed     bool
 }
 
-// memoryShare is the part of an engine's memory that is believed to hold cached
-// prompt parts; running requests take the rest.
-const memoryShare = 0.7
+// cacheMemoryShare is the part of the engine's memory that is assumed to hold cached prompt
+// parts; running requests take the rest.
+const cacheMemoryShare = 0.7
 
-// NewAttendant returns an attendant that looks at its engine from now on.
+// NewAttendant returns an attendant that polls its engine until Close. It panics if the
+// engine, the view or the random source is missing.
 func NewAttendant(s Settings) *Attendant {
 	if s.Engine == nil || s.View == nil || s.Random == nil {
-		panic("attendant: NewAttendant needs an engine, a view and a random source")
+		panic("attendant: settings need an engine, a view and a random source")
 	}
 	s = s.withDefaults()
 	a := &Attendant{
-		settings: s,
-		life:     uint64(s.Now().UnixMilli()),
-		look:     make(chan struct{}, 1),
-		guests:   make(map[string]*guest),
-		blocked:  make(map[string]*guest),
-		early:    make(map[string]time.Time),
-		entries:  make(map[*messenger.Conn]struct{}),
-		near:     newAudience(),
-		far:      newAudience(),
-		book:     newCachebook(0),
+		settings:      s,
+		generation:    uint64(s.Now().UnixMilli()),
+		wakeup:        make(chan struct{}, 1),
+		admissions:    make(map[string]*admission),
+		blocked:       make(map[string]*admission),
+		earlyReleases: make(map[string]time.Time),
+		entries:       make(map[*messenger.Conn]struct{}),
+		localEntries:  newSubscriberGroup(),
+		remoteEntries: newSubscriberGroup(),
+		cache:         newPromptCache(0),
 	}
 	a.metrics = newMetrics(s.Registerer)
 	a.root, a.cancel = context.WithCancel(context.Background())
 	a.spawn(a.observe)
-	a.spawn(func() { a.tell(a.near) })
-	a.spawn(func() { a.tell(a.far) })
+	a.spawn(func() { a.publish(a.localEntries) })
+	a.spawn(func() { a.publish(a.remoteEntries) })
 	return a
 }
 
-// Ready reports whether the engine was seen.
+// Ready reports whether the engine has been polled and was reachable at the last poll.
 func (a *Attendant) Ready() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.table != nil && a.reachable
 }
 
-// ViewChanged has the engine looked at where nothing could be taken in before, or
-// where it is in another life. It is quick. After a restart of all, calls come as soon
-// as control has told of the deployment; until the next look they were turned away, and
-// orders went to the former life.
+// ViewChanged starts a poll of the engine if requests can't be admitted yet, or if the view
+// names another incarnation of the engine. It does not block. After a restart of all
+// processes, requests arrive as soon as control has published the deployment; without this
+// call they would be refused until the next poll, and orders would name the previous
+// incarnation.
 func (a *Attendant) ViewChanged() {
 	member, known := a.settings.View().Member(a.settings.Name)
 	a.mu.Lock()
@@ -114,14 +121,15 @@
 	}
 }
 
-// Idle reports whether no request is admitted or waits.
+// Idle reports whether there are no admitted or waiting requests.
 func (a *Attendant) Idle() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.guests) == 0
+	return len(a.admissions) == 0
 }
 
-// Close ends the attendant and waits. The engine goes on with what it runs.
+// Close stops the attendant and waits for its goroutines. The engine keeps running its
+// requests.
 func (a *Attendant) Close() error {
 	a.mu.Lock()
 	a.closed = true
@@ -138,6 +146,7 @@
 	a.spawnLocked(f)
 }
 
+// spawnLocked is spawn for a caller that holds mu.
 func (a *Attendant) spawnLocked(f func()) {
 	if a.closed {
 		return
@@ -145,7 +154,7 @@
 	a.tasks.Go(f)
 }
 
-// pause waits, and returns false when the attendant closes.
+// pause waits for d, and returns false if the attendant closes.
 func (a *Attendant) pause(d time.Duration) bool { return pauser.Pause(a.root, d) }
 
 // Handle serves the messages of entries.
@@ -176,21 +185,21 @@
 	}
 }
 
-// watch tells an entry of the engine's state from now on, the whole of it first.
+// watch subscribes an entry to the engine's state, starting with the full state.
 func (a *Attendant) watch(conn *messenger.Conn, m messenger.Watch) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	audience := a.far
+	audience := a.remoteEntries
 	if m.FailureDomain == a.settings.FailureDomain {
-		audience = a.near
+		audience = a.localEntries
 	}
 	audience.add(conn)
-	a.follow(conn)
+	a.releaseOnDisconnect(conn)
 }
 
-// follow ends the admissions of an entry's requests with its connection. The caller
+// releaseOnDisconnect ends the admissions made over a connection when it closes. The caller
 // holds mu.
-func (a *Attendant) follow(conn *messenger.Conn) {
+func (a *Attendant) releaseOnDisconnect(conn *messenger.Conn) {
 	if _, ok := a.entries[conn]; ok {
 		return
 	}
@@ -200,21 +209,21 @@
 		case <-conn.Done():
 		case <-a.root.Done():
 		}
-		a.forget(conn)
+		a.removeConn(conn)
 	})
 }
 
-// forget drops an entry whose connection ended, and all that it was admitted: the
-// entry can't release it any more.
-func (a *Attendant) forget(conn *messenger.Conn) {
+// removeConn removes the connection of an entry and all admissions made over it, since the
+// entry can no longer release them.
+func (a *Attendant) removeConn(conn *messenger.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.entries, conn)
-	delete(a.near.conns, conn)
-	delete(a.far.conns, conn)
-	for _, g := range a.guests {
-		if g.conn == conn {
-			a.drop(g)
+	delete(a.localEntries.conns, conn)
+	delete(a.remoteEntries.conns, conn)
+	for _, adm := range a.admissions {
+		if adm.conn == conn {
+			a.remove(adm)
 		}
 	}
 }
--- a/internal/transport/attendant/attendant_test.go
+++ b/internal/transport/attendant/attendant_test.go
@@ -10,109 +10,108 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/attendant"
 )
 
-// with runs a test beside an engine, in its own time.
-func with(t *testing.T, test func(f *fixture, e *engine)) {
+// withEngine runs a test with an engine and its attendant, on synthetic time.
+func withEngine(t *testing.T, test func(f *fixture, e *engine)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine()
 		f := newFixture(t, e)
 		defer f.close()
-		after(time.Second)
+		advance(time.Second)
 		test(f, e)
 	})
 }
 
-// after lets time pass.
-func after(d time.Duration) {
+// advance lets d of synthetic time pass and waits until all goroutines are blocked.
+func advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
-func (a *admission) mustBe(t *testing.T, version uint64) {
+func (a *admission) mustBeAdmitted(t *testing.T, version uint64) {
 	t.Helper()
-	if !a.over() || a.err != nil || a.admitted.Version != version {
-		t.Fatalf("over %t, version %d, error %v; want version %d", a.over(), a.admitted.Version, a.err, version)
+	if !a.ended() || a.err != nil || a.admitted.Version != version {
+		t.Fatalf("ended %t, version %d, error %v; want version %d", a.ended(), a.admitted.Version, a.err, version)
 	}
 }
 
 func TestLoadsOnceForAll(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+	withEngine(t, func(f *fixture, e *engine) {
 		a, b := f.admit("1", "a1", 1), f.admit("2", "a1", 1)
-		after(loadTime + 100*time.Millisecond)
-		a.mustBe(t, 1)
-		b.mustBe(t, 1)
+		advance(loadTime + 100*time.Millisecond)
+		a.mustBeAdmitted(t, 1)
+		b.mustBeAdmitted(t, 1)
 		if n := e.ordered(attendant.OrderLoad, "a1"); n != 1 {
 			t.Errorf("%d loads ordered, want 1", n)
 		}
 	})
 }
 
-// TestKeepsWhatIsInUse: symptom: an engine unloads an adapter under a request.
-// Sequence: both slots are in use; a third adapter is asked for. Cause: the adapter
-// used longest ago made way, whoever used it.
-func TestKeepsWhatIsInUse(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+// TestKeepsAdapterInUse guards against the eviction of an adapter under a running request:
+// with both slots in use and a third adapter requested, the least recently used adapter was
+// evicted whether or not it was in use.
+func TestKeepsAdapterInUse(t *testing.T) {
+	withEngine(t, func(f *fixture, e *engine) {
 		f.admit("1", "a1", 1)
 		f.admit("2", "a2", 1)
-		after(time.Second)
+		advance(time.Second)
 		third := f.admit("3", "a3", 1)
-		after(time.Second)
-		if third.over() {
-			t.Fatalf("admitted beside two adapters in use: %v", third.err)
+		advance(time.Second)
+		if third.ended() {
+			t.Fatalf("admitted while two other adapters were in use: %v", third.err)
 		}
 		f.release("1")
-		after(time.Second)
-		third.mustBe(t, 1)
+		advance(time.Second)
+		third.mustBeAdmitted(t, 1)
 		if n := e.ordered(attendant.OrderUnload, "a2"); n != 0 {
 			t.Error("the adapter in use was unloaded")
 		}
 	})
 }
 
-// TestUnseenAdapter: symptom: an engine breaks, ordered to hold more than it can.
-// Sequence: an order that was given up long ago is carried out late and fills a slot;
-// the companion, which has not looked since, orders another adapter into it. Cause:
-// the companion's own count of slots was trusted.
-func TestUnseenAdapter(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+// TestUnexpectedAdapterInSlot guards against a crash of an engine that is ordered to hold
+// more adapters than fit. An order that had timed out is carried out late and fills a slot;
+// the companion, which has not polled the engine since, orders another adapter into it. The
+// companion used to rely on its own count of slots.
+func TestUnexpectedAdapterInSlot(t *testing.T) {
+	withEngine(t, func(f *fixture, e *engine) {
 		f.admit("1", "a1", 1)
-		after(time.Second)
+		advance(time.Second)
 		e.mu.Lock()
 		e.held["late"] = 1
 		e.mu.Unlock()
 		refused := f.admit("2", "a2", 1)
-		after(time.Second)
-		if !refused.over() {
-			t.Fatal("the request still waits for a slot that is not there")
+		advance(time.Second)
+		if !refused.ended() {
+			t.Fatal("the request still waits for a slot that is not free")
 		}
 		a := f.admit("3", "a2", 1)
-		after(time.Second)
-		a.mustBe(t, 1)
+		advance(time.Second)
+		a.mustBeAdmitted(t, 1)
 	})
 }
 
-// TestLateOrders: symptom: an adapter is gone though it was loaded a moment ago.
-// Sequence: an order's answer is lost, and it is given again; seconds later, after
-// newer orders, the first one is carried out. Cause: orders did not say what they
-// were based on.
+// TestLateOrders guards against the loss of an adapter that was loaded a moment before. The
+// answer to an order is lost and the order is repeated; seconds later, after newer orders,
+// the first one is carried out. Orders did not name the sequence that they were based on.
 func TestLateOrders(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+	withEngine(t, func(f *fixture, e *engine) {
 		f.admit("1", "a1", 1)
-		after(time.Second)
+		advance(time.Second)
 		f.release("1")
 		f.admit("2", "a2", 1)
-		after(time.Second)
-		e.lose, e.late = 1, 3*time.Second
-		// a1 must make way: the order to unload it is the one that is lost.
+		advance(time.Second)
+		e.lostOrders, e.lostOrderDelay = 1, 3*time.Second
+		// a1 must be evicted: the answer to the order to unload it is the one that is lost.
 		third := f.admit("3", "a3", 1)
-		after(2 * time.Second)
-		third.mustBe(t, 1)
+		advance(2 * time.Second)
+		third.mustBeAdmitted(t, 1)
 		f.release("2")
 		f.release("3")
 		again := f.admit("4", "a1", 1)
-		after(500 * time.Millisecond)
-		again.mustBe(t, 1)
-		after(5 * time.Second)
+		advance(500 * time.Millisecond)
+		again.mustBeAdmitted(t, 1)
+		advance(5 * time.Second)
 		r, _ := e.Report(t.Context())
 		for _, a := range r.Models[0].Adapters {
 			if a.Name == "a1" {
@@ -123,89 +122,88 @@
 	})
 }
 
-// TestNewVersionReplaces: symptom: a request begins on a version that was replaced
-// seconds ago, or an engine is ordered to hold two versions of one adapter.
-// Sequence: a request runs on version 1 when version 2 is named and asked for.
-// Cause: versions were looked at as if they were different adapters.
+// TestNewVersionReplaces guards against requests that start on a version replaced seconds
+// before, and against an order to hold two versions of an adapter. A request runs on
+// version 1 when version 2 is published and requested. Versions of an adapter were treated
+// as different adapters.
 func TestNewVersionReplaces(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+	withEngine(t, func(f *fixture, e *engine) {
 		old := f.admit("1", "a1", 1)
-		after(time.Second)
-		old.mustBe(t, 1)
+		advance(time.Second)
+		old.mustBeAdmitted(t, 1)
 		f.apply(storer.KindNewest, model+"/a1", storer.NewestSpec{Version: 2})
 		waiting := f.admit("2", "a1", 1)
 		newer := f.admit("3", "a1", 2)
-		after(time.Second)
-		if waiting.over() || newer.over() {
+		advance(time.Second)
+		if waiting.ended() || newer.ended() {
 			t.Fatal("admitted while the earlier version was in use")
 		}
 		f.release("1")
-		after(time.Second)
-		waiting.mustBe(t, 2)
-		newer.mustBe(t, 2)
+		advance(time.Second)
+		waiting.mustBeAdmitted(t, 2)
+		newer.mustBeAdmitted(t, 2)
 	})
 }
 
-// TestRestart: symptom: an engine that restarted serves nothing for the rest of the
-// day. Sequence: it crashes and comes back empty; nobody orders its model. Cause:
-// what it held was believed to last.
+// TestRestart guards against an engine that serves nothing after a restart: it comes back
+// empty, and nobody orders its model because the engine is assumed to still hold it.
 func TestRestart(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+	withEngine(t, func(f *fixture, e *engine) {
 		f.admit("1", "a1", 1)
-		after(time.Second)
+		advance(time.Second)
 		e.restart("i-2")
 		f.announce("i-2", storer.MemberStateServing)
-		after(time.Second)
+		advance(time.Second)
 		f.release("1")
 		again := f.admit("2", "a1", 1)
-		after(time.Second)
-		again.mustBe(t, 1)
+		advance(time.Second)
+		again.mustBeAdmitted(t, 1)
 	})
 }
 
-// TestEmptyEngineTakesWhatWaits: symptom: after a loss of power the first engine back
-// is given all requests, and reads prompts for seconds while others stand idle.
-// Sequence: all engines restart empty and load their model; each refuses until it has
-// it. Cause: a request could not wait beside the load.
-func TestEmptyEngineTakesWhatWaits(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+// TestEmptyEngineQueuesRequests guards against an uneven load after a power loss: all
+// engines restart empty and load their model, and if each refuses requests until then, the
+// first one back gets them all and prefills prompts for seconds while others are idle.
+// Requests must be able to wait during the load.
+func TestEmptyEngineQueuesRequests(t *testing.T) {
+	withEngine(t, func(f *fixture, e *engine) {
 		e.restart("i-2")
 		f.announce("i-2", storer.MemberStateServing)
-		after(attendant.DefaultObserveInterval + 10*time.Millisecond)
+		advance(attendant.DefaultObserveInterval + 10*time.Millisecond)
 		a, plain := f.admit("1", "a1", 1), f.admit("2", "", 0)
-		after(time.Millisecond)
-		if a.over() || plain.over() {
-			t.Fatalf("over before the model is there: %v, %v", a.err, plain.err)
+		advance(time.Millisecond)
+		if a.ended() || plain.ended() {
+			t.Fatalf("ended before the model was loaded: %v, %v", a.err, plain.err)
 		}
-		after(2 * loadTime)
-		plain.mustBe(t, 0)
-		after(loadTime + 100*time.Millisecond)
-		a.mustBe(t, 1)
+		advance(2 * loadTime)
+		plain.mustBeAdmitted(t, 0)
+		advance(loadTime + 100*time.Millisecond)
+		a.mustBeAdmitted(t, 1)
 	})
 }
 
-// TestRestartInARush: symptom: an engine that restarted under load stays without its
-// model for seconds. Sequence: loads are under way when it restarts; each is ordered
-// again and again, in vain without the model. Cause: orders that had to wait for the
-// model held up the order to load it.
-func TestRestartInARush(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+// TestRestartUnderLoad guards against an engine that stays without its model for seconds
+// after a restart under load. Adapter loads in progress at the restart are ordered again
+// and again, in vain without the model; orders that waited for the model blocked the order
+// to load it.
+func TestRestartUnderLoad(t *testing.T) {
+	withEngine(t, func(f *fixture, e *engine) {
 		var all []*admission
 		for i := range 6 {
 			all = append(all, f.admit(fmt.Sprint("r", i), fmt.Sprint("a", i), 1))
 		}
-		after(50 * time.Millisecond)
+		advance(50 * time.Millisecond)
 		e.restart("i-2")
 		f.announce("i-2", storer.MemberStateServing)
-		after(attendant.DefaultObserveInterval + 2*loadTime + 200*time.Millisecond)
+		advance(attendant.DefaultObserveInterval + 2*loadTime + 200*time.Millisecond)
 		r, err := e.Report(t.Context())
 		if err != nil || len(r.Models) == 0 {
-			t.Fatalf("the model is not back: %v", err)
+			t.Fatalf("the model was not loaded again: %v", err)
 		}
-		after(loadTime)
+		advance(loadTime)
 		admitted := 0
 		for _, a := range all {
-			if a.over() && a.err == nil {
+			if a.ended() && a.err == nil {
 				admitted++
 			}
 		}
@@ -215,79 +213,77 @@
 	})
 }
 
-// TestModelBeforeAnnouncement: symptom: engines stand empty for a second after a loss
-// of power. Sequence: an engine restarts; control, which restarts too, has not taken
-// its announcement yet; the order for its model names the former life and is refused.
-// Cause: what every life needs was ordered from one of them.
+// TestModelBeforeAnnouncement guards against engines that stay empty for a second after a
+// power loss. An engine restarts while control, which restarts too, has not received its
+// announcement; the order for the model named the previous incarnation and was refused.
 func TestModelBeforeAnnouncement(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+	withEngine(t, func(f *fixture, e *engine) {
 		e.restart("i-2")
-		after(2*attendant.DefaultObserveInterval + loadTime)
+		advance(2*attendant.DefaultObserveInterval + loadTime)
 		r, err := e.Report(t.Context())
 		if err != nil || len(r.Models) == 0 {
 			t.Errorf("no model: %v", err)
 		}
 		f.announce("i-2", storer.MemberStateServing)
-		after(attendant.DefaultObserveInterval + 10*time.Millisecond)
+		advance(attendant.DefaultObserveInterval + 10*time.Millisecond)
 		a := f.admit("1", "a1", 1)
-		after(time.Second)
-		a.mustBe(t, 1)
+		advance(time.Second)
+		a.mustBeAdmitted(t, 1)
 	})
 }
 
-// TestLeavingEngineTurnsAway: symptom: a request reaches a backend server two
-// seconds after it has said that it leaves. Sequence: the request waits there for a
-// slot; the backend server announces that it leaves; the wait ends well. Cause: only
-// new requests were kept away.
-func TestLeavingEngineTurnsAway(t *testing.T) {
-	with(t, func(f *fixture, _ *engine) {
+// TestLeavingEngineRefusesWaiting guards against a request that reaches a backend server
+// two seconds after that has announced that it is leaving: the request was waiting there
+// for a slot, and only new requests were refused.
+func TestLeavingEngineRefusesWaiting(t *testing.T) {
+	withEngine(t, func(f *fixture, _ *engine) {
 		f.admit("1", "a1", 1)
 		f.admit("2", "a2", 1)
-		after(time.Second)
+		advance(time.Second)
 		waits := f.admit("3", "a3", 1)
-		after(time.Second)
+		advance(time.Second)
 		f.announce("i-1", storer.MemberStateLeaving)
-		after(2 * attendant.DefaultObserveInterval)
-		if !waits.over() || waits.err == nil {
-			t.Errorf("over %t, error %v: want a refusal", waits.over(), waits.err)
+		advance(2 * attendant.DefaultObserveInterval)
+		if !waits.ended() || waits.err == nil {
+			t.Errorf("ended %t, error %v: want a refusal", waits.ended(), waits.err)
 		}
 	})
 }
 
-// TestLostEntryFreesItsSlots: symptom: an engine's slots stay taken for good.
-// Sequence: an entry is killed; its requests end with it, but nobody says so. Cause:
-// admissions outlived the connection that they came by.
-func TestLostEntryFreesItsSlots(t *testing.T) {
-	with(t, func(f *fixture, _ *engine) {
+// TestDisconnectedEntryFreesSlots guards against slots that stay taken forever: an entry is
+// killed, so its requests end without a release. Admissions must end with the connection
+// that they were made over.
+func TestDisconnectedEntryFreesSlots(t *testing.T) {
+	withEngine(t, func(f *fixture, _ *engine) {
 		f.admit("1", "a1", 1)
-		after(time.Second)
+		advance(time.Second)
 		if err := f.network.Close(); err != nil {
 			t.Fatal(err)
 		}
-		after(time.Second)
+		advance(time.Second)
 		if !f.attendant.Idle() {
 			t.Error("the lost entry's request is still admitted")
 		}
 	})
 }
 
-// TestReleaseBeforeAdmission: a release is a notification and may overtake the call
-// that it ends.
+// TestReleaseBeforeAdmission: a release is a notification and may overtake the request that
+// it ends.
 func TestReleaseBeforeAdmission(t *testing.T) {
-	with(t, func(f *fixture, _ *engine) {
+	withEngine(t, func(f *fixture, _ *engine) {
 		f.release("1")
 		a := f.admit("1", "a1", 1)
-		after(time.Millisecond)
-		if !a.over() || a.err == nil {
-			t.Errorf("over %t, error %v: want a refusal", a.over(), a.err)
+		advance(time.Millisecond)
+		if !a.ended() || a.err == nil {
+			t.Errorf("ended %t, error %v: want a refusal", a.ended(), a.err)
 		}
 	})
 }
 
-// TestRush asks for many adapters at once, again and again. The engine breaks when
-// it is ordered to hold too much, and each request must be admitted in its turn.
-func TestRush(t *testing.T) {
-	with(t, func(f *fixture, _ *engine) {
+// TestManyAdapters requests many adapters at once, repeatedly. The engine fails if it is
+// ordered to hold too many adapters, and each request must be admitted in its turn.
+func TestManyAdapters(t *testing.T) {
+	withEngine(t, func(f *fixture, _ *engine) {
 		var all []*admission
 		for i := range 24 {
 			request := fmt.Sprint("r", i)
@@ -300,29 +296,29 @@
 					f.release(request)
 				}
 			}()
-			after(30 * time.Millisecond)
+			advance(30 * time.Millisecond)
 		}
-		after(15 * time.Second)
+		advance(15 * time.Second)
 		for i, a := range all {
-			if !a.over() || a.err != nil {
-				t.Errorf("request %d: over %t, error %v", i, a.over(), a.err)
+			if !a.ended() || a.err != nil {
+				t.Errorf("request %d: ended %t, error %v", i, a.ended(), a.err)
 			}
 		}
 	})
 }
 
-// TestLoadsBeforeAnythingIsKnown: symptom: after a loss of power all calls wait half a
-// second longer than for control. Sequence: engine and companion start empty; control
-// tells of the deployment 800 ms later. Cause: only then was the model ordered, which
-// the engine's own disk names.
-func TestLoadsBeforeAnythingIsKnown(t *testing.T) {
+// TestPreloadsModelFromDisk guards against requests that wait half a second longer than
+// necessary after a power loss. Engine and companion start empty, and control publishes the
+// deployment 800 ms later; the model, which the engine's own disk names, was ordered only
+// then.
+func TestPreloadsModelFromDisk(t *testing.T) {
 	start := func(t *testing.T, e *engine, test func(f *fixture)) {
 		t.Helper()
 		synctest.Test(t, func(t *testing.T) {
 			e.empty = true
-			f := newUninformedFixture(t, e)
+			f := newFixtureWithoutDeployment(t, e)
 			defer f.close()
-			after(800 * time.Millisecond)
+			advance(800 * time.Millisecond)
 			test(f)
 		})
 	}
@@ -332,11 +328,11 @@
 		if r, err := one.Report(t.Context()); err != nil || len(r.Models) != 1 {
 			t.Errorf("models %v, error %v", r.Models, err)
 		}
-		f.inform()
-		after(time.Second)
+		f.publishDeployment()
+		advance(time.Second)
 		a := f.admit("1", "a1", 1)
-		after(time.Second)
-		a.mustBe(t, 1)
+		advance(time.Second)
+		a.mustBeAdmitted(t, 1)
 		if n := one.ordered(attendant.OrderLoad, ""); n != 1 {
 			t.Errorf("the model was ordered %d times", n)
 		}
@@ -353,42 +349,42 @@
 	}
 }
 
-// TestLooksWhenToldOfTheDeployment: symptom: after a restart of all processes calls are
-// turned away for up to a quarter of a second. Sequence: the companion has looked at
-// its engine and knows nothing of the deployment; control tells; a call comes. Cause:
-// what was told counted from the next look on.
-func TestLooksWhenToldOfTheDeployment(t *testing.T) {
+// TestPollsEngineOnViewChange guards against requests that are refused for up to a quarter
+// of a second after a restart of all processes. The companion has polled its engine but has
+// no deployment; control publishes it, and a request arrives. The deployment took effect
+// only at the next poll.
+func TestPollsEngineOnViewChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newUninformedFixture(t, newEngine())
+		f := newFixtureWithoutDeployment(t, newEngine())
 		defer f.close()
-		after(attendant.DefaultObserveInterval + time.Millisecond)
+		advance(attendant.DefaultObserveInterval + time.Millisecond)
 		if f.attendant.Ready() {
 			t.Fatal("ready without a deployment")
 		}
-		f.inform()
+		f.publishDeployment()
 		f.attendant.ViewChanged()
-		after(time.Millisecond)
+		advance(time.Millisecond)
 		if !f.attendant.Ready() {
-			t.Error("not ready a millisecond after the deployment was told")
+			t.Error("not ready a millisecond after the deployment was published")
 		}
 	})
 }
 
-// TestFollowsAnotherLifeAtOnce: symptom: after a loss of power a thousand admissions are
-// refused in a quarter of a second. Sequence: control comes back with the engine's
-// former life, and is told of the new one; calls name it. Cause: the companion heard of
-// the new life at its next look.
-func TestFollowsAnotherLifeAtOnce(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+// TestFollowsNewIncarnationAtOnce guards against a thousand refused admissions in a quarter
+// of a second after a power loss. Control comes back with the engine's previous
+// incarnation, then receives the new one, and requests name it; the companion adopted it
+// only at its next poll.
+func TestFollowsNewIncarnationAtOnce(t *testing.T) {
+	withEngine(t, func(f *fixture, e *engine) {
 		e.restart("i-2")
 		e.mu.Lock()
 		e.empty = false
 		e.mu.Unlock()
 		f.announce("i-2", storer.MemberStateServing)
 		f.attendant.ViewChanged()
-		after(time.Millisecond)
-		a := f.admitAt("i-2", "1", "a1", 1)
-		after(loadTime + 50*time.Millisecond)
-		a.mustBe(t, 1)
+		advance(time.Millisecond)
+		a := f.admitIncarnation("i-2", "1", "a1", 1)
+		advance(loadTime + 50*time.Millisecond)
+		a.mustBeAdmitted(t, 1)
 	})
 }
--- a/internal/transport/attendant/audience.go
+++ b/internal/transport/attendant/audience.go
@@ -8,82 +8,84 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// audience are entries that are told of the engine at the same moments. It is guarded
-// by the attendant's lock.
-type audience struct {
-	// conns are the entries' connections, true once they know what was told last.
+// subscriberGroup is a set of entries that get the engine's state at the same times. It is
+// guarded by Attendant.mu.
+type subscriberGroup struct {
+	// conns holds the entries' connections; the value is true once the connection has got
+	// the last published state.
 	conns map[*messenger.Conn]bool
-	// changed tells that there is something to tell, and whole that it does not build on
-	// what was told before.
+	// changed reports whether there may be an update to publish, and full whether it must
+	// be the full state instead of the changes.
 	changed bool
-	whole   bool
-	// told is the last whole state that the entries know, of toldAt, and slots its
-	// slots by name; its sequence is 0 before the first.
-	told   placer.EngineState
-	slots  map[string]placer.AdapterState
-	toldAt time.Time
-	// left are the adapters that left their slots since, and read the prompt parts that
-	// were read since.
-	left []string
-	read []uint32
+	full    bool
+	// published is the last full state that the entries can derive, as of publishedAt, and
+	// slots its adapters by name. Its sequence is 0 before the first publication.
+	published   placer.EngineState
+	slots       map[string]placer.AdapterState
+	publishedAt time.Time
+	// newlyEvicted are the adapters that have left their slots since publishedAt, and
+	// newlyCached the hashes of the prompt parts that have been prefilled since.
+	newlyEvicted []string
+	newlyCached  []uint32
 }
 
-func newAudience() *audience {
-	return &audience{whole: true, conns: make(map[*messenger.Conn]bool), slots: make(map[string]placer.AdapterState)}
+func newSubscriberGroup() *subscriberGroup {
+	return &subscriberGroup{full: true, conns: make(map[*messenger.Conn]bool), slots: make(map[string]placer.AdapterState)}
 }
 
-// add has an entry told the whole next.
-func (u *audience) add(conn *messenger.Conn) {
-	u.conns[conn] = false
-	u.changed = true
+// add subscribes an entry; it gets the full state first.
+func (g *subscriberGroup) add(conn *messenger.Conn) {
+	g.conns[conn] = false
+	g.changed = true
 }
 
-// renew has all told the whole anew.
-func (u *audience) renew() { u.changed, u.whole = true, true }
+// requireFull makes the next update a full state for all entries.
+func (g *subscriberGroup) requireFull() { g.changed, g.full = true, true }
 
-// ignorant returns the entries that do not know what was told last, and counts them as
-// told.
-func (u *audience) ignorant() []*messenger.Conn {
-	return u.take(false)
+// takeUnsynced returns the connections that have not got the last published state, and
+// marks them as synced.
+func (g *subscriberGroup) takeUnsynced() []*messenger.Conn {
+	return g.takeConns(false)
 }
 
-// take returns the entries that know, or that don't, and counts them as told.
-func (u *audience) take(knows bool) []*messenger.Conn {
+// takeConns returns the connections that have got the last published state, or those that
+// have not, and marks them as synced.
+func (g *subscriberGroup) takeConns(synced bool) []*messenger.Conn {
 	var conns []*messenger.Conn
-	for conn, known := range u.conns {
-		if known == knows {
+	for conn, connSynced := range g.conns {
+		if connSynced == synced {
 			conns = append(conns, conn)
 		}
 	}
 	for _, conn := range conns {
-		u.conns[conn] = true
+		g.conns[conn] = true
 	}
 	return conns
 }
 
-// news returns what differs in a whole state from the one told last.
-func (u *audience) news(whole *placer.EngineState) placer.EngineState {
+// changes returns the differences between a full state and the published one.
+func (g *subscriberGroup) changes(full *placer.EngineState) placer.EngineState {
 	s := placer.EngineState{
-		Running: whole.Running, BacklogMillis: whole.BacklogMillis, WaitingMillis: whole.WaitingMillis,
-		Recent: u.left, Cached: u.read,
+		Running: full.Running, BacklogMillis: full.BacklogMillis, WaitingMillis: full.WaitingMillis,
+		Recent: g.newlyEvicted, Cached: g.newlyCached,
 	}
-	if whole.Incarnation != u.told.Incarnation {
-		s.Incarnation = whole.Incarnation
+	if full.Incarnation != g.published.Incarnation {
+		s.Incarnation = full.Incarnation
 	}
-	if !slices.Equal(whole.Models, u.told.Models) {
-		s.Models = whole.Models
+	if !slices.Equal(full.Models, g.published.Models) {
+		s.Models = full.Models
 	}
-	if whole.Entries != u.told.Entries {
-		s.Entries = whole.Entries
+	if full.Entries != g.published.Entries {
+		s.Entries = full.Entries
 	}
-	held := make(map[string]struct{}, len(whole.Adapters))
-	for _, adapter := range whole.Adapters {
+	held := make(map[string]struct{}, len(full.Adapters))
+	for _, adapter := range full.Adapters {
 		held[adapter.Name] = struct{}{}
-		if u.slots[adapter.Name] != adapter {
+		if g.slots[adapter.Name] != adapter {
 			s.Adapters = append(s.Adapters, adapter)
 		}
 	}
-	for name := range u.slots {
+	for name := range g.slots {
 		if _, ok := held[name]; !ok {
 			s.Gone = append(s.Gone, name)
 		}
@@ -92,31 +94,32 @@
 }
 
 const (
-	// leastRunning and leastTime are the least differences in requests and in time to
-	// read that are told by themselves: smaller ones move no choice.
-	leastRunning = 4
-	leastTime    = 25 * time.Millisecond
+	// minRunningChange and minTimeChange are the smallest changes in the number of requests
+	// and in prefill time that are published on their own; smaller ones do not affect the
+	// choice of an engine.
+	minRunningChange = 4
+	minTimeChange    = 25 * time.Millisecond
 )
 
-// worth reports whether there is anything in the news that moves a choice. Half of the
-// changes are requests that end.
-func (u *audience) worth(now time.Time, whole, news *placer.EngineState) bool {
-	backlog := max(0, u.told.BacklogMillis-int(now.Sub(u.toldAt).Milliseconds()))
-	return u.whole || len(news.Adapters)+len(news.Gone)+len(news.Recent)+len(news.Cached)+len(news.Models)+news.Entries > 0 ||
-		news.Incarnation != "" ||
-		apart(whole.Running, u.told.Running, leastRunning) ||
-		apart(whole.BacklogMillis, backlog, int(leastTime.Milliseconds())) ||
-		apart(whole.WaitingMillis, u.told.WaitingMillis, int(leastTime.Milliseconds()))
+// significant reports whether the changes can affect the choice of an engine. Half of all
+// changes are ends of requests, most of which can't.
+func (g *subscriberGroup) significant(now time.Time, full, changes *placer.EngineState) bool {
+	backlog := max(0, g.published.BacklogMillis-int(now.Sub(g.publishedAt).Milliseconds()))
+	return g.full || len(changes.Adapters)+len(changes.Gone)+len(changes.Recent)+len(changes.Cached)+len(changes.Models)+changes.Entries > 0 ||
+		changes.Incarnation != "" ||
+		differs(full.Running, g.published.Running, minRunningChange) ||
+		differs(full.BacklogMillis, backlog, int(minTimeChange.Milliseconds())) ||
+		differs(full.WaitingMillis, g.published.WaitingMillis, int(minTimeChange.Milliseconds()))
 }
 
-func apart(x, y, least int) bool { return max(x-y, y-x) >= least }
+func differs(x, y, least int) bool { return max(x-y, y-x) >= least }
 
-// note remembers what the entries know from now on.
-func (u *audience) note(now time.Time, whole *placer.EngineState) {
-	u.told, u.toldAt = *whole, now
-	clear(u.slots)
-	for _, adapter := range whole.Adapters {
-		u.slots[adapter.Name] = adapter
+// recordPublished records the state that the entries have from now on.
+func (g *subscriberGroup) recordPublished(now time.Time, full *placer.EngineState) {
+	g.published, g.publishedAt = *full, now
+	clear(g.slots)
+	for _, adapter := range full.Adapters {
+		g.slots[adapter.Name] = adapter
 	}
-	u.left, u.read, u.changed, u.whole = nil, nil, false, false
+	g.newlyEvicted, g.newlyCached, g.changed, g.full = nil, nil, false, false
 }
--- a/internal/transport/attendant/cachebook.go
+++ b/internal/transport/attendant/cachebook.go
@@ -7,61 +7,61 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// cachebook remembers which prompt parts an engine has read lately, the least
-// recently used first to go, as the engine's own memory does.
-type cachebook struct {
-	// fresh lists the hashes that no audience was told of yet.
-	fresh []uint32
-	// limit is the number of tokens remembered.
+// promptCache tracks which prompt parts the engine is expected to have cached, in least
+// recently used order, which is also the engine's eviction order.
+type promptCache struct {
+	// added lists the hashes that have not been handed to the subscriber groups yet.
+	added []uint32
+	// limit is the capacity in tokens.
 	limit  int
 	tokens int
-	order  *list.List
+	lru    *list.List
 	parts  map[uint32]*list.Element
 }
 
-type bookedPart struct {
+type cachedPart struct {
 	hash   uint32
 	tokens int
 }
 
-func newCachebook(limit int) *cachebook {
-	return &cachebook{limit: limit, order: list.New(), parts: make(map[uint32]*list.Element)}
+func newPromptCache(limit int) *promptCache {
+	return &promptCache{limit: limit, lru: list.New(), parts: make(map[uint32]*list.Element)}
 }
 
-// read notes a prompt for a version of an adapter, and returns the number of its
-// tokens that must be read anew.
-func (b *cachebook) read(m messenger.Admit, version uint64) int {
-	fresh := m.Tokens
-	before, hit := uint32(0), true
+// prefill records the prompt of a request for an adapter version, and returns the number of
+// its tokens that are not cached.
+func (c *promptCache) prefill(m messenger.Admit, version uint64) int {
+	added := m.Tokens
+	previous, hit := uint32(0), true
 	for _, p := range m.Parts {
-		hash := placer.PartHash(m.Model, m.Adapter, version, before, p.ID)
-		e, ok := b.parts[hash]
+		hash := placer.PartHash(m.Model, m.Adapter, version, previous, p.ID)
+		e, ok := c.parts[hash]
 		if hit = hit && ok; hit {
-			fresh -= p.Tokens
+			added -= p.Tokens
 		}
 		if ok {
-			b.order.MoveToBack(e)
+			c.lru.MoveToBack(e)
 		} else {
-			b.fresh = append(b.fresh, hash)
-			b.parts[hash] = b.order.PushBack(bookedPart{hash: hash, tokens: p.Tokens})
-			b.tokens += p.Tokens
+			c.added = append(c.added, hash)
+			c.parts[hash] = c.lru.PushBack(cachedPart{hash: hash, tokens: p.Tokens})
+			c.tokens += p.Tokens
 		}
-		before = hash
+		previous = hash
 	}
-	for b.tokens > b.limit && b.order.Len() > 0 {
-		p := b.order.Remove(b.order.Front()).(bookedPart)
-		delete(b.parts, p.hash)
-		b.tokens -= p.tokens
+	for c.tokens > c.limit && c.lru.Len() > 0 {
+		p := c.lru.Remove(c.lru.Front()).(cachedPart)
+		delete(c.parts, p.hash)
+		c.tokens -= p.tokens
 	}
-	return max(fresh, 0)
+	return max(added, 0)
 }
 
-// unread returns the number of a prompt's tokens that would have to be read now.
-func (b *cachebook) unread(m messenger.Admit, version uint64) int {
-	before, tokens := uint32(0), m.Tokens
+// uncachedTokens returns the number of a prompt's tokens that are not cached now.
+func (c *promptCache) uncachedTokens(m messenger.Admit, version uint64) int {
+	previous, tokens := uint32(0), m.Tokens
 	for _, p := range m.Parts {
-		before = placer.PartHash(m.Model, m.Adapter, version, before, p.ID)
-		if _, ok := b.parts[before]; !ok {
+		previous = placer.PartHash(m.Model, m.Adapter, version, previous, p.ID)
+		if _, ok := c.parts[previous]; !ok {
 			break
 		}
 		tokens -= p.Tokens
@@ -69,17 +69,17 @@
 	return max(tokens, 0)
 }
 
-// newest appends up to n hashes to dst, the last used first.
-func (b *cachebook) newest(dst []uint32, n int) []uint32 {
-	for e := b.order.Back(); e != nil && n > 0; e, n = e.Prev(), n-1 {
-		dst = append(dst, e.Value.(bookedPart).hash)
+// newest appends up to n hashes to dst, the most recently used first.
+func (c *promptCache) newest(dst []uint32, n int) []uint32 {
+	for e := c.lru.Back(); e != nil && n > 0; e, n = e.Prev(), n-1 {
+		dst = append(dst, e.Value.(cachedPart).hash)
 	}
 	return dst
 }
 
-func (b *cachebook) clear() {
-	b.order.Init()
-	clear(b.parts)
-	b.tokens = 0
-	b.fresh = nil
+func (c *promptCache) clear() {
+	c.lru.Init()
+	clear(c.parts)
+	c.tokens = 0
+	c.added = nil
 }
--- a/internal/transport/attendant/engine.go
+++ b/internal/transport/attendant/engine.go
@@ -5,43 +5,43 @@
 	"strings"
 )
 
-// HeldAdapter is an adapter that an engine holds, or that is on its way to it.
+// HeldAdapter is an adapter that an engine has loaded or is loading.
 type HeldAdapter struct {
 	Name    string
 	Version uint64
 }
 
-// HeldModel is a model that an engine holds.
+// HeldModel is a model that an engine has loaded, with its loaded adapters.
 type HeldModel struct {
 	Name     string
 	Version  uint64
 	Adapters []HeldAdapter
 }
 
-// PendingAdapter is an adapter on its way to an engine.
+// PendingAdapter is an adapter that an engine is loading.
 type PendingAdapter struct {
 	Model string
 	HeldAdapter
 }
 
-// Report is what an engine tells of itself.
+// Report is the state that an engine reports.
 type Report struct {
-	// Sequence is the number of orders that the engine has accepted in this life.
+	// Sequence is the number of orders that this incarnation of the engine has accepted.
 	Sequence uint64
-	// Born is when this life began, in milliseconds since 1970; 0 where it isn't told.
+	// Born is when this incarnation started, in Unix milliseconds; 0 if not reported.
 	Born uint64
-	// Busy means that an order on a whole model is in progress.
+	// Busy reports whether an order for a whole model is in progress.
 	Busy    bool
 	Models  []HeldModel
 	Pending []PendingAdapter
-	// OnDisk names the models whose weights the engine's host has on its disk.
+	// OnDisk names the models whose weights are on the disk of the engine's host.
 	OnDisk []string
 	// Running and Queued count requests.
 	Running, Queued int
 }
 
-// holds reports whether the engine has a model ready.
-func (r Report) holds(model string) bool {
+// hasModel reports whether the engine has loaded a model.
+func (r Report) hasModel(model string) bool {
 	for _, m := range r.Models {
 		if m.Name == model {
 			return true
@@ -50,7 +50,7 @@
 	return false
 }
 
-// slot is one occupied adapter slot.
+// slot is an occupied adapter slot.
 type slot struct {
 	version string
 	loading bool
@@ -72,7 +72,7 @@
 
 //go:generate stringer -type=OrderKind,Reply -linecomment -output=kinds_string.go
 
-// OrderKind is what an order asks for.
+// OrderKind is the action that an order asks for.
 type OrderKind int
 
 // The kinds of orders.
@@ -81,17 +81,18 @@
 	OrderUnload
 )
 
-// Order asks an engine to load or unload a model, or one adapter of it.
+// Order asks an engine to load or unload a model, or one adapter of a model.
 type Order struct {
 	Kind    OrderKind
 	Model   string
 	Adapter string
-	// Version is the one to load; 0 means the newest.
+	// Version is the version to load; 0 means the newest.
 	Version uint64
-	// Expect is the engine's Sequence on which the order is based. An order that
-	// is carried out late, after others, is refused by it.
+	// Expect is the engine's Sequence on which the order is based. The engine refuses an
+	// order that arrives after later ones.
 	Expect uint64
-	// Fence is the fencing token, and Incarnation the life that is meant.
+	// Fence is the fencing token, and Incarnation the incarnation of the engine that the
+	// order is for; empty means any.
 	Fence       uint64
 	Incarnation string
 }
@@ -101,18 +102,18 @@
 
 // The replies.
 const (
-	// ReplyAccepted means that the order is being carried out.
+	// ReplyAccepted means that the engine is carrying out the order.
 	ReplyAccepted Reply = iota
-	// ReplyAlreadyDone means that what was asked for is so.
+	// ReplyAlreadyDone means that the engine is already in the requested state.
 	ReplyAlreadyDone // ReplyHolds
-	// ReplyConflict means that another order is in progress, or that the engine
-	// has accepted others since.
+	// ReplyConflict means that another order is in progress, or that the engine has
+	// accepted other orders since the expected sequence.
 	ReplyConflict // ReplyOvertaken
-	// ReplyFenced means that a higher fencing token was seen.
+	// ReplyFenced means that the engine has seen a higher fencing token.
 	ReplyFenced
-	// ReplyWrongIncarnation means that another life of the engine was meant.
+	// ReplyWrongIncarnation means that the order is for another incarnation of the engine.
 	ReplyWrongIncarnation // ReplyElsewhere
-	// ReplyInvalid means that the order makes no sense to the engine.
+	// ReplyInvalid means that the engine considers the order invalid.
 	ReplyInvalid // ReplyRefused
 )
 
@@ -128,7 +129,7 @@
 func splitVersion(name string) (model, adapter string, version uint64) {
 	name, number, _ := strings.Cut(name, "@")
 	model, adapter, _ = strings.Cut(name, "/")
-	// A name that is not ours has version 0, which nothing asks for.
+	// A name of another format gets version 0, which is never requested.
 	version, _ = strconv.ParseUint(number, 10, 64)
 	return model, adapter, version
 }
--- a/internal/transport/attendant/fixture_test.go
+++ b/internal/transport/attendant/fixture_test.go
@@ -24,30 +24,30 @@
 	loadTime      = 250 * time.Millisecond
 )
 
-// engine is a model engine as its protocol describes it: it refuses orders by
-// sequence, fence and incarnation, takes time to load, and breaks where it is
-// ordered to hold more than it can.
+// engine simulates a model engine by its protocol: it refuses orders by sequence, fence and
+// incarnation, takes time to load, and crashes if it is ordered to hold more adapters than
+// fit.
 type engine struct {
-	mu       sync.Mutex
-	life     string
-	born     uint64
-	sequence uint64
-	fence    uint64
-	empty    bool
-	disk     []string
-	busy     bool
-	held     map[string]uint64
-	pending  map[string]uint64
-	// lose is the number of orders whose answer is lost, and late the time after
-	// which they are carried out.
-	lose    int
-	late    time.Duration
-	orders  []attendant.Order
-	crashed string
+	mu          sync.Mutex
+	incarnation string
+	born        uint64
+	sequence    uint64
+	fence       uint64
+	empty       bool
+	disk        []string
+	busy        bool
+	held        map[string]uint64
+	pending     map[string]uint64
+	// lostOrders is the number of orders whose answer is lost; they are carried out after
+	// lostOrderDelay.
+	lostOrders     int
+	lostOrderDelay time.Duration
+	orders         []attendant.Order
+	failure        string
 }
 
 func newEngine() *engine {
-	return &engine{life: "i-1", held: map[string]uint64{}, pending: map[string]uint64{}}
+	return &engine{incarnation: "i-1", held: map[string]uint64{}, pending: map[string]uint64{}}
 }
 
 func (e *engine) Report(context.Context) (attendant.Report, error) {
@@ -70,25 +70,25 @@
 func (e *engine) Order(ctx context.Context, o attendant.Order) (attendant.Reply, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.lose > 0 {
-		e.lose--
-		time.AfterFunc(e.late, func() {
+	if e.lostOrders > 0 {
+		e.lostOrders--
+		time.AfterFunc(e.lostOrderDelay, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			e.carryOut(o)
+			e.execute(o)
 		})
 		e.mu.Unlock()
 		<-ctx.Done()
 		e.mu.Lock()
 		return 0, errors.New("no answer")
 	}
-	return e.carryOut(o), nil
+	return e.execute(o), nil
 }
 
-// carryOut judges an order as it arrives. The caller holds mu.
-func (e *engine) carryOut(o attendant.Order) attendant.Reply {
+// execute checks and carries out an order at its arrival. The caller holds mu.
+func (e *engine) execute(o attendant.Order) attendant.Reply {
 	switch {
-	case o.Incarnation != "" && o.Incarnation != e.life:
+	case o.Incarnation != "" && o.Incarnation != e.incarnation:
 		return attendant.ReplyWrongIncarnation
 	case o.Fence < e.fence:
 		return attendant.ReplyFenced
@@ -98,12 +98,12 @@
 	e.fence = o.Fence
 	e.sequence++
 	e.orders = append(e.orders, o)
-	life := e.life
+	incarnation := e.incarnation
 	after := func(f func()) {
 		time.AfterFunc(loadTime, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			if e.life == life {
+			if e.incarnation == incarnation {
 				f()
 			}
 		})
@@ -117,7 +117,7 @@
 		return attendant.ReplyAlreadyDone
 	default:
 		if e.pending[o.Adapter] = o.Version; e.empty || len(e.held)+len(e.pending) > slots {
-			e.crashed = fmt.Sprintf("ordered to hold %v and %v", e.held, e.pending)
+			e.failure = fmt.Sprintf("ordered to hold %v and %v", e.held, e.pending)
 		}
 		after(func() {
 			delete(e.pending, o.Adapter)
@@ -127,15 +127,16 @@
 	return attendant.ReplyAccepted
 }
 
-// restart begins another life, empty.
-func (e *engine) restart(life string) {
+// restart starts another incarnation, empty.
+func (e *engine) restart(incarnation string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.life, e.sequence, e.fence, e.empty, e.busy = life, 0, 0, true, false
+	e.incarnation, e.sequence, e.fence, e.empty, e.busy = incarnation, 0, 0, true, false
 	clear(e.held)
 	clear(e.pending)
 }
 
+// ordered returns the number of accepted orders of a kind for an adapter.
 func (e *engine) ordered(kind attendant.OrderKind, adapter string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -148,7 +149,7 @@
 	return n
 }
 
-// fixture is an attendant beside an engine, and an entry that asks it.
+// fixture is an attendant with an engine, and the connection of an entry.
 type fixture struct {
 	t         *testing.T
 	engine    *engine
@@ -159,23 +160,24 @@
 	network   net.Conn
 }
 
-const place = "10.0.0.1-80"
+const backendName = "10.0.0.1-80"
 
 func newFixture(t *testing.T, e *engine) *fixture {
 	t.Helper()
-	f := newUninformedFixture(t, e)
-	f.inform()
+	f := newFixtureWithoutDeployment(t, e)
+	f.publishDeployment()
 	return f
 }
 
-// inform tells the attendant of the configuration and its engine.
-func (f *fixture) inform() {
+// publishDeployment gives the attendant the configuration and its engine's membership.
+func (f *fixture) publishDeployment() {
 	f.apply(storer.KindRouting, storer.RoutingName, storer.RoutingSpec{Number: 1})
 	f.announce("i-1", storer.MemberStateServing)
 }
 
-// newUninformedFixture returns one that knows nothing of the deployment.
-func newUninformedFixture(t *testing.T, e *engine) *fixture {
+// newFixtureWithoutDeployment returns a fixture whose attendant does not know the
+// deployment.
+func newFixtureWithoutDeployment(t *testing.T, e *engine) *fixture {
 	t.Helper()
 	f := &fixture{t: t, engine: e}
 	f.tracker = tracker.NewTracker(tracker.Settings{Decode: func([]byte) (*tracker.Routing, error) {
@@ -186,12 +188,12 @@
 		return r, err
 	}})
 	f.attendant = attendant.NewAttendant(attendant.Settings{
-		Name: place, FailureDomain: failureDomain, Engine: e, View: f.tracker.View, Random: rand.New(rand.NewPCG(1, 2)),
+		Name: backendName, FailureDomain: failureDomain, Engine: e, View: f.tracker.View, Random: rand.New(rand.NewPCG(1, 2)),
 	})
 	network, other := net.Pipe()
 	f.network = other
 	go func() {
-		// The entry reads and forgets what it is told.
+		// The entry reads and discards all messages.
 		buffer := make([]byte, 4096)
 		for {
 			if _, err := other.Read(buffer); err != nil {
@@ -212,7 +214,7 @@
 }
 
 func (f *fixture) announce(incarnation string, state storer.MemberState) {
-	f.apply(storer.KindMember, place, storer.MemberSpec{
+	f.apply(storer.KindMember, backendName, storer.MemberSpec{
 		Service: "s", Address: "10.0.0.1:80", Incarnation: incarnation, State: state, Epoch: f.revision + 1,
 	})
 }
@@ -223,12 +225,12 @@
 	}
 	_ = f.network.Close()
 	_ = f.conn.Close()
-	if f.engine.crashed != "" {
-		f.t.Error("the engine broke: " + f.engine.crashed)
+	if f.engine.failure != "" {
+		f.t.Error("the engine crashed: " + f.engine.failure)
 	}
 }
 
-// admission is a request for admission under way.
+// admission is a request for admission in progress.
 type admission struct {
 	admitted messenger.Admitted
 	err      error
@@ -243,8 +245,8 @@
 	return f.send(messenger.Admit{Request: request, Adapter: adapter, Version: version, Parts: parts})
 }
 
-// admitAt asks a life of the engine.
-func (f *fixture) admitAt(incarnation, request, adapter string, version uint64) *admission {
+// admitIncarnation requests admission at an incarnation of the engine.
+func (f *fixture) admitIncarnation(incarnation, request, adapter string, version uint64) *admission {
 	return f.send(messenger.Admit{Incarnation: incarnation, Request: request, Adapter: adapter, Version: version})
 }
 
@@ -268,7 +270,7 @@
 	return a
 }
 
-func (a *admission) over() bool {
+func (a *admission) ended() bool {
 	select {
 	case <-a.done:
 		return true
--- a/internal/transport/attendant/metrics.go
+++ b/internal/transport/attendant/metrics.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the attendant's.
+// metrics are the metrics of an attendant.
 type metrics struct {
 	waited   prometheus.Histogram
-	loads    prometheus.Histogram
+	loadTime prometheus.Histogram
 	refused  prometheus.Counter
 	sentBack prometheus.Counter
 }
@@ -16,7 +16,7 @@
 			Name: "marigoldpoint_attendant_admission_seconds", Help: "Wait of admitted requests for their adapter.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 14),
 		}),
-		loads: prometheus.NewHistogram(prometheus.HistogramOpts{
+		loadTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "marigoldpoint_attendant_load_seconds", Help: "Time of adapter loads.",
 			Buckets: prometheus.ExponentialBuckets(0.01, 2, 10),
 		}),
@@ -28,7 +28,7 @@
 		}),
 	}
 	if r != nil {
-		r.MustRegister(m.waited, m.loads, m.refused, m.sentBack)
+		r.MustRegister(m.waited, m.loadTime, m.refused, m.sentBack)
 	}
 	return m
 }
--- a/internal/transport/attendant/observing.go
+++ b/internal/transport/attendant/observing.go
@@ -15,14 +15,14 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// observe looks at the engine now and then, and has it hold its model.
+// observe polls the engine until Close, and orders its model if it is missing.
 func (a *Attendant) observe() {
 	timer := time.NewTicker(a.settings.ObserveInterval)
 	defer timer.Stop()
 	for {
-		a.notice()
-		if a.loadingModel() {
-			// Requests wait for it.
+		a.refresh()
+		if a.isModelLoading() {
+			// Requests are waiting for the model.
 			timer.Reset(a.settings.LoadPollInterval)
 		} else {
 			timer.Reset(a.settings.ObserveInterval)
@@ -31,27 +31,27 @@
 		case <-a.root.Done():
 			return
 		case <-timer.C:
-		case <-a.look:
+		case <-a.wakeup:
 		}
 	}
 }
 
-func (a *Attendant) loadingModel() bool {
+func (a *Attendant) isModelLoading() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.ordered != ""
+	return a.orderedModel != ""
 }
 
-// read asks the engine for its report.
-func (a *Attendant) read() (Report, error) {
+// fetchReport requests the engine's report, with OrderTimeout.
+func (a *Attendant) fetchReport() (Report, error) {
 	ctx, cancel := context.WithTimeout(a.root, a.settings.OrderTimeout)
 	defer cancel()
 	r, err := a.settings.Engine.Report(ctx)
 	return r, errors.Trace(err)
 }
 
-// notice brings the slot table in line with the engine.
-func (a *Attendant) notice() {
+// refresh polls the engine and updates the slot table from its report.
+func (a *Attendant) refresh() {
 	member, known := a.settings.View().Member(a.settings.Name)
 	a.mu.Lock()
 	var sequence uint64
@@ -59,90 +59,92 @@
 		sequence = a.table.Sequence()
 	}
 	a.mu.Unlock()
-	r, err := a.read()
+	r, err := a.fetchReport()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	was := a.reachable
+	wasReachable := a.reachable
 	a.reachable = err == nil
 	if err != nil {
-		if was {
-			a.settings.Log.Warn().Err(err).Msg("engine lost")
+		if wasReachable {
+			a.settings.Log.Warn().Err(err).Msg("engine not reachable")
 		}
 		return
 	}
-	if !was {
-		a.settings.Log.Info().Uint64("Sequence", r.Sequence).Int("Models", len(r.Models)).Msg("engine seen")
+	if !wasReachable {
+		a.settings.Log.Info().Uint64("Sequence", r.Sequence).Int("Models", len(r.Models)).Msg("engine reachable")
 	}
 	now := a.settings.Now()
 	if known && member.Spec.State != storer.MemberStateServing {
-		a.turnAway()
+		a.refuseWaiting()
 	}
-	a.take(now, r, member, known, sequence)
-	a.settle(now)
-	for request, at := range a.early {
-		if now.Sub(at) > earlyLimit {
-			delete(a.early, request)
+	a.applyReport(now, r, member, known, sequence)
+	a.admitReady(now)
+	for request, at := range a.earlyReleases {
+		if now.Sub(at) > earlyReleaseRetention {
+			delete(a.earlyReleases, request)
 		}
 	}
 }
 
-// turnAway ends the waits at an engine that leaves: they would end when it may get
-// nothing new any more. The caller holds mu.
-func (a *Attendant) turnAway() {
-	for _, g := range a.guests {
-		if g.admitted {
+// refuseWaiting refuses the waiting requests at an engine that is leaving: their wait could
+// end after the engine has stopped accepting requests. The caller holds mu.
+func (a *Attendant) refuseWaiting() {
+	for _, adm := range a.admissions {
+		if adm.admitted {
 			continue
 		}
-		if g.wanted {
-			g.wanted = false
-			a.apply(a.table.Drop(a.settings.Now(), g.admit.Request))
+		if adm.inTable {
+			adm.inTable = false
+			a.apply(a.table.Drop(a.settings.Now(), adm.msg.Request))
 		}
-		a.refuse(g, messenger.NewRefusal(messenger.ReasonStopping, "the engine leaves"))
+		a.refuse(adm, messenger.NewRefusal(messenger.ReasonStopping, "engine is leaving"))
 	}
 }
 
-// take takes a report in. The caller holds mu.
-func (a *Attendant) take(now time.Time, r Report, member tracker.Member, known bool, sequence uint64) {
-	engine := a.engineOf(member, known)
+// applyReport updates the slot table and the model from a report. Sequence is the table's
+// sequence from before the report was requested. The caller holds mu.
+func (a *Attendant) applyReport(now time.Time, r Report, member tracker.Member, known bool, sequence uint64) {
+	engine := a.engineConfig(member, known)
 	if engine == nil {
-		a.loadEarly(r)
+		a.preloadModel(r)
 		return
 	}
 	restarted := a.restarted(r, member)
 	a.incarnation, a.epoch = member.Spec.Incarnation, max(a.epoch, member.Spec.Epoch)
 	if len(r.Models) != len(a.report.Models) {
-		a.change()
+		a.markChanged()
 	}
 	a.report = r
-	if r.holds(a.ordered) {
-		a.ordered = ""
+	if r.hasModel(a.orderedModel) {
+		a.orderedModel = ""
 	}
 	switch {
 	case a.table == nil:
-		a.begin(now, r, engine)
+		a.initTable(now, r, engine)
 	case restarted:
 		a.settings.Log.Warn().Str("Incarnation", a.incarnation).Msg("engine restarted")
-		a.book.clear()
-		a.recent = nil
-		a.near.renew()
-		a.far.renew()
+		a.cache.clear()
+		a.evicted = nil
+		a.localEntries.requireFull()
+		a.remoteEntries.requireFull()
 		a.apply(a.table.Restarted(now))
 	default:
-		a.apply(a.table.Observe(now, sequence, observed(r)))
+		a.apply(a.table.Observe(now, sequence, observedSlots(r)))
 		a.apply(a.table.Tick(now))
 	}
 	if len(r.Models) > 0 {
-		a.former = r.Models[0].Name
+		a.previousModel = r.Models[0].Name
 	}
-	if model := a.wantedModel(engine); model != "" && !r.holds(model) && !r.Busy {
-		a.ordered = model
+	if model := a.targetModel(engine); model != "" && !r.hasModel(model) && !r.Busy {
+		a.orderedModel = model
 		a.spawnLocked(func() { a.loadModel(model) })
 	}
 }
 
-// restarted reports whether the engine is in another life than at the last look. Its
-// own word on when it began tells best: the membership follows later, and the count of
-// orders may have grown past the former one's. The caller holds mu.
+// restarted reports whether the engine has restarted since the last poll. The start time
+// that the engine reports is the most reliable sign: the membership is updated later, and
+// the number of orders may already exceed that of the previous incarnation. The caller
+// holds mu.
 func (a *Attendant) restarted(r Report, member tracker.Member) bool {
 	if r.Born > 0 && a.report.Born > 0 {
 		return r.Born != a.report.Born
@@ -150,27 +152,28 @@
 	return a.incarnation != "" && member.Spec.Incarnation != a.incarnation || r.Sequence < a.report.Sequence
 }
 
-// loadEarly has an empty engine load the one model on its host's disk, before anything
-// is known of the deployment. The caller holds mu.
+// preloadModel orders an empty engine to load the only model on its host's disk, before the
+// deployment is known. The caller holds mu.
 //
-// After a loss of power companion and engine start with nothing, and the companion
-// hears which model the engine is for when control is back, most of a second later.
-// The load takes half a second more, in which all calls wait. An engine that has
-// accepted an order in this life is left alone: another may know better.
-func (a *Attendant) loadEarly(r Report) {
-	if r.holds(a.ordered) {
-		a.ordered = ""
-	}
-	if a.table != nil || a.ordered != "" || r.Busy || r.Sequence > 0 || len(r.Models) > 0 || len(r.OnDisk) != 1 {
+// After a power loss, companion and engine start empty, and the companion learns which
+// model the engine serves when control is back, most of a second later. The load takes
+// another half second, during which all requests wait. An engine whose current incarnation
+// has accepted an order is left alone: the sender of that order may have known the
+// deployment.
+func (a *Attendant) preloadModel(r Report) {
+	if r.hasModel(a.orderedModel) {
+		a.orderedModel = ""
+	}
+	if a.table != nil || a.orderedModel != "" || r.Busy || r.Sequence > 0 || len(r.Models) > 0 || len(r.OnDisk) != 1 {
 		return
 	}
 	model := r.OnDisk[0]
-	a.ordered = model
+	a.orderedModel = model
 	a.spawnLocked(func() { a.loadModel(model) })
 }
 
-// engineOf returns how the service's engines are made, or nil.
-func (a *Attendant) engineOf(member tracker.Member, known bool) *tracker.Engine {
+// engineConfig returns the configuration of the member's engine, or nil if it is not known.
+func (a *Attendant) engineConfig(member tracker.Member, known bool) *tracker.Engine {
 	routing := a.settings.View().Routing
 	if !known || routing == nil {
 		return nil
@@ -182,8 +185,9 @@
 	return service.Engine
 }
 
-// begin has no lock of its own. The caller holds mu.
-func (a *Attendant) begin(now time.Time, r Report, engine *tracker.Engine) {
+// initTable creates the slot table, the pacer and the prompt cache from the first report.
+// The caller holds mu.
+func (a *Attendant) initTable(now time.Time, r Report, engine *tracker.Engine) {
 	a.table = loader.NewTable(loader.Settings{
 		Slots:           max(1, engine.MaxAdapters),
 		HalfLife:        a.settings.HalfLife,
@@ -197,15 +201,15 @@
 		Most: maxLoads, Load: assumedLoadTime, Random: rand.New(rand.NewPCG(a.settings.Random.Uint64(), a.settings.Random.Uint64())),
 	})
 	a.table.SetPermits(a.pacer.Width(now))
-	a.book = newCachebook(int(float64(engine.MemoryTokens) * memoryShare))
-	a.table.Adopt(now, observed(r))
-	a.change()
+	a.cache = newPromptCache(int(float64(engine.MemoryTokens) * cacheMemoryShare))
+	a.table.Adopt(now, observedSlots(r))
+	a.markChanged()
 }
 
-// assumedLoadTime is the time of a load that was never seen.
+// assumedLoadTime is the expected time of a load before the first one has been measured.
 const assumedLoadTime = 250 * time.Millisecond
 
-func observed(r Report) []loader.Observed {
+func observedSlots(r Report) []loader.Observed {
 	var out []loader.Observed
 	for _, s := range r.slots() {
 		out = append(out, loader.Observed{Version: s.version, Source: s.version, Loading: s.loading})
@@ -213,26 +217,27 @@
 	return out
 }
 
-// wantedModel returns the model that the engine should hold: its service's only one,
-// and of several the one that it held before it became empty, or else one by its
-// name. Which of several models an engine holds while it works is not decided here.
-func (a *Attendant) wantedModel(e *tracker.Engine) string {
+// targetModel returns the model that the engine should load, or "" if none. That is the
+// only model of its service. Of several models, an empty engine loads the one that it held
+// before, or else one chosen by a hash of its name; which model a working engine holds is
+// not decided here.
+func (a *Attendant) targetModel(e *tracker.Engine) string {
 	switch {
 	case len(e.Models) == 0 || len(e.Models) > 1 && len(a.report.Models) > 0:
 		return ""
 	case len(e.Models) == 1:
 		return e.Models[0].Name
-	case a.former != "":
-		return a.former
+	case a.previousModel != "":
+		return a.previousModel
 	default:
 		return e.Models[xxhash.Sum64String(a.settings.Name)%uint64(len(e.Models))].Name
 	}
 }
 
-// loadModel has an engine that restarted empty load its model.
+// loadModel orders the engine to load its model.
 func (a *Attendant) loadModel(model string) {
 	if err := a.order(Order{Kind: OrderLoad, Model: model}); err != nil {
-		a.settings.Log.Warn().Err(err).Str("Model", model).Msg("model not loaded")
+		a.settings.Log.Warn().Err(err).Str("Model", model).Msg("could not order the model")
 		return
 	}
 	a.settings.Log.Info().Str("Model", model).Msg("model ordered")
--- a/internal/transport/attendant/ordering.go
+++ b/internal/transport/attendant/ordering.go
@@ -15,52 +15,53 @@
 	for _, action := range actions {
 		switch t := action.(type) {
 		case loader.PermitAction:
-			// The engines bound their own loads, and the store serves adapters
-			// without a permit.
+			// The engines limit their own loads, and the store serves adapters without a
+			// permit.
 			a.apply(a.table.Permitted(a.settings.Now(), t.Version))
 		case loader.LoadAction:
 			a.spawnLocked(func() { a.load(t) })
 		case loader.UnloadAction:
-			a.noteEvicted(t.Version)
+			a.recordEviction(t.Version)
 			a.spawnLocked(func() { a.unload(t) })
 		case loader.FailAction:
-			if g := a.guests[t.Request]; g != nil {
-				g.wanted = false
-				a.refuse(g, loadRefusal(t))
+			if adm := a.admissions[t.Request]; adm != nil {
+				adm.inTable = false
+				a.refuse(adm, loadRefusal(t))
 			}
 		case loader.LostAction:
-			// The engine restarted: the entry sees its request fail by itself.
-			if g := a.guests[t.Request]; g != nil {
-				g.wanted = false
+			// The engine restarted, so the entry's request fails on its own connection.
+			if adm := a.admissions[t.Request]; adm != nil {
+				adm.inTable = false
 			}
 		case loader.ReadStateAction, loader.FencedAction:
 			a.wake()
 		case loader.ReadyAction, loader.WithdrawAction, loader.ReturnPermitAction:
-			// Guests are settled after each change; there are no permits to return.
+			// Ready requests are admitted after each change; there are no permits to return.
 		}
 	}
 }
 
-// wake has the engine looked at now.
+// wake starts a poll of the engine at once.
 func (a *Attendant) wake() {
 	select {
-	case a.look <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// happened passes an outcome to the table and does what follows.
-func (a *Attendant) happened(event func(now time.Time) []loader.Action) {
+// applyEvent passes the outcome of an order to the table and carries out the actions that
+// follow. It calls event under mu.
+func (a *Attendant) applyEvent(event func(now time.Time) []loader.Action) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.settings.Now()
 	a.apply(event(now))
-	a.settle(now)
-	a.change()
+	a.admitReady(now)
+	a.markChanged()
 }
 
-// load orders an adapter and waits until the engine holds it.
-// What it tells the table runs under mu.
+// load orders an adapter, waits until the engine has loaded it, and reports the outcome to
+// the table.
 func (a *Attendant) load(l loader.LoadAction) {
 	began := a.settings.Now()
 	model, adapter, version := splitVersion(l.Version)
@@ -75,20 +76,20 @@
 		outcome, cause = loader.OutcomeFailed, err.Error()
 		a.settings.Log.Warn().Err(err).Str("Version", l.Version).Dur("Took", took).Msg("load failed")
 	} else {
-		a.metrics.loads.Observe(took.Seconds())
+		a.metrics.loadTime.Observe(took.Seconds())
 		a.settings.Log.Debug().Str("Backend", a.settings.Name).Str("Version", l.Version).Dur("Took", took).Msg("adapter loaded")
 	}
-	a.happened(func(now time.Time) []loader.Action {
+	a.applyEvent(func(now time.Time) []loader.Action {
 		if outcome == loader.OutcomeDone {
-			a.pace(now, accepted)
+			a.updateLoadLimit(now, accepted)
 		}
 		return a.table.Loaded(now, l.Version, l.Fence, outcome, cause)
 	})
 }
 
-// pace bounds the loads by the time of the one that has ended, and goes on with them
-// after the pause that is due. The caller holds mu.
-func (a *Attendant) pace(now, began time.Time) {
+// updateLoadLimit adjusts the number of concurrent loads to the time of the load that has
+// ended, and starts the next loads after the pacer's pause. The caller holds mu.
+func (a *Attendant) updateLoadLimit(now, began time.Time) {
 	a.pacer.Loaded(now, began)
 	a.table.SetPermits(a.pacer.Width(now))
 	pause := a.pacer.Pause(now)
@@ -97,7 +98,7 @@
 	}
 	a.spawnLocked(func() {
 		if a.pause(pause) {
-			a.happened(func(now time.Time) []loader.Action {
+			a.applyEvent(func(now time.Time) []loader.Action {
 				a.table.SetPermits(a.pacer.Width(now))
 				return a.table.Tick(now)
 			})
@@ -105,15 +106,16 @@
 	})
 }
 
-// awaitAdapter waits until the engine holds the version.
+// awaitAdapter waits until the engine has loaded the version. It fails if the engine has
+// dropped the load or LoadTimeout has passed.
 func (a *Attendant) awaitAdapter(version string, began time.Time) error {
 	missing := 0
 	for a.pause(a.settings.LoadPollInterval) {
-		r, err := a.read()
+		r, err := a.fetchReport()
 		if err != nil {
 			return err
 		}
-		on := false
+		pending := false
 		for _, s := range r.slots() {
 			if s.version != version {
 				continue
@@ -121,43 +123,44 @@
 			if !s.loading {
 				return nil
 			}
-			on = true
+			pending = true
 		}
-		if on {
+		if pending {
 			missing = 0
-		} else if missing++; missing > missingLimit {
-			return errors.New("the engine gave the load up")
+		} else if missing++; missing > maxMissingReports {
+			return errors.New("engine dropped the load")
 		}
 		if a.settings.Now().Sub(began) > a.settings.LoadTimeout {
-			return errors.New("the load took too long")
+			return errors.New("load timed out")
 		}
 	}
-	return errors.New("the companion stops")
+	return errors.New("companion is stopping")
 }
 
-// missingLimit is the number of reports without a load that was accepted after
-// which it counts as given up: a report may be older than the order.
-const missingLimit = 6
+// maxMissingReports is the number of successive reports without an accepted load after
+// which it counts as dropped; a single report may be older than the order.
+const maxMissingReports = 6
 
-// unload orders an adapter out of its slot.
-// What it tells the table runs under mu.
+// unload orders the engine to unload a version, waits until it has, and reports the outcome
+// to the table.
 func (a *Attendant) unload(u loader.UnloadAction) {
 	model, adapter, _ := splitVersion(u.Version)
 	outcome := loader.OutcomeDone
 	if err := a.order(Order{Kind: OrderUnload, Model: model, Adapter: adapter}); err != nil {
 		outcome = loader.OutcomeUnknown
 		a.settings.Log.Warn().Err(err).Str("Version", u.Version).Msg("unload failed")
-	} else if err := a.awaitGone(u.Version); err != nil {
+	} else if err := a.awaitUnload(u.Version); err != nil {
 		outcome = loader.OutcomeUnknown
-		a.settings.Log.Warn().Err(err).Str("Version", u.Version).Msg("unload not seen")
+		a.settings.Log.Warn().Err(err).Str("Version", u.Version).Msg("unload not confirmed")
 	}
-	a.happened(func(now time.Time) []loader.Action { return a.table.Unloaded(now, u.Version, u.Fence, outcome) })
+	a.applyEvent(func(now time.Time) []loader.Action { return a.table.Unloaded(now, u.Version, u.Fence, outcome) })
 }
 
-// awaitGone waits until the engine holds the version no more.
-func (a *Attendant) awaitGone(version string) error {
+// awaitUnload waits until the version no longer occupies a slot. It fails after
+// LoadTimeout.
+func (a *Attendant) awaitUnload(version string) error {
 	for began := a.settings.Now(); a.settings.Now().Sub(began) < a.settings.LoadTimeout; {
-		r, err := a.read()
+		r, err := a.fetchReport()
 		if err != nil {
 			return err
 		}
@@ -168,7 +171,7 @@
 			break
 		}
 	}
-	return errors.New("the adapter stays")
+	return errors.New("adapter still occupies its slot")
 }
 
 func (r Report) occupies(version string) bool {
@@ -180,10 +183,11 @@
 	return false
 }
 
-// satisfied reports whether the engine is as the order wants it, or on its way.
+// satisfied reports whether the engine is in the state that the order asks for, or on its
+// way to it.
 func (r Report) satisfied(o Order) bool {
 	if o.Adapter == "" {
-		return r.holds(o.Model) == (o.Kind == OrderLoad)
+		return r.hasModel(o.Model) == (o.Kind == OrderLoad)
 	}
 	for _, s := range r.slots() {
 		model, adapter, version := splitVersion(s.version)
@@ -195,41 +199,41 @@
 }
 
 const (
-	// orderAttempts bounds the sendings of one order.
-	orderAttempts = 8
-	// slotLooks is the number of looks at an engine after which a slot that should
-	// be free and isn't is given up: what fills it is known by then.
-	slotLooks = 2
+	// maxOrderAttempts limits the attempts to send one order.
+	maxOrderAttempts = 8
+	// noSlotIntervals is the number of observe intervals after which an order fails if the
+	// engine has no free slot: by then a poll has shown what occupies it.
+	noSlotIntervals = 2
 )
 
-// errNoSlot tells that an engine has no slot free though the slot table has given
-// one away: an order that was given up was carried out after all.
+// errNoSlot means that the engine has no free slot though the slot table has assigned one:
+// an order that had timed out was carried out after all.
 const errNoSlot = errors.ConstError("no free slot")
 
-// order gives an order, based on what the engine has accepted so far, until it is
-// accepted or what it asks for is so. An adapter waits for its model and for a free
-// slot; meanwhile other orders go on, that for the model among them.
+// order sends an order, based on the engine's current sequence, until it is accepted or the
+// engine is in the requested state. An adapter waits for its model and for a free slot;
+// other orders, such as that for the model, are sent meanwhile.
 //
-// An order without an answer may be carried out seconds later. Each names the
-// sequence that it is based on: whichever of two like orders comes first makes the
-// other one void, and one that comes after a later order is refused. Without it a
-// late unload would drop an adapter that was loaded anew.
+// An order without an answer may be carried out seconds later. Each order names the
+// sequence that it is based on: of two identical orders, the first to arrive makes the
+// other one void, and an order that arrives after a later one is refused. Otherwise a late
+// unload would drop an adapter that has been loaded again.
 func (a *Attendant) order(o Order) error {
 	var last error
 	began := a.settings.Now()
-	for sent := 0; sent < orderAttempts; {
+	for attempts := 0; attempts < maxOrderAttempts; {
 		done, tried, err := a.orderOnce(o)
 		if done {
 			return err
 		}
 		if tried {
-			sent++
+			attempts++
 		}
 		last = err
 		limit := a.settings.LoadTimeout
 		if errors.Is(err, errNoSlot) {
 			a.wake()
-			limit = slotLooks * a.settings.ObserveInterval
+			limit = noSlotIntervals * a.settings.ObserveInterval
 		}
 		if a.settings.Now().Sub(began) > limit || !a.pause(a.settings.LoadPollInterval) {
 			break
@@ -238,41 +242,43 @@
 	return last
 }
 
-// orderOnce looks whether the order is needed and possible, and gives it. Done tells
-// that there is no more to do, and tried that it was sent.
-func (a *Attendant) orderOnce(o Order) (done, tried bool, err error) {
-	a.ordering.Lock()
-	defer a.ordering.Unlock()
-	r, err := a.read()
+// orderOnce checks whether the order is needed and possible, and sends it. Done reports
+// that no further attempt is needed, and sent that this attempt counts against
+// maxOrderAttempts.
+func (a *Attendant) orderOnce(o Order) (done, sent bool, err error) {
+	a.orderMu.Lock()
+	defer a.orderMu.Unlock()
+	r, err := a.fetchReport()
 	switch {
 	case err != nil:
 		return false, true, err
 	case r.satisfied(o):
 		return true, false, nil
-	case o.Kind == OrderLoad && o.Adapter != "" && !r.holds(o.Model):
-		return false, false, errors.New("the engine does not hold the model")
+	case o.Kind == OrderLoad && o.Adapter != "" && !r.hasModel(o.Model):
+		return false, false, errors.New("engine has not loaded the model")
 	case o.Kind == OrderLoad && o.Adapter != "" && len(r.slots()) >= a.slotCount():
-		// More than fit would crash the engine.
+		// An order for more adapters than fit would crash the engine.
 		return false, false, errNoSlot
 	}
-	reply, err := a.give(o, r)
+	reply, err := a.sendOrder(o, r)
 	switch {
 	case err != nil:
 		return false, true, err
 	case reply == ReplyAccepted, reply == ReplyAlreadyDone:
 		return true, true, nil
 	default:
-		return reply == ReplyFenced || reply == ReplyInvalid, true, errors.Errorf("the engine answered %s", reply)
+		return reply == ReplyFenced || reply == ReplyInvalid, true, errors.Errorf("engine refused the order: %s", reply)
 	}
 }
 
-func (a *Attendant) give(o Order, r Report) (Reply, error) {
+// sendOrder sends an order that is based on the report r.
+func (a *Attendant) sendOrder(o Order, r Report) (Reply, error) {
 	a.mu.Lock()
-	o.Expect, o.Fence, o.Incarnation = r.Sequence, max(a.epoch, leastFence), a.incarnation
+	o.Expect, o.Fence, o.Incarnation = r.Sequence, max(a.epoch, initialFence), a.incarnation
 	a.mu.Unlock()
 	if o.Adapter == "" {
-		// Whatever life the engine is in, it needs its model. The word of its new
-		// life comes a second or more after a loss of power, by way of control.
+		// Every incarnation of the engine needs its model. After a power loss the new
+		// incarnation arrives by way of control a second or more later.
 		o.Incarnation = ""
 	}
 	ctx, cancel := context.WithTimeout(a.root, a.settings.OrderTimeout)
@@ -283,10 +289,11 @@
 	return reply, errors.Trace(err)
 }
 
-// leastFence is the fencing number before a membership is known: below that of all
-// memberships, and not 0, which engines take for none.
-const leastFence = 1
+// initialFence is the fencing token before a membership is known: lower than that of any
+// membership, and not 0, which engines take for no token.
+const initialFence = 1
 
+// slotCount returns the number of adapter slots, or 0 before the first report.
 func (a *Attendant) slotCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -296,17 +303,18 @@
 	return a.table.Slots()
 }
 
-// recentLimit is the number of adapters remembered that left their slots. The
-// engine keeps their weights in its own memory.
-const recentLimit = 40
+// maxEvicted is the number of evicted adapters that are remembered. The engine keeps their
+// weights in host memory.
+const maxEvicted = 40
 
-func (a *Attendant) noteEvicted(version string) {
+// recordEviction adds the adapter of a version to the evicted ones. The caller holds mu.
+func (a *Attendant) recordEviction(version string) {
 	model, adapter, _ := splitVersion(version)
 	name := adapterName(model, adapter)
-	a.recent = slices.DeleteFunc(a.recent, func(r string) bool { return r == name })
-	a.recent = append(a.recent, name)
-	a.left = append(a.left, name)
-	if over := len(a.recent) - recentLimit; over > 0 {
-		a.recent = a.recent[over:]
+	a.evicted = slices.DeleteFunc(a.evicted, func(r string) bool { return r == name })
+	a.evicted = append(a.evicted, name)
+	a.newlyEvicted = append(a.newlyEvicted, name)
+	if over := len(a.evicted) - maxEvicted; over > 0 {
+		a.evicted = a.evicted[over:]
 	}
 }
--- a/internal/transport/attendant/settings.go
+++ b/internal/transport/attendant/settings.go
@@ -14,57 +14,58 @@
 
 // Defaults of Settings.
 const (
-	// DefaultObserveInterval is the time between two looks at an engine at which
-	// no order is under way. Only a restart is found by it.
+	// DefaultObserveInterval is the time between two polls of an engine without an order in
+	// progress. Such a poll only serves to detect a restart.
 	DefaultObserveInterval = 250 * time.Millisecond
-	// DefaultPublishInterval is the least time between two states told to entries: a
-	// third of a load, so that what an entry believes of a slot is seldom wrong.
+	// DefaultPublishInterval is the shortest time between two states published to entries:
+	// a third of a load, so that the entries' view of a slot is seldom outdated.
 	DefaultPublishInterval = 80 * time.Millisecond
-	// DefaultPrefillRate is the number of prompt tokens that an engine reads in a
-	// second. It only ranks engines, and entries use the same.
+	// DefaultPrefillRate is the number of prompt tokens that an engine is assumed to
+	// prefill per second. It only ranks engines; entries use the same value.
 	DefaultPrefillRate = 38_000
-	// DefaultPatience is how long requests wait before a busy adapter makes way.
+	// DefaultPatience is how long requests wait for a slot before an adapter in use is
+	// closed to new requests and evicted.
 	DefaultPatience = 1500 * time.Millisecond
-	// DefaultHalfLife is that of the remembered demand for an adapter: demand
-	// moves to other adapters within some seconds.
+	// DefaultHalfLife is the half-life of the recorded demand for an adapter: demand moves
+	// to other adapters within seconds.
 	DefaultHalfLife = 8 * time.Second
-	// DefaultOrderTimeout is the wait for the answer to an order, from the same
-	// host: some twenty times what it takes. One that was lost holds up all that
-	// wait for an adapter there, and is looked for in the engine's report.
+	// DefaultOrderTimeout limits the wait for an answer from the engine, which is on the
+	// same host: some twenty times the usual time. A lost order delays all requests that
+	// wait for an adapter there; its outcome is read from the engine's report.
 	DefaultOrderTimeout = 90 * time.Millisecond
-	// DefaultLoadPollInterval is the time between two looks at a load under way.
+	// DefaultLoadPollInterval is the time between two polls of a load in progress.
 	DefaultLoadPollInterval = 25 * time.Millisecond
 	// DefaultLoadTimeout is the time after which a load counts as failed.
 	DefaultLoadTimeout = 4 * time.Second
-	// maxLoads is the number of adapters on their way to one engine at most; the users'
-	// engines take no more at once. How many there are the pacer decides.
+	// maxLoads is the maximum number of concurrent adapter loads of an engine; the
+	// supported engines accept no more. The pacer sets the current limit.
 	maxLoads = 4
-	// backoffInitial and backoffMax bound the pause after a failed load.
+	// backoffInitial and backoffMax limit the wait after a failed load.
 	backoffInitial = 200 * time.Millisecond
 	backoffMax     = 2 * time.Second
 )
 
-// Engine is the backend server beside an attendant.
+// Engine is the backend server that an attendant manages.
 type Engine interface {
-	// Report tells what the engine holds now.
+	// Report returns the engine's current state.
 	Report(ctx context.Context) (Report, error)
-	// Order gives an order. An error means that its outcome is unknown.
+	// Order sends an order. An error means that its outcome is unknown.
 	Order(ctx context.Context, o Order) (Reply, error)
 }
 
-// Settings are an Attendant's options. Engine, View and Random are required; the
-// zero value of another field means its documented default.
+// Settings are the options of an Attendant. Engine, View and Random are required; the zero
+// value of any other field means its documented default.
 type Settings struct {
-	// Name is the backend server's, and FailureDomain its host's.
+	// Name is the backend server's name, and FailureDomain that of its host.
 	Name          string
 	FailureDomain string
 	Engine        Engine
-	// View returns what is known of the deployment.
+	// View returns the current view of the deployment.
 	View func() *tracker.View
 
 	ObserveInterval time.Duration
 	PublishInterval time.Duration
-	// PrefillRate is in tokens a second.
+	// PrefillRate is in tokens per second.
 	PrefillRate      float64
 	Patience         time.Duration
 	HalfLife         time.Duration
@@ -76,7 +77,7 @@
 	Log        zerolog.Logger
 	// Now is a clock with monotonic readings; nil means time.Now.
 	Now func() time.Time
-	// Random is taken over by the attendant.
+	// Random must not be used by others after NewAttendant.
 	Random *rand.Rand
 }
 
--- a/internal/transport/attendant/telling.go
+++ b/internal/transport/attendant/telling.go
@@ -9,97 +9,98 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// cachedTold is the number of prompt parts that an entry is told of at first: those
-// that are used again lie among the last used.
-const cachedTold = 40
+// maxCachedInFullState is the number of prompt part hashes in a full state: the parts that
+// are reused are among the most recently used.
+const maxCachedInFullState = 40
 
-// tell tells the entries of an audience of the engine's state when it has changed: the
-// whole to those that know nothing yet, and to the others what has changed since the
-// last word. The whole each time, as a JSON object, was half of what went between
-// failure domains at 25 entries before 46 engines.
-func (a *Attendant) tell(u *audience) {
+// publish sends a group of entries the engine's state when it has changed: the full state
+// to new subscribers, and to the others the changes since the last update. With full states
+// only, as JSON objects, this was half of the traffic between failure domains at 25 entries
+// and 46 engines.
+func (a *Attendant) publish(group *subscriberGroup) {
 	for a.pause(a.settings.PublishInterval) {
-		for _, t := range a.news(u) {
-			if len(t.entries) == 0 {
+		for _, update := range a.changes(group) {
+			if len(update.entries) == 0 {
 				continue
 			}
-			params, err := messenger.EncodeNotice(t.state)
+			params, err := messenger.EncodeNotice(update.state)
 			if err != nil {
-				a.settings.Log.Error().Err(err).Msg("state not told")
+				a.settings.Log.Error().Err(err).Msg("could not encode the engine state")
 				continue
 			}
-			for _, conn := range t.entries {
-				// An entry whose connection broke is forgotten, and told the whole on
-				// its next one.
+			for _, conn := range update.entries {
+				// An entry whose connection failed is removed, and gets the full state on
+				// its next connection.
 				_ = conn.Notify(a.root, messenger.MethodState, params)
 			}
 		}
 	}
 }
 
-// telling is a state and the entries that are to be told it.
-type telling struct {
+// update is a state and the connections that it is to be sent to.
+type update struct {
 	state   placer.EngineState
 	entries []*messenger.Conn
 }
 
-// change notes that there is something to tell. The caller holds mu.
-func (a *Attendant) change() {
-	a.near.changed, a.far.changed = true, true
+// markChanged records that the state may have to be published. The caller holds mu.
+func (a *Attendant) markChanged() {
+	a.localEntries.changed, a.remoteEntries.changed = true, true
 }
 
-// spread hands what happened since the last call to both audiences. The caller holds mu.
-func (a *Attendant) spread() {
-	for _, u := range []*audience{a.near, a.far} {
-		u.left = append(u.left, a.left...)
-		u.read = append(u.read, a.book.fresh...)
-		if len(u.conns) == 0 {
-			u.left, u.read, u.whole = nil, nil, true
+// distributeChanges hands the evictions and cached parts since the last call to both
+// groups. The caller holds mu.
+func (a *Attendant) distributeChanges() {
+	for _, group := range []*subscriberGroup{a.localEntries, a.remoteEntries} {
+		group.newlyEvicted = append(group.newlyEvicted, a.newlyEvicted...)
+		group.newlyCached = append(group.newlyCached, a.cache.added...)
+		if len(group.conns) == 0 {
+			group.newlyEvicted, group.newlyCached, group.full = nil, nil, true
 		}
 	}
-	a.left, a.book.fresh = nil, nil
+	a.newlyEvicted, a.cache.added = nil, nil
 }
 
-// news returns what there is to tell an audience, and whom.
-func (a *Attendant) news(u *audience) []telling {
+// changes returns the updates that are due for a group.
+func (a *Attendant) changes(group *subscriberGroup) []update {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !u.changed || a.table == nil {
+	if !group.changed || a.table == nil {
 		return nil
 	}
-	a.spread()
-	if len(u.conns) == 0 {
+	a.distributeChanges()
+	if len(group.conns) == 0 {
 		return nil
 	}
 	now := a.settings.Now()
-	if !u.whole && now.Sub(u.toldAt) < placer.TellingInterval(a.settings.PublishInterval, len(u.conns), u == a.near) {
-		// One that comes in between is told at once what the others know: what they are
-		// told next builds on that.
-		return []telling{{state: u.told, entries: u.ignorant()}}
+	if !group.full && now.Sub(group.publishedAt) < placer.TellingInterval(a.settings.PublishInterval, len(group.conns), group == a.localEntries) {
+		// New subscribers get the published state at once; the next changes are based on
+		// it.
+		return []update{{state: group.published, entries: group.takeUnsynced()}}
 	}
-	whole := a.wholeState()
-	news := u.news(&whole)
-	if !u.worth(now, &whole, &news) {
-		u.changed = false
-		return []telling{{state: u.told, entries: u.ignorant()}}
+	full := a.fullState()
+	changes := group.changes(&full)
+	if !group.significant(now, &full, &changes) {
+		group.changed = false
+		return []update{{state: group.published, entries: group.takeUnsynced()}}
 	}
-	whole.Sequence = u.told.Sequence + 1
-	news.Sequence = whole.Sequence
-	if u.whole {
-		news = whole
+	full.Sequence = group.published.Sequence + 1
+	changes.Sequence = full.Sequence
+	if group.full {
+		changes = full
 	}
-	u.note(now, &whole)
-	knowing := u.take(true)
-	return []telling{{state: news, entries: knowing}, {state: whole, entries: u.ignorant()}}
+	group.recordPublished(now, &full)
+	synced := group.takeConns(true)
+	return []update{{state: changes, entries: synced}, {state: full, entries: group.takeUnsynced()}}
 }
 
-// wholeState returns all that there is to tell. The caller holds mu.
-func (a *Attendant) wholeState() placer.EngineState {
+// fullState returns the complete state of the engine. The caller holds mu.
+func (a *Attendant) fullState() placer.EngineState {
 	s := placer.EngineState{
-		Name: a.settings.Name, Incarnation: a.incarnation, Life: a.life, Whole: true,
-		Running: len(a.guests), BacklogMillis: a.backlog(), WaitingMillis: a.waitingRead(),
-		Entries: len(a.near.conns) + len(a.far.conns), MaxAdapters: a.table.Slots(),
-		Recent: slices.Clone(a.recent), Cached: a.book.newest(nil, cachedTold),
+		Name: a.settings.Name, Incarnation: a.incarnation, Life: a.generation, Whole: true,
+		Running: len(a.admissions), BacklogMillis: a.backlogMillis(), WaitingMillis: a.waitingMillis(),
+		Entries: len(a.localEntries.conns) + len(a.remoteEntries.conns), MaxAdapters: a.table.Slots(),
+		Recent: slices.Clone(a.evicted), Cached: a.cache.newest(nil, maxCachedInFullState),
 	}
 	for _, m := range a.report.Models {
 		s.Models = append(s.Models, m.Name)
@@ -108,15 +109,15 @@
 		model, adapter, version := splitVersion(r.Version)
 		s.Adapters = append(s.Adapters, placer.AdapterState{
 			Name: adapterName(model, adapter), Version: version,
-			Loading: r.Phase != loader.PhaseResident, Pins: roughly(r.Pins + r.Waiters),
+			Loading: r.Phase != loader.PhaseResident, Pins: floorPowerOfTwo(r.Pins + r.Waiters),
 		})
 	}
 	return s
 }
 
-// roughly rounds a number of requests down to a power of two: whether a slot is in use
-// moves a choice, and whether a few or many share it.
-func roughly(n int) int {
+// floorPowerOfTwo rounds a number of requests down to a power of two: the choice of an
+// engine depends on whether a slot is in use, and on whether few or many requests share it.
+func floorPowerOfTwo(n int) int {
 	if n <= 0 {
 		return 0
 	}
--- a/internal/transport/attendant/telling_test.go
+++ b/internal/transport/attendant/telling_test.go
@@ -15,8 +15,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/attendant"
 )
 
-// listening is an entry that keeps what it is told.
-type listening struct {
+// stateListener is an entry that records the states that it receives.
+type stateListener struct {
 	f      *fixture
 	conn   *messenger.Conn
 	near   *messenger.Conn
@@ -24,15 +24,15 @@
 	states []placer.EngineState
 }
 
-func (f *fixture) listen() *listening {
+func (f *fixture) watchLocal() *stateListener {
 	l := f.connect()
 	l.watch()
 	return l
 }
 
-// connect returns an entry that has not asked for the state yet.
-func (f *fixture) connect() *listening {
-	l := &listening{f: f}
+// connect returns an entry that has not subscribed yet.
+func (f *fixture) connect() *stateListener {
+	l := &stateListener{f: f}
 	network, other := net.Pipe()
 	quiet := messenger.Settings{HeartbeatInterval: time.Hour, SilenceLimit: 24 * time.Hour}
 	l.conn = messenger.NewConn(network, quiet)
@@ -50,15 +50,15 @@
 	return l
 }
 
-func (l *listening) watch() {
+func (l *stateListener) watch() {
 	if _, err := l.f.attendant.Handle(context.Background(), l.conn, messenger.MethodWatch, json.RawMessage(`{"Node":"e"}`)); err != nil {
 		l.f.t.Fatal(err)
 	}
-	after(time.Second)
+	advance(time.Second)
 }
 
-// heard returns what was told since the last call.
-func (l *listening) heard() []placer.EngineState {
+// received returns the states received since the last call.
+func (l *stateListener) received() []placer.EngineState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	states := l.states
@@ -66,57 +66,56 @@
 	return states
 }
 
-func (l *listening) close() {
+func (l *stateListener) close() {
 	_ = l.near.Close()
 	_ = l.conn.Close()
 }
 
-// TestTellsPartsAsEntriesKnowThem: symptom: prompts go to engines that must read them
-// again, though another has read their shared parts. Sequence: an entry asks for an
-// adapter with a prompt, another hears of what was read. Cause: companions hashed a
-// part with the adapter's version, and entries without.
-func TestTellsPartsAsEntriesKnowThem(t *testing.T) {
-	with(t, func(f *fixture, _ *engine) {
-		l := f.listen()
+// TestPublishesPartHashesAsEntriesComputeThem guards against prompts that are sent to
+// engines which have to prefill them again though another engine has their shared parts
+// cached. Companions hashed a part with the adapter's version, and entries without it.
+func TestPublishesPartHashesAsEntriesComputeThem(t *testing.T) {
+	withEngine(t, func(f *fixture, _ *engine) {
+		l := f.watchLocal()
 		defer l.close()
-		l.heard()
+		l.received()
 		f.admitPrompt("1", "a1", 1, messenger.Part{ID: 7, Tokens: 60}, messenger.Part{ID: 8, Tokens: 40})
-		after(time.Second)
+		advance(time.Second)
 		first := placer.PartHash(model, "a1", 1, 0, 7)
 		want := []uint32{first, placer.PartHash(model, "a1", 1, first, 8)}
-		for _, s := range l.heard() {
+		for _, s := range l.received() {
 			if slices.Equal(s.Cached, want) {
 				return
 			}
 		}
-		t.Errorf("not told of parts %v", want)
+		t.Errorf("parts %v were not published", want)
 	})
 }
 
-// TestTellsWhatWaits: symptom: after a loss of power all entries send their prompts to
-// the few engines that are back, where two seconds of reading wait. Sequence: requests
-// wait for an adapter; its load ends, and all are read at once. Cause: what waits for
-// an adapter was told to nobody.
-func TestTellsWhatWaits(t *testing.T) {
-	with(t, func(f *fixture, _ *engine) {
-		l := f.listen()
+// TestPublishesWaitingTime guards against an uneven load after a power loss: all entries
+// sent their prompts to the few engines that were back, where two seconds of prefill were
+// waiting. Requests wait for an adapter, and all are prefilled when its load ends; the time
+// of waiting requests was not published.
+func TestPublishesWaitingTime(t *testing.T) {
+	withEngine(t, func(f *fixture, _ *engine) {
+		l := f.watchLocal()
 		defer l.close()
-		l.heard()
+		l.received()
 		for i := range 5 {
 			f.admitPrompt(strconv.Itoa(i), "a1", 1, messenger.Part{ID: uint64(i), Tokens: 9000})
 		}
-		after(2 * time.Second)
+		advance(2 * time.Second)
 		most := 0
-		states := l.heard()
+		states := l.received()
 		for _, s := range states {
 			most = max(most, s.WaitingMillis)
 		}
 		read := placer.ReadTime(9000, 9000, attendant.DefaultPrefillRate)
 		if want := int((5 * read).Milliseconds()); most != want {
-			t.Errorf("told that %d ms wait, want %d", most, want)
+			t.Errorf("published a waiting time of %d ms, want %d", most, want)
 		}
 		if last := states[len(states)-1]; last.WaitingMillis != 0 {
-			t.Errorf("%d ms wait after the load", last.WaitingMillis)
+			t.Errorf("waiting time after the load is %d ms, want 0", last.WaitingMillis)
 		}
 	})
 }
@@ -129,92 +128,92 @@
 	return all
 }
 
-// TestTellsWhatHasChanged: symptom: at 25 entries before 46 engines half of what goes
-// between failure domains is the same state, told again. Sequence: requests come and
-// go at an engine with a full table. Cause: each word on the engine held all of it.
-func TestTellsWhatHasChanged(t *testing.T) {
-	with(t, func(f *fixture, _ *engine) {
+// TestPublishesChangesOnly guards against redundant traffic: at 25 entries and 46 engines,
+// half of the traffic between failure domains was unchanged state, since each update for an
+// engine with a full slot table held all of it.
+func TestPublishesChangesOnly(t *testing.T) {
+	withEngine(t, func(f *fixture, _ *engine) {
 		f.admit("1", "a1", 1)
 		f.admit("2", "a2", 1)
-		after(time.Second)
-		l := f.listen()
+		advance(time.Second)
+		l := f.watchLocal()
 		defer l.close()
-		first := l.heard()
+		first := l.received()
 		if len(first) != 1 || !first[0].Whole || !slices.Equal(names(first[0].Adapters), []string{"m/a1", "m/a2"}) || first[0].MaxAdapters != slots {
-			t.Fatalf("first told: %+v", first)
+			t.Fatalf("first state: %+v", first)
 		}
 		f.release("1")
-		after(time.Second)
-		news := l.heard()
+		advance(time.Second)
+		news := l.received()
 		if len(news) != 1 || news[0].Whole || !slices.Equal(names(news[0].Adapters), []string{"m/a1"}) || news[0].Sequence != first[0].Sequence+1 || len(news[0].Models) > 0 {
-			t.Fatalf("told after a release: %+v", news)
+			t.Fatalf("states after a release: %+v", news)
 		}
 		f.admit("3", "a3", 1)
-		after(time.Second)
+		advance(time.Second)
 		gone := false
-		for _, s := range l.heard() {
+		for _, s := range l.received() {
 			gone = gone || slices.Equal(s.Gone, []string{"m/a1"})
 		}
 		if !gone {
-			t.Error("not told that the slot was left")
+			t.Error("the eviction was not published")
 		}
 		l.watch()
-		if again := l.heard(); len(again) != 1 || !again[0].Whole || !slices.Equal(names(again[0].Adapters), []string{"m/a2", "m/a3"}) {
-			t.Errorf("asked for the whole, told: %+v", again)
+		if again := l.received(); len(again) != 1 || !again[0].Whole || !slices.Equal(names(again[0].Adapters), []string{"m/a2", "m/a3"}) {
+			t.Errorf("subscribed again, got: %+v", again)
 		}
 	})
 }
 
-// TestTellsNothingThatMovesNoChoice: symptom: half of the words on engines tell of
-// requests that have ended. Sequence: seven requests share an adapter, and two of them
-// end. Cause: each change was told.
-func TestTellsNothingThatMovesNoChoice(t *testing.T) {
-	with(t, func(f *fixture, _ *engine) {
+// TestSkipsInsignificantChanges guards against redundant updates: half of them were about
+// requests that had ended. Seven requests share an adapter, and two of them end, which
+// affects no choice of an engine.
+func TestSkipsInsignificantChanges(t *testing.T) {
+	withEngine(t, func(f *fixture, _ *engine) {
 		for i := range 7 {
 			f.admit(strconv.Itoa(i), "a1", 1)
 		}
-		after(time.Second)
-		l := f.listen()
+		advance(time.Second)
+		l := f.watchLocal()
 		defer l.close()
-		l.heard()
+		l.received()
 		f.release("0")
 		f.release("1")
-		after(time.Second)
-		if news := l.heard(); len(news) != 0 {
-			t.Errorf("told: %+v", news)
+		advance(time.Second)
+		if news := l.received(); len(news) != 0 {
+			t.Errorf("unexpected states: %+v", news)
 		}
 		for i := 2; i < 7; i++ {
 			f.release(strconv.Itoa(i))
 		}
-		after(time.Second)
-		news := l.heard()
+		advance(time.Second)
+		news := l.received()
 		if len(news) != 1 || len(news[0].Adapters) != 1 || news[0].Adapters[0].Pins != 0 || news[0].Running != 0 {
-			t.Fatalf("told at the end: %+v", news)
+			t.Fatalf("states after the last release: %+v", news)
 		}
 		if n := news[0]; n.Name != "" || n.Incarnation != "" || n.Life != 0 {
-			t.Errorf("told again what is known: %+v", n)
+			t.Errorf("unchanged fields were published again: %+v", n)
 		}
 	})
 }
 
-// TestTellsWholeAfterRestart: symptom: entries count on adapters and prompt parts that
-// an engine lost with its former life. Sequence: the engine restarts, empty. Cause:
-// what is told builds on what was told before.
-func TestTellsWholeAfterRestart(t *testing.T) {
-	with(t, func(f *fixture, e *engine) {
+// TestPublishesFullStateAfterRestart guards against entries that rely on adapters and
+// prompt parts which the engine lost in a restart, because updates are based on earlier
+// ones.
+func TestPublishesFullStateAfterRestart(t *testing.T) {
+	withEngine(t, func(f *fixture, e *engine) {
 		f.admit("1", "a1", 1)
-		after(time.Second)
-		l := f.listen()
+		advance(time.Second)
+		l := f.watchLocal()
 		defer l.close()
-		l.heard()
+		l.received()
 		e.restart("i-2")
 		f.announce("i-2", 0)
-		after(3 * time.Second)
-		for _, s := range l.heard() {
+		advance(3 * time.Second)
+		for _, s := range l.received() {
 			if s.Whole && s.Incarnation == "i-2" && len(s.Cached) == 0 {
 				return
 			}
 		}
-		t.Error("the whole was not told")
+		t.Error("the full state was not published")
 	})
 }
