--- a/internal/transport/companion/companion.go
+++ b/internal/transport/companion/companion.go
@@ -17,69 +17,68 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/streamer"
 )
 
-// Companion stands beside one backend server. It may be used by several
-// goroutines.
+// Companion manages one backend server. It is safe for concurrent use.
 type Companion struct {
 	settings Settings
-	// incarnation identifies this life of the companion.
+	// incarnation identifies this run of the companion process.
 	incarnation string
 	buffer      *streamer.Buffer
 	metrics     *metrics
 
-	// root ends with Close.
+	// root is cancelled by Close.
 	root   context.Context
 	cancel context.CancelCauseFunc
-	// tasks are the goroutines that Close waits for. They begin under mu, so
-	// that none begins once closed is set.
+	// tasks are the goroutines that Close waits for. They are started under mu, so that
+	// none starts once closed is set.
 	tasks sync.WaitGroup
 
-	// noticing lets one goroutine at a time read the engine's state and take it
-	// in. Of two readings at once the older could arrive last, and a restart would
-	// be undone and found again. It is taken before mu.
-	noticing sync.Mutex
+	// refreshMu serializes reading and applying the engine's state. Of two concurrent reads
+	// the older could be applied last, which would undo a restart and detect it again. It
+	// is locked before mu.
+	refreshMu sync.Mutex
 
 	mu sync.Mutex
-	// closed bars new tasks; guarded by mu, as all below.
+	// closed prevents new tasks; guarded by mu, as all fields below.
 	closed bool
-	// leaving and ended record the latest leave announcement of a planned stop. A join
-	// that completes later repeats it for the new membership.
+	// leaving and ended record the latest leave announcement of a planned stop. A join that
+	// completes later repeats it for the new membership.
 	leaving, ended bool
-	// draining refuses new requests.
+	// draining makes the companion refuse new requests.
 	draining bool
 	// lease is the present membership; its Epoch is 0 before the first.
 	lease registrar.Lease
-	// joining tells that a join is under way.
+	// joining reports whether a join is in progress.
 	joining bool
-	// superseded tells that the engine has obeyed another companion since.
+	// superseded reports whether the engine has accepted orders of a later companion.
 	superseded bool
-	// table is the engine's slot table; nil for a plain service, and before
-	// Start has read the engine's state.
+	// table is the engine's slot table; nil for a plain service, and before Start has read
+	// the engine's state.
 	table *loader.Table
 	queue *scheduler.Queue
-	// works are the requests that wait or run, by key.
-	works map[string]*work
-	// asks are the requests for permits, by version. One is withdrawn by closing
-	// its channel, which takes it out.
-	asks map[string]chan struct{}
-	// running counts the places taken in the batch.
+	// jobs holds the waiting and running attempts, by key.
+	jobs map[string]*job
+	// permitRequests holds the pending requests for load permits, by version. Closing and
+	// deleting a channel withdraws its request.
+	permitRequests map[string]chan struct{}
+	// running is the number of occupied places in the batch.
 	running  int
 	maxBatch int
-	// engine is what was last read of the engine, and heard when.
+	// engine is the last state read from the engine.
 	engine engineView
-	// reading tells that a reading of the engine's state is due.
-	reading chan struct{}
-	// grants are the permits held, by version.
+	// refreshDue requests an early read of the engine's state.
+	refreshDue chan struct{}
+	// grants holds the granted permits, by version.
 	grants map[string]permitter.Grant
-	// staticNext is the time of the next load without a control host.
-	staticNext time.Time
-	// loadTime is the mean time from asking for a permit to the end of a load.
+	// nextStaticLoad is the earliest time of the next load without a control host.
+	nextStaticLoad time.Time
+	// loadTime is the moving mean of the time from the permit to the end of a load.
 	loadTime time.Duration
 	// sequence counts the load reports.
 	sequence uint64
 }
 
-// NewCompanion returns a companion that takes no requests before Start. It
-// panics if the settings are incomplete.
+// NewCompanion returns a companion that accepts no requests before Start. It panics if the
+// settings are incomplete.
 func NewCompanion(s Settings) *Companion {
 	s.check()
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -94,18 +93,18 @@
 		queue: scheduler.NewQueue(scheduler.Settings{
 			MaxRequests: s.Companion.QueueLimit, MaxTokens: s.Companion.QueueTokens,
 		}),
-		works:    map[string]*work{},
-		asks:     map[string]chan struct{}{},
-		maxBatch: s.Companion.MaxBatch,
-		reading:  make(chan struct{}, 1),
-		grants:   map[string]permitter.Grant{},
+		jobs:           map[string]*job{},
+		permitRequests: map[string]chan struct{}{},
+		maxBatch:       s.Companion.MaxBatch,
+		refreshDue:     make(chan struct{}, 1),
+		grants:         map[string]permitter.Grant{},
 	}
 	c.metrics = newMetrics(c, s.Registerer)
 	return c
 }
 
-// Start reads the engine's state, takes it over, and joins the membership. It
-// returns once the companion takes requests, or with the context's error.
+// Start reads the engine's state, takes over its slots and joins the membership. It returns
+// once the companion accepts requests, or with the context's error.
 func (c *Companion) Start(ctx context.Context) error {
 	if c.settings.Engine != nil {
 		if err := c.adopt(ctx); err != nil {
@@ -114,38 +113,38 @@
 	} else if c.maxBatch == 0 {
 		c.maxBatch = DefaultServiceBatch
 	}
-	c.settings.Control.OnMembershipEnd(c.voided)
+	c.settings.Control.OnMembershipEnd(c.membershipEnded)
 	if err := c.join(ctx); err != nil {
 		return errors.Annotate(err, "joining the membership")
 	}
 	c.mu.Lock()
-	// Companions that start together must not take a static load each at once.
-	c.staticNext = c.settings.Now().Add(c.staticInterval())
+	// Companions that start together must not all use a static load at once.
+	c.nextStaticLoad = c.settings.Now().Add(c.staticInterval())
 	c.mu.Unlock()
 	c.spawn(c.tick)
 	c.spawn(c.renew)
 	if c.settings.Engine != nil {
-		c.spawn(c.watch)
+		c.spawn(c.watchEngine)
 	}
 	c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindStarted, Backend: c.settings.Node, Detail: c.incarnation})
 	return nil
 }
 
-// Incarnation identifies this life of the companion.
+// Incarnation identifies this run of the companion process.
 func (c *Companion) Incarnation() string { return c.incarnation }
 
-// Ready tells whether the companion takes requests.
+// Ready reports whether the companion accepts requests.
 func (c *Companion) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lease.Epoch != 0 && !c.draining && !c.superseded && !c.closed && c.reachable(c.settings.Now())
 }
 
-// errClosed is the cause with which the requests end that Close cuts off.
+// errClosed is the cause of the requests that Close interrupts.
 const errClosed = errors.ConstError("companion closed")
 
-// Close ends everything at once and waits. Requests in progress end as unknown;
-// Drain lets them finish before.
+// Close stops the companion at once and waits for its goroutines. Requests in progress end
+// with an unknown outcome; call Drain first to let them finish.
 func (c *Companion) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -156,7 +155,7 @@
 	return nil
 }
 
-// spawn runs f in a goroutine that Close ends and waits for.
+// spawn runs f in a goroutine whose context Close cancels and whose end Close waits for.
 func (c *Companion) spawn(f func(ctx context.Context)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,7 +174,7 @@
 	}()
 }
 
-// Load returns the present load.
+// Load returns the present load, with the next sequence number.
 func (c *Companion) Load() messenger.Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/companion/companion_test.go
+++ b/internal/transport/companion/companion_test.go
@@ -19,7 +19,7 @@
 )
 
 var _ = Describe("A companion", func() {
-	It("serves a cold adapter, streamed and whole, and reports it resident", func() {
+	It("serves a cold adapter, with and without streaming, and reports it resident", func() {
 		b := newBench(generator.Settings{})
 		l := newLink(b.companion)
 		l.send(b.call("r1", "w/a@1", 20))
@@ -40,27 +40,27 @@
 		Expect(*whole.Choices[0].Text).To(Equal(generator.Expected("w/a@1", "r2", 20)))
 		Expect(whole.Usage.CompletionTokens).To(Equal(20))
 		Expect(b.engine.Record().Loads).To(Equal(1))
-		Eventually(b.control.resident).WithTimeout(patience).Should(Equal([]string{"w/a@1"}))
+		Eventually(b.control.resident).WithTimeout(testTimeout).Should(Equal([]string{"w/a@1"}))
 	})
 
-	It("takes its request for a permit back once no call waits, and asks anew for the next", func() {
-		// Symptom: permits are granted for callers who have left, and given back.
-		// Events: the only call for an adapter is cancelled while the store is busy.
-		// Cause: the wait at the control leader knew nothing of the calls.
+	It("withdraws its permit request once no call waits, and sends a new one for the next call", func() {
+		// Guards against permits that are granted for callers who have left. The only call
+		// for an adapter is cancelled while the store is busy, and the wait at the control
+		// leader went on without it.
 		b := newBench(generator.Settings{})
-		b.control.full.Store(true)
+		b.control.permitsFull.Store(true)
 		l := newLink(b.companion)
 		l.send(b.call("r1", "w/a@1", 2))
-		Eventually(b.control.asked.Load).WithTimeout(patience).Should(Equal(int32(1)))
-		b.companion.cancelWork(messenger.Cancel{Request: "r1", Attempt: 1})
-		Eventually(b.control.withdrawn.Load).WithTimeout(patience).Should(Equal(int32(1)))
-		b.control.full.Store(false)
+		Eventually(b.control.asked.Load).WithTimeout(testTimeout).Should(Equal(int32(1)))
+		b.companion.cancelJob(messenger.Cancel{Request: "r1", Attempt: 1})
+		Eventually(b.control.withdrawn.Load).WithTimeout(testTimeout).Should(Equal(int32(1)))
+		b.control.permitsFull.Store(false)
 		l.send(b.call("r2", "w/a@1", 2))
 		Expect(l.wait("r2").Outcome).To(Equal(messenger.OutcomeCompleted))
 		Expect(b.control.asked.Load()).To(Equal(int32(2)))
 	})
 
-	It("refuses another life's dispatches and other base models", func() {
+	It("refuses dispatches for another epoch or another base model", func() {
 		b := newBench(generator.Settings{})
 		d := b.call("r1", "w/a@1", 2)
 		d.Epoch++
@@ -71,7 +71,7 @@
 		Expect(b.engine.Record().Runs).To(BeEmpty())
 	})
 
-	It("passes a plain service's answers on, and never repeats a call", func() {
+	It("forwards the answers of a plain service, and never repeats a call", func() {
 		var calls atomic.Int32
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			calls.Add(1)
@@ -107,7 +107,7 @@
 		Expect(calls.Load()).To(Equal(int32(2)))
 	})
 
-	It("drains without cutting a stream", func() {
+	It("drains without interrupting a stream", func() {
 		b := newBench(generator.Settings{})
 		l := newLink(b.companion)
 		for i := range 8 {
--- a/internal/transport/companion/dispatch.go
+++ b/internal/transport/companion/dispatch.go
@@ -47,14 +47,14 @@
 		if err := messenger.Decode(params, &x); err != nil {
 			return nil, err
 		}
-		c.cancelWork(x)
+		c.cancelJob(x)
 		return nil, nil
 	default:
 		return nil, messenger.NewRefusal(messenger.ReasonUnsupported, string(method))
 	}
 }
 
-// result keeps a nil *Refusal from becoming an error that is not nil.
+// result converts a refusal to an error, such that a nil *Refusal is a nil error.
 func result(a messenger.Accepted, r *messenger.Refusal) (any, error) {
 	if r != nil {
 		return nil, r
@@ -62,55 +62,54 @@
 	return a, nil
 }
 
-// dispatch takes on an attempt, or refuses it, in which case it has not run.
+// dispatch accepts an attempt, or refuses it, in which case the attempt has not run.
 func (c *Companion) dispatch(conn link, d messenger.Dispatch) (messenger.Accepted, *messenger.Refusal) {
 	id := streamer.ID{Request: d.Request, Attempt: d.Attempt}
 	answer, err := c.buffer.Begin(id, !d.Idempotent)
 	switch {
 	case err == nil:
 	case errors.Is(err, streamer.ErrSeen):
-		// The entry lost the answer to its first sending: it gets the same answer,
-		// and the attempt does not run again.
+		// The entry has repeated the dispatch because it lost the first reply: it gets the
+		// same answer, and the attempt does not run again.
 		accepted, refusal := c.attach(conn, answer, 0)
 		if refusal != nil {
-			// The attempt did run, which no refusal of a dispatch may deny.
+			// The attempt has run, so that the refusal must not say that it has not.
 			refusal.Reason = messenger.ReasonOutcomeUnknown
 		}
 		return accepted, refusal
 	case errors.Is(err, streamer.ErrBarred):
-		return messenger.Accepted{}, messenger.NewRefusal(messenger.ReasonNeverSeen, "declared never seen")
+		return messenger.Accepted{}, messenger.NewRefusal(messenger.ReasonNeverSeen, "the attempt has been declared never seen")
 	default:
 		// This attempt has not run, but the request may have.
 		return messenger.Accepted{}, messenger.NewRefusal(messenger.ReasonOutcomeUnknown, err.Error())
 	}
-	w := newWork(d, answer)
-	if refusal := c.admit(w); refusal != nil {
-		// A sending of the same attempt may have attached to the answer meanwhile.
-		answer.End(c.settings.Now(), c.notRun(w, refusal))
-		c.metrics.ended(messenger.OutcomeNotRun, refusal.Reason)
+	j := newJob(d, answer)
+	if refusal := c.admit(j); refusal != nil {
+		// A repeated dispatch of the attempt may have attached to the answer meanwhile.
+		answer.End(c.settings.Now(), c.notRunEnd(j, refusal))
+		c.metrics.jobEnded(messenger.OutcomeNotRun, refusal.Reason)
 		c.buffer.Discard(id)
 		return messenger.Accepted{}, refusal
 	}
 	return c.attach(conn, answer, 0)
 }
 
-// admit queues the work, or returns why not.
-func (c *Companion) admit(w *work) *messenger.Refusal {
+// admit queues the job, or returns the reason why it can't.
+func (c *Companion) admit(j *job) *messenger.Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.settings.Now()
-	if refusal := c.refusal(now, w.dispatch); refusal != nil {
+	if refusal := c.refusal(now, j.dispatch); refusal != nil {
 		return refusal
 	}
-	w.arrived = now
-	if w.dispatch.DeadlineMillis > 0 {
-		w.deadline = now.Add(time.Duration(w.dispatch.DeadlineMillis) * time.Millisecond)
+	j.arrived = now
+	if j.dispatch.DeadlineMillis > 0 {
+		j.deadline = now.Add(time.Duration(j.dispatch.DeadlineMillis) * time.Millisecond)
 	}
-	return c.enqueue(now, w)
+	return c.enqueue(now, j)
 }
 
-// refusal checks the dispatch against what this companion is.
-// The caller holds mu.
+// refusal returns why the companion can't accept the dispatch, or nil. The caller holds mu.
 func (c *Companion) refusal(now time.Time, d messenger.Dispatch) *messenger.Refusal {
 	service := c.settings.Service != nil
 	switch {
@@ -120,7 +119,7 @@
 		return messenger.NewRefusal(messenger.ReasonStaleEpoch, "membership has changed")
 	case !c.reachable(now):
 		r := messenger.NewRefusal(messenger.ReasonUnavailable, "backend server does not answer")
-		r.RetryAfterMillis = engineLimit.Milliseconds()
+		r.RetryAfterMillis = engineTimeout.Milliseconds()
 		return r
 	case service != (d.Kind == messenger.CallKindService):
 		return messenger.NewRefusal(messenger.ReasonUnsupported, "another kind of backend server")
@@ -133,7 +132,7 @@
 	}
 }
 
-// resume gives the rest of an answer to a new connection.
+// resume sends the rest of an answer to a new connection.
 func (c *Companion) resume(conn link, r messenger.Resume) (messenger.Accepted, *messenger.Refusal) {
 	answer, err := c.buffer.Find(c.settings.Now(), streamer.ID{Request: r.Request, Attempt: r.Attempt})
 	switch {
@@ -147,7 +146,7 @@
 	}
 }
 
-// attach sends the answer from the offset on to the connection.
+// attach sends the answer to the connection, starting at the offset in bytes.
 func (c *Companion) attach(conn link, answer *streamer.Answer, offset int64) (messenger.Accepted, *messenger.Refusal) {
 	reader, err := answer.Attach(offset)
 	if err != nil {
@@ -157,8 +156,8 @@
 	return messenger.Accepted{Incarnation: c.incarnation, Load: c.Load()}, nil
 }
 
-// deliver sends pieces until the answer has ended, the connection is closed or
-// another one has taken over.
+// deliver sends pieces until the answer has ended, the connection is closed or another
+// connection has attached to the answer.
 func (c *Companion) deliver(ctx context.Context, conn link, reader *streamer.Reader) {
 	ctx, cancel := context.WithCancel(ctx)
 	watched := make(chan struct{})
@@ -193,11 +192,11 @@
 	}
 }
 
-// cancelWork gives up an attempt whose caller has left.
-func (c *Companion) cancelWork(x messenger.Cancel) {
+// cancelJob ends an attempt whose caller has left.
+func (c *Companion) cancelJob(x messenger.Cancel) {
 	id := streamer.ID{Request: x.Request, Attempt: x.Attempt}
-	// A notification can overtake the dispatch, which is handled in a goroutine
-	// of its own. Find bars the attempt then, or it would run for nobody.
+	// The notification can overtake the dispatch, which is handled in a goroutine of its
+	// own. Find then bars the attempt, which would otherwise run without a caller.
 	answer, err := c.buffer.Find(c.settings.Now(), id)
 	if err != nil {
 		return
@@ -206,13 +205,13 @@
 	c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindCancelled, Request: x.Request, Backend: c.settings.Node})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.works[keyOf(id)]
+	j := c.jobs[jobKey(id)]
 	switch {
-	case w == nil:
-	case w.begun:
-		w.interrupt(errCancelled)
+	case j == nil:
+	case j.active:
+		j.abort(errCancelled)
 	default:
-		c.withdraw(w, messenger.NewRefusal(messenger.ReasonCancelled, "caller has left"))
-		c.pump()
+		c.refuseJob(j, messenger.NewRefusal(messenger.ReasonCancelled, "caller has left"))
+		c.startReady()
 	}
 }
--- a/internal/transport/companion/drain.go
+++ b/internal/transport/companion/drain.go
@@ -12,21 +12,21 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// leaveLimit bounds one announcement of leaving.
-const leaveLimit = 2 * time.Second
+// leaveTimeout limits one leave announcement.
+const leaveTimeout = 2 * time.Second
 
-// returnLimit is the time after which no entry comes back for an answer. Entries
-// give up 15 s after they find their connection lost, which a silent one takes 2 s
-// to show.
-const returnLimit = 20 * time.Second
+// resumeWindow is the time after which no entry resumes an answer any more. Entries retry
+// for up to 15 s after they have detected the loss of the connection, and a silent
+// connection takes 2 s to detect.
+const resumeWindow = 20 * time.Second
 
-// errCut means that a planned stop did not wait for all requests.
-const errCut = errors.ConstError("requests in progress were cut off")
+// errInterrupted means that a planned stop ended before all requests had.
+const errInterrupted = errors.ConstError("requests in progress were interrupted")
 
-// Drain leaves in good order: it announces the leaving, takes nothing new, waits
-// until all requests have ended and their answers were taken, and ends the
-// membership. It returns early with an error if the context ends or DrainTimeout
-// passes first. Close comes after it.
+// Drain performs a planned stop: it announces the leave, refuses new requests, waits until
+// all requests have ended and their answers have been received, and ends the membership. It
+// returns early with an error if the context ends or DrainTimeout passes first. Call Close
+// after it.
 func (c *Companion) Drain(ctx context.Context) error {
 	d := drainer.NewDrain(drainer.Settings{
 		Role: drainer.RoleCompanion, GracePeriod: time.Duration(c.settings.Companion.DrainTimeout),
@@ -38,7 +38,7 @@
 	for d.Advance(c.settings.Now(), c.facts()) != drainer.PhaseHandingOver {
 		if !pauser.Pause(ctx, tickInterval) {
 			d.Signal(c.settings.Now())
-			return errors.Annotate(errCut, context.Cause(ctx).Error())
+			return errors.Annotate(errInterrupted, context.Cause(ctx).Error())
 		}
 	}
 	c.refuseWaiting()
@@ -46,19 +46,19 @@
 	d.Advance(c.settings.Now(), drainer.Facts{HandedOver: true})
 	c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindStopped, Backend: c.settings.Node})
 	if d.Cut() {
-		return errors.Trace(errCut)
+		return errors.Trace(errInterrupted)
 	}
 	return nil
 }
 
-// facts are what the drain's next phase depends on. An answer that no entry has
-// acknowledged counts as in progress while one may come back for it.
+// facts returns the input for the drain's next phase. An answer that no entry has
+// acknowledged counts as in progress for resumeWindow.
 func (c *Companion) facts() drainer.Facts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return drainer.Facts{
 		Announced: true, Before: true,
-		InProgress: len(c.works) + c.running + c.buffer.Unreleased(c.settings.Now(), returnLimit),
+		InProgress: len(c.jobs) + c.running + c.buffer.Unreleased(c.settings.Now(), resumeWindow),
 	}
 }
 
@@ -68,10 +68,10 @@
 	c.draining = true
 }
 
-// announceLeaving tells the control hosts. Where they can't be told, entries
-// hear it from the refusals, and the lease runs out after the companion's end.
+// announceLeaving announces the leave to the control hosts. If that fails, entries learn of
+// it from the refusals, and the lease expires after the companion has ended.
 func (c *Companion) announceLeaving(ctx context.Context, ended bool) {
-	ctx, cancel := context.WithTimeout(ctx, leaveLimit)
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	c.mu.Lock()
 	c.leaving, c.ended = true, ended
@@ -83,18 +83,18 @@
 // sendLeave announces that the membership with the given epoch is leaving or has ended.
 func (c *Companion) sendLeave(ctx context.Context, epoch uint64, ended bool) {
 	if err := c.settings.Control.Leave(ctx, c.settings.Node, epoch, ended); err != nil {
-		c.settings.Log.Warn().Err(err).Str("Backend", c.settings.Node).Msg("leaving not announced")
+		c.settings.Log.Warn().Err(err).Str("Backend", c.settings.Node).Msg("could not announce the leave")
 	}
 }
 
-// refuseWaiting ends as not run what has not begun by the end of
+// refuseWaiting ends, as not run, the jobs that have not started by the end of
 // DrainTimeout.
 func (c *Companion) refuseWaiting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range c.works {
-		if !w.begun {
-			c.withdraw(w, messenger.NewRefusal(messenger.ReasonStopping, "backend server is leaving"))
+	for _, j := range c.jobs {
+		if !j.active {
+			c.refuseJob(j, messenger.NewRefusal(messenger.ReasonStopping, "backend server is leaving"))
 		}
 	}
 }
--- a/internal/transport/companion/faults_test.go
+++ b/internal/transport/companion/faults_test.go
@@ -14,28 +14,28 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/streamer"
 )
 
-// slow makes answers last long enough for a fault in mid-stream.
+// slow makes answers last long enough to inject a fault in mid-stream.
 var slow = generator.Settings{TimeScale: 0.5}
 
-// streaming waits until some of the answer has arrived.
-func (l *fakeLink) streaming(request string) {
+// waitForText waits until a part of the answer has arrived.
+func (l *fakeLink) waitForText(request string) {
 	GinkgoHelper()
-	Eventually(func() string { return l.bytes(request) }).WithTimeout(patience).ShouldNot(BeEmpty())
+	Eventually(func() string { return l.bytes(request) }).WithTimeout(testTimeout).ShouldNot(BeEmpty())
 }
 
-var _ = Describe("Under faults a companion", func() {
-	It("attaches a second sending of an attempt instead of running it again", func() {
-		// Symptom: a chain-of-title review runs twice.
-		// Events: the dispatch is accepted; the connection breaks before the entry
-		// knows; it sends the same attempt again on a new connection.
-		// Cause: the companion took each message for a new request.
+var _ = Describe("A companion under faults", func() {
+	It("attaches a repeated dispatch to the answer instead of running it again", func() {
+		// Guards against a chain-of-title review that runs twice. The dispatch is accepted,
+		// the connection fails before the entry knows, and the entry repeats the dispatch
+		// of the same attempt on a new connection. Each message was treated as a new
+		// request.
 		b := newBench(slow)
 		d := b.call("r1", "w/a@1", 30)
 		d.Idempotent = false
 		silent := newLink(b.companion)
-		silent.take = 2
+		silent.maxPieces = 2
 		silent.send(d)
-		silent.streaming("r1")
+		silent.waitForText("r1")
 		l := newLink(b.companion)
 		l.send(d)
 		Expect(l.wait("r1").Outcome).To(Equal(messenger.OutcomeCompleted))
@@ -44,16 +44,15 @@
 		Expect(l.refused(d).Reason).To(Equal(messenger.ReasonOutcomeUnknown))
 	})
 
-	It("gives the rest of an answer to a new connection at its offset", func() {
-		// Symptom: an answer misses its middle, or repeats it.
-		// Events: the connection goes silent for good in mid-stream; the entry asks
-		// for the rest on another.
-		// Cause: the rest was counted in pieces as sent, not in bytes as taken.
+	It("resumes an answer on a new connection at its offset", func() {
+		// Guards against an answer that lacks its middle, or repeats it. The connection
+		// goes silent for good in mid-stream, and the entry resumes on another one. The
+		// offset was counted in pieces sent instead of bytes received.
 		b := newBench(slow)
 		silent := newLink(b.companion)
-		silent.take = 3
+		silent.maxPieces = 3
 		silent.send(b.call("r1", "w/a@1", 30))
-		silent.streaming("r1")
+		silent.waitForText("r1")
 		l := newLink(b.companion)
 		id := streamer.ID{Request: "r1", Attempt: 1}
 		l.calls[id] = silent.calls[id]
@@ -65,21 +64,20 @@
 		Expect(l.text("r1")).To(Equal(generator.Expected("w/a@1", "r1", 30)))
 	})
 
-	It("tells the truth when the engine restarts empty in mid-stream", func() {
-		// Symptom: a cut answer passes for whole, or a review runs twice.
-		// Events: the engine restarts while one answer has begun and another,
-		// idempotent and whole, has given nothing yet.
-		// Cause: all failures were treated alike.
+	It("reports correct outcomes when the engine restarts empty in mid-stream", func() {
+		// Guards against a truncated answer that counts as complete, and a review that runs
+		// twice. The engine restarts while one answer has begun and another, idempotent and
+		// not streamed, has produced nothing yet. All failures were treated alike.
 		b := newBench(slow)
 		l := newLink(b.companion)
 		begun := b.call("begun", "w/a@1", 60)
 		begun.Idempotent = false
 		l.send(begun)
-		l.streaming("begun")
+		l.waitForText("begun")
 		whole := b.call("whole", "w/a@1", 60)
 		whole.Stream = false
 		l.send(whole)
-		Eventually(func() int { return len(b.engine.Record().Runs) }).WithTimeout(patience).Should(Equal(2))
+		Eventually(func() int { return len(b.engine.Record().Runs) }).WithTimeout(testTimeout).Should(Equal(2))
 		b.engine.Restart()
 		Expect(l.wait("begun").Outcome).To(Equal(messenger.OutcomeUnknown))
 		Expect(l.wait("whole").Outcome).To(Equal(messenger.OutcomeCompleted), l.wait("whole").Detail)
@@ -93,16 +91,16 @@
 		Expect(ran).To(Equal(1))
 	})
 
-	It("tells under which requests its engine ended", func() {
-		// Symptom: one caller's request ends engine after engine, and nobody knows which.
-		// Events: an engine ends under a request; its companion runs that again, or tells
-		// that it may have run.
-		// Cause: the ending told nothing of the engine's end.
+	It("reports the requests during which its engine ended", func() {
+		// Guards against a request that crashes engine after engine without being found. An
+		// engine ends during a request, and its companion runs the request again or reports
+		// that it may have run. The end of the request did not mention the end of the
+		// engine.
 		b := newBench(slow)
 		l := newLink(b.companion)
 		life := b.companion.engine.Incarnation
 		l.send(b.call("long", "w/a@1", 5000))
-		l.streaming("long")
+		l.waitForText("long")
 		b.engine.Inject(generator.Faults{Restart: true})
 		end := l.wait("long")
 		Expect(end.Outcome).To(Equal(messenger.OutcomeUnknown))
@@ -111,10 +109,9 @@
 		Expect(l.wait("short").EndedLives).To(BeEmpty())
 	})
 
-	It("refuses early, as not run, while loads fail again and again", func() {
-		// Symptom: each request for a broken adapter waits for its own failing load.
-		// Events: the weights are broken; requests keep coming.
-		// Cause: a failed load was forgotten at once.
+	It("refuses requests at once, as not run, while loads keep failing", func() {
+		// Guards against requests for a broken adapter that each wait for a failing load of
+		// their own, because a failed load was not remembered.
 		b := newBench(generator.Settings{Faults: generator.Faults{LoadFailure: 1}})
 		l := newLink(b.companion)
 		l.send(b.call("r1", "w/a@1", 2))
@@ -128,21 +125,21 @@
 			r := fmt.Sprint("again", time.Now().UnixNano())
 			_, refusal := b.companion.dispatch(l, b.call(r, "w/a@1", 2))
 			return refusal == nil && l.wait(r).Outcome == messenger.OutcomeCompleted
-		}).WithTimeout(patience).Should(BeTrue())
+		}).WithTimeout(testTimeout).Should(BeTrue())
 	})
 
-	It("adopts a living engine without unloading what is in use", func() {
-		// Symptom: a review is cut off when the companion beside its engine restarts.
-		// Events: the companion dies; the engine goes on with its request for a
-		// grace; the new companion's first request needs the only slot.
-		// Cause: the new companion believed the slots to be free.
+	It("adopts a running engine without unloading adapters in use", func() {
+		// Guards against a review that is interrupted when the companion of its engine
+		// restarts. The companion dies, the engine keeps running its request for a grace
+		// period, and the new companion's first request needs the only slot. The new
+		// companion assumed the slots to be free.
 		s := slow
 		s.Slots = 1
 		s.StreamGrace = 300 * time.Millisecond
 		b := newBench(s)
 		l := newLink(b.companion)
 		l.send(b.call("old", "w/a@1", 5000))
-		l.streaming("old")
+		l.waitForText("old")
 		old := b.companion
 		next := b.start(false)
 		b.companion = next
@@ -151,19 +148,19 @@
 		Expect(old.Close()).To(Succeed())
 		Expect(m.wait("new").Outcome).To(Equal(messenger.OutcomeCompleted))
 		Expect(b.engine.Record().UnloadsInUse).To(BeZero())
-		// The answer in the dead companion's buffer is lost: its entry hears from the
-		// new one that it never saw the request, with another incarnation, which
-		// makes the outcome unknown, and not a second run.
+		// The answer in the dead companion's buffer is lost. The new companion replies that
+		// it has never seen the request, with another incarnation, which makes the outcome
+		// unknown and prevents a second run.
 		_, refusal := next.resume(m, messenger.Resume{Request: "old", Attempt: 1})
 		Expect(refusal.Reason).To(Equal(messenger.ReasonNeverSeen))
 		Expect(refusal.Detail).To(And(Equal(next.Incarnation()), Not(Equal(old.Incarnation()))))
 		Expect(m.refused(b.call("old", "w/a@1", 5000)).Reason).To(Equal(messenger.ReasonNeverSeen))
 	})
 
-	It("stops giving orders under an old number once the engine has seen a later one", func() {
-		// Symptom: adapters vanish that a new companion has just loaded.
-		// Events: a companion is cut off and replaced; it comes back and goes on.
-		// Cause: nothing told the engine whose order is the later one.
+	It("stops sending orders with an old fencing number once the engine has seen a higher one", func() {
+		// Guards against the loss of adapters that a new companion has just loaded. A
+		// companion is cut off and replaced, comes back and sends orders again; the engine
+		// could not tell which companion was the later one.
 		b := newBench(generator.Settings{ChecksFencing: true, Slots: 1})
 		l := newLink(b.companion)
 		old := b.companion
@@ -181,24 +178,24 @@
 		Expect(next.Ready()).To(BeTrue())
 	})
 
-	It("carries a cancellation to the engine and frees the slot", func() {
+	It("passes a cancellation on to the engine and frees the slot", func() {
 		b := newBench(slow)
 		l := newLink(b.companion)
 		l.send(b.call("r1", "w/a@1", 5000))
-		l.streaming("r1")
-		b.companion.cancelWork(messenger.Cancel{Request: "r1", Attempt: 1})
+		l.waitForText("r1")
+		b.companion.cancelJob(messenger.Cancel{Request: "r1", Attempt: 1})
 		Expect(l.wait("r1").Reason).To(Equal(messenger.ReasonCancelled))
 		Expect(b.engine.Record().Runs[0].Outcome).To(Equal(generator.Cancelled))
 		// A cancellation that overtakes its dispatch keeps it from running.
-		b.companion.cancelWork(messenger.Cancel{Request: "r2", Attempt: 1})
+		b.companion.cancelJob(messenger.Cancel{Request: "r2", Attempt: 1})
 		Expect(l.refused(b.call("r2", "w/a@1", 5)).Reason).To(Equal(messenger.ReasonNeverSeen))
 	})
 
-	It("holds the pin of a request that it gave up until the engine is done with it", func() {
-		// Symptom: the engine fails requests in mid-answer after an eviction.
-		// Events: the engine hangs; a request on it goes silent and ends as unknown;
-		// another adapter needs the slot; the engine wakes up and goes on with both.
-		// Cause: the pin ended with the request instead of with the engine's work.
+	It("keeps the pin of an ended request until the engine has stopped running it", func() {
+		// Guards against an engine that fails requests in mid-answer after an eviction. The
+		// engine hangs, a request goes silent and ends as unknown, another adapter needs
+		// the slot, and the engine resumes and runs both. The pin was released at the end
+		// of the request instead of the end of the engine's work.
 		s := slow
 		s.Slots = 1
 		b := newBench(s)
@@ -206,7 +203,7 @@
 		held := b.call("held", "w/a@1", 400)
 		held.Idempotent = false
 		l.send(held)
-		l.streaming("held")
+		l.waitForText("held")
 		b.engine.Inject(generator.Faults{Frozen: true})
 		Expect(l.wait("held").Outcome).To(Equal(messenger.OutcomeUnknown))
 		l.send(b.call("next", "w/b@1", 5))
@@ -216,7 +213,7 @@
 		Expect(b.engine.Record().UnloadsInUse).To(BeZero())
 	})
 
-	It("loads at its static share without a control host", func() {
+	It("loads at the rate of its static share without a control host", func() {
 		b := newBench(generator.Settings{})
 		b.control.lost = true
 		l := newLink(b.companion)
@@ -231,14 +228,13 @@
 	It("joins again when its membership is void", func() {
 		b := newBench(generator.Settings{})
 		before := b.companion.epoch()
-		b.control.void("atl-a-1", before)
-		Eventually(b.companion.epoch).WithTimeout(patience).Should(BeNumerically(">", before))
+		b.control.membershipEnd("atl-a-1", before)
+		Eventually(b.companion.epoch).WithTimeout(testTimeout).Should(BeNumerically(">", before))
 	})
 
-	It("keeps its promises through a storm", func() {
-		// Many workspaces, cold adapters, cancellations, cut streams, failing loads
-		// and two restarts of the engine at once, checked against the engine's own
-		// record.
+	It("reports correct outcomes under many concurrent faults", func() {
+		// Many workspaces, cold adapters, cancellations, interrupted streams, failing loads
+		// and two restarts of the engine at once, checked against the engine's own record.
 		s := generator.Settings{Slots: 3, MaxBatch: 8, StreamGrace: 100 * time.Millisecond}
 		b := newBench(s)
 		l := newLink(b.companion)
@@ -256,17 +252,17 @@
 			}
 			if random.IntN(8) == 0 {
 				left[request] = true
-				b.companion.cancelWork(messenger.Cancel{Request: request, Attempt: 1})
+				b.companion.cancelJob(messenger.Cancel{Request: request, Attempt: 1})
 			}
 			if i%80 == 40 {
-				Eventually(func() int { return b.companion.Load().Queued }).WithTimeout(patience).Should(BeNumerically("<", 20))
+				Eventually(func() int { return b.companion.Load().Queued }).WithTimeout(testTimeout).Should(BeNumerically("<", 20))
 				b.engine.Inject(generator.Faults{FailLoads: 1, DropStreams: 2, DropAfter: 1, Restart: i > 80})
 			}
 		}
 		runs := map[string]int{}
 		for request := range sent {
 			if left[request] {
-				l.waitLeft(request)
+				l.waitCancelled(request)
 			} else {
 				l.wait(request)
 			}
@@ -282,7 +278,7 @@
 			if end == nil {
 				Expect(left[request]).To(BeTrue(), request)
 				end = b.companion.buffer.Lookup(streamer.ID{Request: request, Attempt: 1}).Ended()
-				Expect(end.Outcome).To(Equal(messenger.OutcomeCompleted), "any other ending is told whatever was dropped")
+				Expect(end.Outcome).To(Equal(messenger.OutcomeCompleted), "the link must get any other end")
 				continue
 			}
 			ran := runs[request+"-1-1"] + runs[request+"-1-2"] + runs[request+"-1-3"]
@@ -293,7 +289,7 @@
 				body := generator.Expected(d.Version, request, tokensOf(d))
 				Expect(l.text(request)).To(Equal(body))
 			case messenger.OutcomeNotRun:
-				Expect(ran).To(BeZero(), "%s was told not run: %+v", request, end)
+				Expect(ran).To(BeZero(), "%s ended as not run: %+v", request, end)
 			default:
 			}
 			if !d.Idempotent {
--- a/internal/transport/companion/features_bench_test.go
+++ b/internal/transport/companion/features_bench_test.go
@@ -16,8 +16,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/generator"
 )
 
-// pair is two stand-in engines on which w/a@1 is resident, unless cold.
-type pair struct {
+// enginePair is two simulated engines on which w/a@1 is resident; on the second one only
+// unless cold.
+type enginePair struct {
 	b       *testing.B
 	engines [2]*generator.Engine
 	clients [2]*orderer.Engine
@@ -29,12 +30,12 @@
 	ends   []time.Duration
 }
 
-// benchScale shortens the stand-ins' times; the figures are scaled back.
+// benchScale scales the simulated times; reported times are scaled back.
 const benchScale = 0.2
 
-func newPair(b *testing.B, roles [2]orderer.Role, cold bool) *pair {
+func newEnginePair(b *testing.B, roles [2]orderer.Role, cold bool) *enginePair {
 	b.Helper()
-	p := &pair{b: b}
+	p := &enginePair{b: b}
 	for i, role := range roles {
 		p.engines[i] = generator.NewEngine(generator.Settings{TimeScale: benchScale, Role: role, MaxBatch: 24})
 		address, err := p.engines[i].Listen("127.0.0.1:0")
@@ -49,20 +50,20 @@
 	return p
 }
 
-func (p *pair) load(i int) {
+func (p *enginePair) load(i int) {
 	if err := p.clients[i].Load(context.Background(), p.next(), "w/a@1", "weights"); err != nil {
 		p.b.Error(err)
 	}
 }
 
-func (p *pair) next() uint64 {
+func (p *enginePair) next() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fence++
 	return p.fence
 }
 
-func (p *pair) close() {
+func (p *enginePair) close() {
 	for i := range p.engines {
 		p.clients[i].Close()
 		if err := p.engines[i].Close(); err != nil {
@@ -71,8 +72,8 @@
 	}
 }
 
-// run follows one request from engine i on, over its moves.
-func (p *pair) run(i int, request string, prompt, tokens int) {
+// run runs one request, starting at engine i and following it when it is moved.
+func (p *enginePair) run(i int, request string, prompt, tokens int) {
 	began := time.Now()
 	last := began
 	var number int64
@@ -104,8 +105,8 @@
 	p.ends = append(p.ends, time.Since(began))
 }
 
-// follow asks for the rest until the import has arrived.
-func (p *pair) follow(i int, request string, number *int64, give func(orderer.Piece) error) error {
+// follow resumes the request at engine i, and retries until its import has arrived.
+func (p *enginePair) follow(i int, request string, number *int64, give func(orderer.Piece) error) error {
 	for {
 		err := p.clients[i].Resume(context.Background(), request, "w/a@1", *number, give)
 		if !errors.Is(err, orderer.ErrForgotten) {
@@ -114,8 +115,8 @@
 	}
 }
 
-// move takes a request from engine i to the other.
-func (p *pair) move(i int, request string) {
+// move moves a request from engine i to the other one.
+func (p *enginePair) move(i int, request string) {
 	data, err := p.clients[i].ExportKV(context.Background(), p.next(), request)
 	if err == nil {
 		err = p.clients[1-i].ImportKV(context.Background(), p.next(), data)
@@ -134,21 +135,21 @@
 	b.ReportMetric(float64(ds[int(q*float64(len(ds)-1))].Milliseconds())/benchScale, name)
 }
 
-// BenchmarkLeaving compares letting a leaving engine finish its streams with
-// moving them by KV export and import, at two lengths of what is left, with a
-// busy engine as the target on which the adapter is resident or cold.
+// BenchmarkLeaving compares two strategies for a leaving engine: finishing its streams, and
+// moving them by KV export and import. The number of remaining tokens varies, and the
+// adapter is resident or cold on the busy target engine.
 func BenchmarkLeaving(b *testing.B) {
 	for _, left := range []int{200, 1000} {
-		for _, way := range []string{"Finish", "Move", "MoveCold"} {
-			b.Run(fmt.Sprintf("%s/streams=8/left=%d", way, left), func(b *testing.B) {
+		for _, strategy := range []string{"Finish", "Move", "MoveCold"} {
+			b.Run(fmt.Sprintf("%s/streams=8/left=%d", strategy, left), func(b *testing.B) {
 				var empty time.Duration
-				p := &pair{}
+				p := &enginePair{}
 				for range b.N {
-					p = newPair(b, [2]orderer.Role{}, way == "MoveCold")
+					p = newEnginePair(b, [2]orderer.Role{}, strategy == "MoveCold")
 					var streams sync.WaitGroup
 					for i := range 8 {
 						streams.Go(func() { p.run(0, fmt.Sprint("a", i), 500, left+50) })
-						if way != "MoveCold" {
+						if strategy != "MoveCold" {
 							streams.Go(func() { p.run(1, fmt.Sprint("b", i), 500, left+50) })
 						}
 					}
@@ -156,10 +157,10 @@
 						<-time.After(time.Millisecond)
 					}
 					began := time.Now()
-					if way == "MoveCold" {
+					if strategy == "MoveCold" {
 						p.load(1)
 					}
-					if way != "Finish" {
+					if strategy != "Finish" {
 						for i := range 8 {
 							p.move(0, fmt.Sprint("a", i))
 						}
@@ -180,20 +181,20 @@
 
 func steps(e *generator.Engine) int64 { return e.Record().Steps }
 
-// BenchmarkRoles compares two engines that each prefill and decode with one of
-// each role, at Poisson arrivals with long prompts.
+// BenchmarkRoles compares two engines that both prefill and decode with one engine for each
+// role, at Poisson arrivals with long prompts.
 func BenchmarkRoles(b *testing.B) {
 	for _, split := range []bool{false, true} {
 		for _, perSecond := range []float64{2, 4} {
 			b.Run(fmt.Sprintf("split=%v/perSecond=%v/prompt=1000/answer=100", split, perSecond), func(b *testing.B) {
-				p := &pair{}
+				p := &enginePair{}
 				for range b.N {
 					roles := [2]orderer.Role{}
 					if split {
 						roles = [2]orderer.Role{orderer.Prefill, orderer.Decode}
 					}
-					p = newPair(b, roles, false)
-					arrive(p, split, perSecond)
+					p = newEnginePair(b, roles, false)
+					runArrivals(p, split, perSecond)
 					p.close()
 				}
 				report(b, "first-p50-ms", p.firsts, 0.5)
@@ -206,7 +207,7 @@
 	}
 }
 
-func arrive(p *pair, split bool, perSecond float64) {
+func runArrivals(p *enginePair, split bool, perSecond float64) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var streams sync.WaitGroup
 	for i := range 60 {
@@ -218,7 +219,7 @@
 		streams.Go(func() { p.run(at, request, 1000, 100) })
 		if split {
 			streams.Go(func() {
-				for !begun(p.engines[0], request) {
+				for !hasFirstToken(p.engines[0], request) {
 					<-time.After(time.Millisecond)
 				}
 				p.move(0, request)
@@ -229,8 +230,8 @@
 	streams.Wait()
 }
 
-// begun tells whether the request has given its first token.
-func begun(e *generator.Engine, request string) bool {
+// hasFirstToken reports whether the engine has generated the request's first token.
+func hasFirstToken(e *generator.Engine, request string) bool {
 	for _, r := range e.Record().Runs {
 		if r.Request == request {
 			return r.Tokens > 0
--- a/internal/transport/companion/fence_test.go
+++ b/internal/transport/companion/fence_test.go
@@ -11,17 +11,17 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/generator"
 )
 
-// heldLoad is an engine whose load of one version is held up on its way.
-type heldLoad struct {
+// delayedLoad is an engine whose load of one version is delayed before it arrives.
+type delayedLoad struct {
 	Engine
 	version string
-	held    chan struct{}
+	arrived chan struct{}
 	release chan struct{}
 }
 
-func (h *heldLoad) Load(ctx context.Context, fence uint64, version, source string) error {
+func (h *delayedLoad) Load(ctx context.Context, fence uint64, version, source string) error {
 	if version == h.version {
-		close(h.held)
+		close(h.arrived)
 		select {
 		case <-h.release:
 		case <-ctx.Done():
@@ -31,25 +31,24 @@
 	return h.Engine.Load(ctx, fence, version, source)
 }
 
-var _ = Describe("A companion whose orders overtake each other", func() {
-	// Symptom: a companion is unready for good beside a healthy engine, and says
-	// that another companion gives orders.
-	// Events: two orders go out on two connections; the later one arrives first;
-	// the engine refuses the earlier one for its fencing number.
-	// Cause: the refusal was taken for another companion's doing.
-	It("does not take itself for replaced", func() {
+var _ = Describe("A companion whose orders arrive out of order", func() {
+	// Guards against a companion that becomes unready for good with a healthy engine, and
+	// logs that another companion sends orders. Two orders are sent on two connections, the
+	// later one arrives first, and the engine refuses the earlier one for its fencing
+	// number. The refusal was taken as a sign of another companion.
+	It("does not count as superseded", func() {
 		b := newBench(generator.Settings{ChecksFencing: true})
 		client := orderer.NewEngine(orderer.Settings{Address: b.address})
 		DeferCleanup(client.Close)
-		engine := &heldLoad{Engine: client, version: "w/a@1", held: make(chan struct{}), release: make(chan struct{})}
-		b.lives++
+		engine := &delayedLoad{Engine: client, version: "w/a@1", arrived: make(chan struct{}), release: make(chan struct{})}
+		b.companions++
 		c := b.compose(true, engine, nil)
 		Expect(c.Start(context.Background())).To(Succeed())
 		DeferCleanup(c.Close)
 		b.companion = c
 		l := newLink(c)
 		l.send(b.call("first", "w/a@1", 2))
-		Eventually(engine.held).WithTimeout(patience).Should(BeClosed())
+		Eventually(engine.arrived).WithTimeout(testTimeout).Should(BeClosed())
 		l.send(b.call("second", "w/b@1", 2))
 		Expect(l.wait("second").Outcome).To(Equal(messenger.OutcomeCompleted))
 		engine.version = ""
--- a/internal/transport/companion/hint.go
+++ b/internal/transport/companion/hint.go
@@ -1,6 +1,6 @@
 package companion
 
-// RefreshEngineState has the engine's state read soon, where something tells that the engine may
-// have restarted. Only what is read counts: a false hint costs one reading. For a
-// plain service it does nothing.
-func (c *Companion) RefreshEngineState() { c.read() }
+// RefreshEngineState requests an early read of the engine's state; call it on signs that
+// the engine has restarted. A false alarm costs one read. It does not block, and has no
+// effect for a plain service.
+func (c *Companion) RefreshEngineState() { c.requestRefresh() }
--- a/internal/transport/companion/member.go
+++ b/internal/transport/companion/member.go
@@ -14,15 +14,15 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// The pauses between attempts to join. They are jittered, since a failure domain
-// that comes back at once would otherwise join in one moment.
+// Backoff and timeout of joins. The backoff is jittered, since otherwise all members of a
+// failure domain that comes back would join at the same moment.
 const (
-	joinInitial = 100 * time.Millisecond
-	joinMax     = 5 * time.Second
-	joinLimit   = 5 * time.Second
+	joinBackoffInitial = 100 * time.Millisecond
+	joinBackoffMax     = 5 * time.Second
+	joinTimeout        = 5 * time.Second
 )
 
-// spec is the announcement of the backend server.
+// spec returns the member specification of the backend server.
 func (c *Companion) spec() storer.MemberSpec {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,22 +42,23 @@
 	return m
 }
 
-// join asks for a membership until it has one.
+// join retries until it has a membership or the context ends.
 func (c *Companion) join(ctx context.Context) error {
-	wait := joinInitial
+	wait := joinBackoffInitial
 	for {
 		err := c.joinOnce(ctx)
 		if err == nil {
 			return nil
 		}
-		c.settings.Log.Warn().Err(err).Str("Backend", c.settings.Node).Msg("joining failed")
+		c.settings.Log.Warn().Err(err).Str("Backend", c.settings.Node).Msg("join failed")
 		if !pauser.Pause(ctx, c.jitter(wait)) {
 			return errors.Annotate(context.Cause(ctx), err.Error())
 		}
-		wait = min(2*wait, joinMax)
+		wait = min(2*wait, joinBackoffMax)
 	}
 }
 
+// jitter returns a random duration between 0.5 and 1.5 times d.
 func (c *Companion) jitter(d time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +66,7 @@
 }
 
 func (c *Companion) joinOnce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, joinLimit)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	lease, err := c.settings.Control.Join(ctx, c.settings.Node, c.spec())
 	if err != nil {
@@ -100,8 +101,8 @@
 	return c.leaving, c.ended, nil
 }
 
-// voided hears that a membership has ended.
-func (c *Companion) voided(name string, epoch uint64) {
+// membershipEnded handles the end of a membership that the control hosts have reported.
+func (c *Companion) membershipEnded(name string, epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if name != c.settings.Node || epoch != c.lease.Epoch {
@@ -111,16 +112,17 @@
 	c.rejoin()
 }
 
-// rejoin joins again unless that is under way. The caller holds mu.
+// rejoin starts a join unless one is in progress, or the companion is leaving or
+// superseded. The caller holds mu.
 func (c *Companion) rejoin() {
 	if c.joining || c.leaving || c.superseded {
 		return
 	}
 	c.joining = true
 	c.spawnLocked(func(ctx context.Context) {
-		if !c.replaced(ctx) {
+		if !c.checkSuperseded(ctx) {
 			if err := c.join(ctx); err != nil {
-				c.settings.Log.Debug().Err(err).Msg("joining again ended")
+				c.settings.Log.Debug().Err(err).Msg("rejoin ended")
 			}
 		}
 		c.mu.Lock()
@@ -129,8 +131,9 @@
 	})
 }
 
-// replaced asks the engine whether it has obeyed a later giver of orders.
-func (c *Companion) replaced(ctx context.Context) bool {
+// checkSuperseded reads the engine's state and reports whether the engine has accepted
+// orders of a later companion.
+func (c *Companion) checkSuperseded(ctx context.Context) bool {
 	if c.settings.Engine == nil {
 		return false
 	}
@@ -146,7 +149,7 @@
 	return c.superseded
 }
 
-// renew sends heartbeats while the backend server can be reached.
+// renew sends heartbeats while the backend server is reachable.
 func (c *Companion) renew(ctx context.Context) {
 	interval := time.Duration(c.settings.Companion.HeartbeatInterval)
 	for pauser.Pause(ctx, interval) {
@@ -156,11 +159,12 @@
 	}
 }
 
+// renewal returns the next heartbeat, and false if none must be sent.
 func (c *Companion) renewal() (registrar.Renewal, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Entries must turn away from a backend server that does not answer, also
-	// when its companion does: the lease runs out.
+	// Entries must stop using a backend server that does not answer, even if its companion
+	// does, so the lease is left to expire.
 	if c.superseded || !c.reachable(c.settings.Now()) {
 		return registrar.Renewal{}, false
 	}
--- a/internal/transport/companion/message.go
+++ b/internal/transport/companion/message.go
@@ -7,29 +7,29 @@
 	"github.com/juju/errors"
 )
 
-// Members of a chat message that are not put together like the others.
+// Members of a chat message that are joined by rules of their own.
 const (
 	memberRole      = "role"
 	memberContent   = "content"
 	memberToolCalls = "tool_calls"
 )
 
-// roleAssistant is the role of a message whose engine names none.
+// roleAssistant is the role of a message for which the engine sends none.
 var roleAssistant = json.RawMessage(`"assistant"`)
 
-// delta is what one chunk adds to a chat message, by member.
+// delta is the change of one chunk to a chat message, by member.
 type delta map[string]json.RawMessage
 
-// message is a chat message put together from its deltas. Texts follow each
-// other, tool calls are joined by their index, and of anything else the last one
-// stays: an engine may send members that this program does not know.
+// message assembles a chat message from its deltas. Strings are concatenated, tool calls
+// are joined by their index, and of any other member the last value is kept: an engine may
+// send members that this program does not know.
 type message struct {
 	texts  map[string]*strings.Builder
 	others delta
 	tools  []toolCall
 }
 
-// toolCall is one call of a function in a chat message.
+// toolCall is a function call in a chat message.
 type toolCall struct {
 	Index    int    `json:"index"`
 	ID       string `json:"id"`
@@ -44,7 +44,7 @@
 	return &message{texts: map[string]*strings.Builder{}, others: delta{memberRole: roleAssistant, memberContent: jsonNull}}
 }
 
-// add takes in one delta.
+// add applies a delta.
 func (m *message) add(d delta) error {
 	for name, value := range d {
 		if err := m.addMember(name, value); err != nil {
@@ -56,7 +56,7 @@
 
 func (m *message) addMember(name string, value json.RawMessage) error {
 	switch {
-	case !given(value):
+	case !isSet(value):
 		if _, ok := m.others[name]; !ok {
 			m.others[name] = jsonNull
 		}
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// maxToolCalls bounds the tool calls of a message.
+// maxToolCalls limits the tool calls of a message.
 const maxToolCalls = 1024
 
 func (m *message) addTools(value json.RawMessage) error {
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// MarshalJSON returns the message in OpenAI's shape. Its content is null where
-// the engine sent none, as with tool calls.
+// MarshalJSON returns the message in OpenAI's format. Its content is null if the engine
+// sent none, as with tool calls.
 func (m *message) MarshalJSON() ([]byte, error) {
 	members := make(delta, len(m.others)+len(m.texts)+1)
 	for name, value := range m.others {
--- a/internal/transport/companion/metrics.go
+++ b/internal/transport/companion/metrics.go
@@ -13,7 +13,7 @@
 
 const namespace = "marigoldpoint"
 
-// metrics are a companion's measures for operators.
+// metrics are the metrics of a companion.
 type metrics struct {
 	registerer prometheus.Registerer
 	collectors []prometheus.Collector
@@ -35,7 +35,7 @@
 	sequences  prometheus.Counter
 
 	mu sync.Mutex
-	// counted and report are what the counters already contain; guarded by mu.
+	// counted and report are the values that the counters already contain; guarded by mu.
 	counted loader.Stats
 	report  orderer.LoadReport
 }
@@ -89,7 +89,8 @@
 	return m
 }
 
-// close lets a later companion of the same backend server register.
+// close unregisters the metrics, so that a later companion of the same backend server can
+// register its own.
 func (m *metrics) close() {
 	if m.registerer == nil {
 		return
@@ -99,20 +100,20 @@
 	}
 }
 
-func (m *metrics) started(d messenger.Dispatch, s scheduler.Started) {
+func (m *metrics) jobStarted(d messenger.Dispatch, s scheduler.Started) {
 	m.queueWait.WithLabelValues(d.Workspace).Observe(s.Queued.Seconds())
 	if d.Kind != messenger.CallKindService {
 		m.stall.Observe(s.Stalled.Seconds())
 	}
 }
 
-func (m *metrics) ended(o messenger.Outcome, r messenger.Reason) {
+func (m *metrics) jobEnded(o messenger.Outcome, r messenger.Reason) {
 	m.outcomes.WithLabelValues(o.String(), r.String()).Inc()
 }
 
-// sampled notes one sample of the batch; an idle backend server counts for
-// nothing.
-func (m *metrics) sampled(running, waiting, maxBatch int) {
+// sampleBatch records one sample of the batch. An idle backend server adds none to the fill
+// ratio.
+func (m *metrics) sampleBatch(running, waiting, maxBatch int) {
 	m.running.Set(float64(running))
 	m.waiting.Set(float64(waiting))
 	if running+waiting > 0 {
@@ -120,8 +121,8 @@
 	}
 }
 
-// slots adds what the slot table has counted since the last call.
-func (m *metrics) slots(s loader.Stats) {
+// addSlotStats adds the changes of the slot table's counters since the last call.
+func (m *metrics) addSlotStats(s loader.Stats) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.loads.Add(float64(s.Loads - m.counted.Loads))
@@ -132,9 +133,9 @@
 	m.counted = s
 }
 
-// reported adds the engine's own record of its batch. Another incarnation
-// counts from zero.
-func (m *metrics) reported(r orderer.LoadReport) {
+// addEngineReport adds the changes of the engine's counters since the last report. Another
+// incarnation counts from zero.
+func (m *metrics) addEngineReport(r orderer.LoadReport) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r.Incarnation != m.report.Incarnation {
--- a/internal/transport/companion/order.go
+++ b/internal/transport/companion/order.go
@@ -15,18 +15,18 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// apply carries out the slot table's actions. The caller holds mu. It does not
-// pump: the caller does once it is done.
+// apply carries out the slot table's actions. The caller holds mu, and calls startReady
+// afterwards.
 func (c *Companion) apply(actions []loader.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case loader.PermitAction:
 			c.record(recorder.KindLoadRequested, a.Version, "")
-			c.askLocked(a)
+			c.requestPermitLocked(a)
 		case loader.WithdrawAction:
-			if withdrawn := c.asks[a.Version]; withdrawn != nil {
+			if withdrawn := c.permitRequests[a.Version]; withdrawn != nil {
 				close(withdrawn)
-				delete(c.asks, a.Version)
+				delete(c.permitRequests, a.Version)
 			}
 		case loader.ReturnPermitAction:
 			c.returnPermit(a.Version)
@@ -37,23 +37,23 @@
 			c.record(recorder.KindEvicted, a.Version, "")
 			c.spawnLocked(func(ctx context.Context) { c.unload(ctx, a) })
 		case loader.ReadyAction:
-			// The caller pumps, and so finds those that can now pin it.
+			// The caller's startReady starts the jobs that can now pin the version.
 		case loader.FailAction:
 			c.record(recorder.KindLoadFailed, a.Version, a.Cause)
-			if w := c.works[a.Request]; w != nil {
-				c.withdraw(w, loadRefusal(a))
+			if j := c.jobs[a.Request]; j != nil {
+				c.refuseJob(j, loadRefusal(a))
 			}
 		case loader.LostAction:
-			if w := c.works[a.Request]; w != nil && w.begun {
-				w.interrupt(errRestarted)
+			if j := c.jobs[a.Request]; j != nil && j.active {
+				j.abort(errRestarted)
 			}
 		case loader.ReadStateAction:
-			c.read()
+			c.requestRefresh()
 		case loader.FencedAction:
-			// Orders go out on several connections: a refused one may have been
-			// overtaken by a later one of this companion. Only the engine's highest
-			// number tells whether another companion has come.
-			c.spawnLocked(func(ctx context.Context) { c.replaced(ctx) })
+			// Orders are sent on several connections: a refused one may have been overtaken
+			// by a later one of this companion. Only the engine's highest fencing number
+			// shows whether another companion has taken over.
+			c.spawnLocked(func(ctx context.Context) { c.checkSuperseded(ctx) })
 		}
 	}
 }
@@ -64,72 +64,73 @@
 	})
 }
 
-// tell passes an event on to the slot table and does what follows from it.
-func (c *Companion) tell(event func(now time.Time) []loader.Action) {
+// applyEvent passes an event to the slot table, carries out the actions that follow and
+// starts the jobs that have become ready.
+func (c *Companion) applyEvent(event func(now time.Time) []loader.Action) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.apply(event(c.settings.Now()))
-	c.pump()
+	c.startReady()
 }
 
-// The waits of permits.
+// Times of the requests for permits.
 const (
-	// permitLimit bounds one wait at the control hosts. The next one begins at the
-	// end of their queue, so that it is long.
-	permitLimit = time.Minute
-	// permitPause is the time between two looks at whether there is contact.
-	permitPause = 100 * time.Millisecond
+	// permitTimeout limits one wait at the control hosts. It is long because the next wait
+	// starts at the end of their queue.
+	permitTimeout = time.Minute
+	// permitPollInterval is the time between two checks for contact with the control hosts.
+	permitPollInterval = 100 * time.Millisecond
 )
 
-// askLocked begins to ask for a permit. The caller holds mu.
-func (c *Companion) askLocked(a loader.PermitAction) {
+// requestPermitLocked starts a request for a permit. The caller holds mu.
+func (c *Companion) requestPermitLocked(a loader.PermitAction) {
 	began := c.settings.Now()
 	withdrawn := make(chan struct{})
-	c.asks[a.Version] = withdrawn
+	c.permitRequests[a.Version] = withdrawn
 	c.spawnLocked(func(ctx context.Context) {
-		// What takes the request back goes out without an answer, and may be
-		// overtaken by the next request for the same version: the next one would be
-		// withdrawn in its place, and its callers wait for nothing.
-		if !c.permit(ctx, a, began, withdrawn) && pauser.Pause(ctx, permitPause) {
-			c.answered(a.Version, func(now time.Time) []loader.Action { return c.table.Withdrawn(now, a.Version) })
+		// The withdrawal is sent without an answer and may be overtaken by the next request
+		// for the same version, which would then be withdrawn instead, so that its callers
+		// would wait forever. Hence the pause.
+		if !c.awaitPermit(ctx, a, began, withdrawn) && pauser.Pause(ctx, permitPollInterval) {
+			c.permitAnswered(a.Version, func(now time.Time) []loader.Action { return c.table.Withdrawn(now, a.Version) })
 		}
 	})
 }
 
-// answered tells the table how a request for a permit ended.
-func (c *Companion) answered(version string, event func(now time.Time) []loader.Action) {
-	c.tell(func(now time.Time) []loader.Action {
-		delete(c.asks, version)
+// permitAnswered ends a request for a permit and reports the event to the slot table.
+func (c *Companion) permitAnswered(version string, event func(now time.Time) []loader.Action) {
+	c.applyEvent(func(now time.Time) []loader.Action {
+		delete(c.permitRequests, version)
 		return event(now)
 	})
 }
 
-// permit waits for the permit to load: one of the control hosts while there is
-// contact with them, else one of the static share, which keeps loads possible, if
-// slow. It returns false where the request was withdrawn.
-func (c *Companion) permit(ctx context.Context, a loader.PermitAction, began time.Time, withdrawn <-chan struct{}) bool {
-	for ctx.Err() == nil && !closed(withdrawn) {
+// awaitPermit waits for the permit to load: one of the control hosts while there is contact
+// with them, else one of the static share, which keeps loads possible at a low rate. It
+// returns false if the request was withdrawn.
+func (c *Companion) awaitPermit(ctx context.Context, a loader.PermitAction, began time.Time, withdrawn <-chan struct{}) bool {
+	for ctx.Err() == nil && !isClosed(withdrawn) {
 		switch {
 		case c.settings.Control.LeaseValid():
-			if grant, err := c.ask(ctx, a, withdrawn); err == nil {
-				c.permitted(a, began, &grant)
+			if grant, err := c.requestPermit(ctx, a, withdrawn); err == nil {
+				c.permitGranted(a, began, &grant)
 				return true
 			}
-		case c.staticTurn():
-			c.permitted(a, began, nil)
+		case c.takeStaticLoad():
+			c.permitGranted(a, began, nil)
 			return true
-		case c.settings.Now().Sub(began) > staticPatience:
-			c.answered(a.Version, func(now time.Time) []loader.Action {
+		case c.settings.Now().Sub(began) > staticLoadTimeout:
+			c.permitAnswered(a.Version, func(now time.Time) []loader.Action {
 				return c.table.PermitDenied(now, a.Version, "no load permit: no control host reached")
 			})
 			return true
 		}
-		pauser.Pause(ctx, permitPause)
+		pauser.Pause(ctx, permitPollInterval)
 	}
 	return false
 }
 
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -138,16 +139,16 @@
 	}
 }
 
-// ask waits for a permit of the control hosts until it is withdrawn, and gives up
-// once contact with them is lost: a wait on a dead connection would hold up the
-// static share.
-func (c *Companion) ask(ctx context.Context, a loader.PermitAction, withdrawn <-chan struct{}) (permitter.Grant, error) {
-	ctx, cancel := context.WithTimeout(ctx, permitLimit)
+// requestPermit waits for a permit of the control hosts until the request is withdrawn or
+// contact with them is lost: a wait on a dead connection would delay the use of the static
+// share.
+func (c *Companion) requestPermit(ctx context.Context, a loader.PermitAction, withdrawn <-chan struct{}) (permitter.Grant, error) {
+	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
 		defer cancel()
-		ticker := time.NewTicker(permitPause)
+		ticker := time.NewTicker(permitPollInterval)
 		defer ticker.Stop()
 		for c.settings.Control.LeaseValid() {
 			select {
@@ -168,8 +169,8 @@
 	})
 }
 
-// permitted tells the table of a permit, with the grant if it has one.
-func (c *Companion) permitted(a loader.PermitAction, began time.Time, grant *permitter.Grant) {
+// permitGranted reports a permit to the slot table; grant is nil for the static share.
+func (c *Companion) permitGranted(a loader.PermitAction, began time.Time, grant *permitter.Grant) {
 	source := "static share"
 	if grant != nil {
 		source = fmt.Sprintf("number %d", grant.Number)
@@ -177,7 +178,7 @@
 	waited := c.settings.Now().Sub(began)
 	c.metrics.permitWait.Observe(waited.Seconds())
 	c.record(recorder.KindPermitGranted, a.Version, fmt.Sprintf("%s after %v, %d waiting", source, waited, a.Waiters))
-	c.answered(a.Version, func(now time.Time) []loader.Action {
+	c.permitAnswered(a.Version, func(now time.Time) []loader.Action {
 		if grant != nil {
 			c.grants[a.Version] = *grant
 		}
@@ -185,15 +186,15 @@
 	})
 }
 
-// staticTurn takes a load of the static share if one is due.
-func (c *Companion) staticTurn() bool {
+// takeStaticLoad uses a load of the static share if one is due.
+func (c *Companion) takeStaticLoad() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.settings.Now()
-	if now.Before(c.staticNext) {
+	if now.Before(c.nextStaticLoad) {
 		return false
 	}
-	c.staticNext = now.Add(c.staticInterval())
+	c.nextStaticLoad = now.Add(c.staticInterval())
 	return true
 }
 
@@ -201,7 +202,7 @@
 	return time.Duration(float64(time.Second) / c.settings.Companion.StaticLoadRate)
 }
 
-// returnPermit gives the version's permit back. The caller holds mu.
+// returnPermit returns the version's permit to the control hosts. The caller holds mu.
 func (c *Companion) returnPermit(version string) {
 	if grant, ok := c.grants[version]; ok {
 		delete(c.grants, version)
@@ -209,7 +210,7 @@
 	}
 }
 
-// load orders the engine to load and tells the table how it went.
+// load orders the engine to load a version and reports the outcome to the table.
 func (c *Companion) load(ctx context.Context, a loader.LoadAction) {
 	began := c.settings.Now()
 	err := c.orderLoad(ctx, a)
@@ -219,45 +220,44 @@
 		cause = err.Error()
 		c.settings.Log.Warn().Err(err).Str("Version", a.Version).Uint64("Fence", a.Fence).Msg("load failed")
 	}
-	c.tell(func(now time.Time) []loader.Action {
+	c.applyEvent(func(now time.Time) []loader.Action {
 		c.returnPermit(a.Version)
 		if outcome == loader.OutcomeDone {
-			c.noteLoad(now.Sub(began))
+			c.recordLoadTime(now.Sub(began))
 			c.record(recorder.KindLoadFinished, a.Version, now.Sub(began).String())
 		}
 		return c.table.Loaded(now, a.Version, a.Fence, outcome, cause)
 	})
 }
 
-// loadAttempts bounds the sendings of a load order.
-const loadAttempts = 4
+// maxLoadAttempts limits the attempts to send a load order.
+const maxLoadAttempts = 4
 
-// orderLoad sends the order, and again while it certainly did not reach the
-// engine: one that is just restarting must not cost all who wait for the version
-// their answer.
+// orderLoad sends the order, and repeats it if it certainly did not reach the engine: the
+// requests that wait for the version must not fail because the engine is restarting.
 func (c *Companion) orderLoad(ctx context.Context, a loader.LoadAction) error {
-	wait := settleInitial
+	wait := settleBackoffInitial
 	for attempt := 1; ; attempt++ {
 		err := c.settings.Engine.Load(ctx, a.Fence, a.Version, a.Source)
 		var e *orderer.Error
 		unsent := errors.Is(err, orderer.ErrNotRun) && errors.As(err, &e) && e.Status == 0
-		if !unsent || attempt == loadAttempts || !pauser.Pause(ctx, wait) || !c.orders(a) {
+		if !unsent || attempt == maxLoadAttempts || !pauser.Pause(ctx, wait) || !c.orderPending(a) {
 			return err
 		}
 		wait *= 2
 	}
 }
 
-// orders tells whether the table still waits for the order. It does not once the
-// engine has been found restarted, and then gives another.
-func (c *Companion) orders(a loader.LoadAction) bool {
+// orderPending reports whether the table still waits for the order. It does not once a
+// restart of the engine has been detected; the table then issues another order.
+func (c *Companion) orderPending(a loader.LoadAction) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.Orders(a.Version, a.Fence)
 }
 
-// noteLoad keeps a moving mean of the time of a load. The caller holds mu.
-func (c *Companion) noteLoad(d time.Duration) {
+// recordLoadTime updates the moving mean of the load time. The caller holds mu.
+func (c *Companion) recordLoadTime(d time.Duration) {
 	if c.loadTime == 0 {
 		c.loadTime = d
 		return
@@ -272,7 +272,7 @@
 	case errors.Is(err, orderer.ErrFenced):
 		return loader.OutcomeFenced
 	case errors.Is(err, orderer.ErrAlreadyLoaded), errors.Is(err, orderer.ErrNoSlot):
-		// The engine's slots are not as the table has them.
+		// The engine's slots differ from the table's.
 		return loader.OutcomeUnknown
 	case errors.Is(err, orderer.ErrLoadFailed), errors.Is(err, orderer.ErrNotRun):
 		return loader.OutcomeFailed
@@ -281,7 +281,7 @@
 	}
 }
 
-// unload orders the engine to drop a version and tells the table how it went.
+// unload orders the engine to unload a version and reports the outcome to the table.
 func (c *Companion) unload(ctx context.Context, a loader.UnloadAction) {
 	err := c.settings.Engine.Unload(ctx, a.Fence, a.Version)
 	outcome := loader.OutcomeUnknown
@@ -294,23 +294,23 @@
 	if err != nil {
 		c.settings.Log.Warn().Err(err).Str("Version", a.Version).Uint64("Fence", a.Fence).Msg("unload failed")
 	}
-	c.tell(func(now time.Time) []loader.Action { return c.table.Unloaded(now, a.Version, a.Fence, outcome) })
+	c.applyEvent(func(now time.Time) []loader.Action { return c.table.Unloaded(now, a.Version, a.Fence, outcome) })
 }
 
-// supersede gives up for good: the engine has obeyed a later giver of orders, so
-// that another companion has taken this one's place. Were this one to join again,
-// the two would end each other's membership in turn for ever. The process turns
-// unready, and whoever runs it decides. The caller holds mu.
+// supersede stops this companion from accepting requests for good: the engine has accepted
+// orders of a later companion, which has replaced this one. If this one joined again, the
+// two would end each other's membership in turn forever. The process becomes unready, and
+// the operator decides. The caller holds mu.
 func (c *Companion) supersede() {
 	if c.superseded {
 		return
 	}
 	c.superseded = true
-	c.settings.Log.Error().Str("Backend", c.settings.Node).Msg("another companion gives orders to the engine; giving up")
+	c.settings.Log.Error().Str("Backend", c.settings.Node).Msg("another companion sends orders to the engine; no longer accepting requests")
 	c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindFault, Backend: c.settings.Node, Detail: "superseded"})
-	for _, w := range c.works {
-		if !w.begun {
-			c.withdraw(w, messenger.NewRefusal(messenger.ReasonStaleEpoch, "superseded by another companion"))
+	for _, j := range c.jobs {
+		if !j.active {
+			c.refuseJob(j, messenger.NewRefusal(messenger.ReasonStaleEpoch, "superseded by another companion"))
 		}
 	}
 }
--- a/internal/transport/companion/run.go
+++ b/internal/transport/companion/run.go
@@ -13,50 +13,50 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// maxRuns bounds the runs of an idempotent work whose engine restarted under it.
+// maxRuns limits the runs of an idempotent job whose engine restarted during a run.
 const maxRuns = 3
 
-// run is one run of a work at the engine.
+// run is one run of a job at the engine.
 type run struct {
 	companion *Companion
-	work      *work
-	// request is the engine's name for the run.
+	job       *job
+	// request is the id of the run at the engine.
 	request string
-	whole   *whole
-	// usage counts the answer's tokens; nil until the engine tells.
+	builder *builder
+	// usage counts the answer's tokens; nil until the engine has sent it.
 	usage *orderer.Usage
-	// wantsUsage tells that the caller asked for the chunk with the usage.
-	wantsUsage bool
+	// includeUsage reports whether the caller asked for the chunk with the usage.
+	includeUsage bool
 }
 
-// generate runs the work at the engine and ends it.
-func (c *Companion) generate(ctx context.Context, w *work) {
-	r := &run{companion: c, work: w, request: fmt.Sprintf("%s-%d", w.key, w.runs)}
+// generate runs the job at the engine and ends it.
+func (c *Companion) generate(ctx context.Context, j *job) {
+	r := &run{companion: c, job: j, request: fmt.Sprintf("%s-%d", j.key, j.runs)}
 	r.prepare()
 	endpoint := orderer.ChatCompletions
-	if w.dispatch.Kind == messenger.CallKindCompletion {
+	if j.dispatch.Kind == messenger.CallKindCompletion {
 		endpoint = orderer.Completions
 	}
 	call := orderer.Call{
-		Request: r.request, Endpoint: endpoint, Model: w.dispatch.Version,
-		// Engines take the lowest number first, the dispatch the highest.
-		Priority: maxPriority - min(max(0, w.dispatch.Priority), maxPriority),
-		Body:     w.dispatch.Body,
+		Request: r.request, Endpoint: endpoint, Model: j.dispatch.Version,
+		// For engines the lowest number has the highest priority, for a dispatch the highest.
+		Priority: maxPriority - min(max(0, j.dispatch.Priority), maxPriority),
+		Body:     j.dispatch.Body,
 	}
-	if !w.dispatch.Idempotent {
-		call.IdempotencyKey = w.dispatch.Request
+	if !j.dispatch.Idempotent {
+		call.IdempotencyKey = j.dispatch.Request
 	}
-	err := c.settings.Engine.Generate(ctx, call, func(p orderer.Piece) error { return r.give(ctx, p) })
+	err := c.settings.Engine.Generate(ctx, call, func(p orderer.Piece) error { return r.forward(ctx, p) })
 	if err == nil {
-		c.finish(w, r.completed(), r.tokens())
+		c.finish(j, r.completedEnd(), r.tokens())
 		return
 	}
-	r.failed(ctx, err)
+	r.handleFailure(ctx, err)
 }
 
 const maxPriority = 9
 
-// tokens returns the answer's count of tokens, or -1.
+// tokens returns the answer's token count, or -1 if unknown.
 func (r *run) tokens() int64 {
 	if r.usage == nil {
 		return -1
@@ -64,8 +64,8 @@
 	return int64(r.usage.TotalTokens)
 }
 
-func (r *run) completed() messenger.End {
-	e := messenger.End{Outcome: messenger.OutcomeCompleted, Model: r.work.dispatch.Version}
+func (r *run) completedEnd() messenger.End {
+	e := messenger.End{Outcome: messenger.OutcomeCompleted, Model: r.job.dispatch.Version}
 	if u := r.usage; u != nil {
 		e.PromptTokens = int64(u.PromptTokens)
 		e.AnswerTokens = int64(u.CompletionTokens)
@@ -76,28 +76,28 @@
 	return e
 }
 
-// give passes one event of the engine on.
-func (r *run) give(ctx context.Context, p orderer.Piece) error {
-	w := r.work
-	if !p.Done && p.Model != w.dispatch.Version {
+// forward passes one event of the engine on to the answer.
+func (r *run) forward(ctx context.Context, p orderer.Piece) error {
+	j := r.job
+	if !p.Done && p.Model != j.dispatch.Version {
 		return errors.Annotatef(orderer.ErrWrongModel, "engine answered by %q", p.Model)
 	}
 	if p.Usage != nil {
 		r.usage = p.Usage
 	}
-	head := &messenger.Head{Status: statusOK, ContentType: contentStream, Model: w.dispatch.Version}
-	if r.whole != nil {
+	head := &messenger.Head{Status: statusOK, ContentType: contentStream, Model: j.dispatch.Version}
+	if r.builder != nil {
 		if !p.Done {
-			return r.whole.add(p.Data)
+			return r.builder.add(p.Data)
 		}
-		body, err := r.whole.body()
+		body, err := r.builder.body()
 		if err != nil {
 			return err
 		}
 		head.ContentType = contentJSON
 		return r.write(ctx, head, body)
 	}
-	if p.Usage != nil && !r.wantsUsage && p.Text == "" && p.FinishReason == "" {
+	if p.Usage != nil && !r.includeUsage && p.Text == "" && p.FinishReason == "" {
 		return nil
 	}
 	return r.write(ctx, head, frame(p.Data))
@@ -118,44 +118,44 @@
 }
 
 func (r *run) write(ctx context.Context, head *messenger.Head, data []byte) error {
-	patience := time.Duration(r.companion.settings.Companion.AnswerRetention)
-	return errors.Trace(r.work.answer.Write(ctx, patience, head, data))
+	retention := time.Duration(r.companion.settings.Companion.AnswerRetention)
+	return errors.Trace(r.job.answer.Write(ctx, retention, head, data))
 }
 
-// failed ends a run that gave no whole answer.
-func (r *run) failed(ctx context.Context, err error) {
-	c, w := r.companion, r.work
+// handleFailure ends a run that did not complete the answer.
+func (r *run) handleFailure(ctx context.Context, err error) {
+	c, j := r.companion, r.job
 	cause := context.Cause(ctx)
 	if errors.Is(err, orderer.ErrNotRun) {
-		r.refused(ctx, err)
+		r.handleNotRun(ctx, err)
 		return
 	}
-	c.settings.Log.Warn().Err(err).Str("Request", w.dispatch.Request).Str("Version", w.dispatch.Version).Msg("run failed")
-	if r.restarted(ctx, err) {
+	c.settings.Log.Warn().Err(err).Str("Request", j.dispatch.Request).Str("Version", j.dispatch.Version).Msg("run failed")
+	if r.engineGone(ctx, err) {
 		end := messenger.End{Outcome: messenger.OutcomeUnknown, Reason: messenger.ReasonEngine, Detail: err.Error()}
-		c.again(w, w.dispatch.Idempotent && w.answer.Length() == 0, true, end)
+		c.retryOrEnd(j, j.dispatch.Idempotent && j.answer.Length() == 0, true, end)
 		return
 	}
 	end := messenger.End{Outcome: messenger.OutcomeUnknown, Reason: reasonOf(cause), Detail: err.Error()}
 	cancelled, settled := r.stop(ctx)
 	if settled && cancelled.Known && !cancelled.Began && !cancelled.Ended {
-		end = c.notRun(w, messenger.NewRefusal(reasonOf(cause), err.Error()))
+		end = c.notRunEnd(j, messenger.NewRefusal(reasonOf(cause), err.Error()))
 	}
 	if settled {
-		c.finish(w, end, -1)
+		c.finish(j, end, -1)
 		return
 	}
-	// The caller must not wait for the engine, but the pin must.
+	// The caller gets the end now; the pin is kept until the engine has stopped.
 	c.mu.Lock()
-	c.endLocked(w, end)
+	c.endLocked(j, end)
 	c.mu.Unlock()
-	r.settle()
+	r.awaitStop()
 }
 
-// refused ends a run that certainly did not begin. One that met an engine which
-// had lost its adapters is queued again, whatever it is: nothing was run.
-func (r *run) refused(ctx context.Context, err error) {
-	c, w := r.companion, r.work
+// handleNotRun ends a run that certainly did not begin. If the engine had lost its
+// adapters, the job is queued again even if it is not idempotent, since nothing has run.
+func (r *run) handleNotRun(ctx context.Context, err error) {
+	c, j := r.companion, r.job
 	refusal := messenger.NewRefusal(messenger.ReasonEngine, err.Error())
 	var e *orderer.Error
 	if errors.As(err, &e) {
@@ -163,9 +163,9 @@
 	}
 	lost := errors.Is(context.Cause(ctx), errRestarted) || errors.Is(err, orderer.ErrNotResident)
 	if lost {
-		c.notice(context.WithoutCancel(ctx))
+		c.refreshState(context.WithoutCancel(ctx))
 	}
-	c.again(w, lost, false, c.notRun(w, refusal))
+	c.retryOrEnd(j, lost, false, c.notRunEnd(j, refusal))
 }
 
 func reasonOf(cause error) messenger.Reason {
@@ -181,108 +181,109 @@
 	}
 }
 
-// restarted tells whether the engine that ran the work is gone. That it does not
-// know the request is not enough: the request may still be on its way to it.
-func (r *run) restarted(ctx context.Context, err error) bool {
+// engineGone reports whether the engine incarnation that ran the job has ended. It is not
+// enough that the engine does not know the request, since the request may still be on its
+// way to the engine.
+func (r *run) engineGone(ctx context.Context, err error) bool {
 	if errors.Is(context.Cause(ctx), errRestarted) {
 		return true
 	}
 	if !errors.Is(err, orderer.ErrForgotten) {
 		return false
 	}
-	state, ok := r.companion.notice(context.WithoutCancel(ctx))
-	return ok && state.Incarnation != r.work.incarnation
+	state, ok := r.companion.refreshState(context.WithoutCancel(ctx))
+	return ok && state.Incarnation != r.job.incarnation
 }
 
-// state asks the engine for its state now.
+// state reads the engine's state.
 func (c *Companion) state(ctx context.Context) (orderer.EngineState, bool) {
-	ctx, cancel := context.WithTimeout(ctx, stopLimit)
+	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	state, err := c.settings.Engine.State(ctx)
 	return state, err == nil
 }
 
-// again queues a work once more whose engine is gone, if allowed, and otherwise
-// ends it. Began tells that this run may have begun.
-func (c *Companion) again(w *work, allowed, began bool, otherwise messenger.End) {
+// retryOrEnd queues a job again whose engine has restarted, if allowed, and otherwise ends
+// it with fallback. Began reports whether this run may have begun.
+func (c *Companion) retryOrEnd(j *job, allowed, began bool, fallback messenger.End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.settings.Now()
-	c.release(w, -1)
-	w.mayHaveRun = w.mayHaveRun || began
+	c.release(j, -1)
+	j.mayHaveRun = j.mayHaveRun || began
 	if began {
-		w.endedLives = append(w.endedLives, w.incarnation)
+		j.endedIncarnations = append(j.endedIncarnations, j.incarnation)
 	}
-	allowed = allowed && w.runs < maxRuns && !c.closed && !errors.Is(w.givenUp, errCancelled) &&
-		(w.deadline.IsZero() || now.Before(w.deadline))
+	allowed = allowed && j.runs < maxRuns && !c.closed && !errors.Is(j.abortCause, errCancelled) &&
+		(j.deadline.IsZero() || now.Before(j.deadline))
 	if !allowed {
-		c.endLocked(w, otherwise)
-		c.pump()
+		c.endLocked(j, fallback)
+		c.startReady()
 		return
 	}
-	w.begun, w.givenUp, w.cancel = false, nil, nil
-	event := w.event(recorder.KindRetried, c.settings.Node)
+	j.active, j.abortCause, j.cancel = false, nil, nil
+	event := j.event(recorder.KindRetried, c.settings.Node)
 	event.Detail = "the engine had restarted"
 	c.settings.Recorder.Record(event)
-	if refusal := c.enqueue(now, w); refusal != nil {
-		c.endLocked(w, c.notRun(w, refusal))
+	if refusal := c.enqueue(now, j); refusal != nil {
+		c.endLocked(j, c.notRunEnd(j, refusal))
 	}
 }
 
-// stop orders the engine to give the run up. It reports whether the engine has
-// certainly done so.
+// stop orders the engine to cancel the run. It reports whether the engine has certainly
+// done so.
 func (r *run) stop(ctx context.Context) (orderer.Cancellation, bool) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), engineCallTimeout)
 	defer cancel()
 	answer, err := r.companion.settings.Engine.Cancel(ctx, r.request)
 	return answer, err == nil && answer.Known
 }
 
-// stopLimit bounds one order to cancel.
-const stopLimit = 2 * time.Second
+// engineCallTimeout limits one state or cancel call to the engine.
+const engineCallTimeout = 2 * time.Second
 
-// settle holds the place and the pin until the engine can no longer be working
-// on the run.
+// awaitStop keeps the place in the batch and the pin until the engine can no longer be
+// working on the run.
 //
-// An engine that can't be asked may still be generating, and evicting the
-// version would cut off whoever gets the answer, or fail the engine. It shows as
-// an engine error in mid-stream after an eviction. So the pin outlives the
-// request, until the engine confirms or has restarted.
-func (r *run) settle() {
+// An engine that can't be reached may still be generating. An eviction of the version would
+// interrupt another receiver of the answer, or make the engine fail, which shows as an
+// engine error in mid-stream after an eviction. So the pin is kept beyond the end of the
+// request, until the engine confirms the cancellation or has restarted.
+func (r *run) awaitStop() {
 	c := r.companion
-	wait := settleInitial
+	wait := settleBackoffInitial
 	for pauser.Pause(c.root, wait) {
-		if _, ok := r.stop(c.root); ok || c.idle(r.work) {
+		if _, ok := r.stop(c.root); ok || c.engineDone(r.job) {
 			break
 		}
-		wait = min(2*wait, settleMax)
+		wait = min(2*wait, settleBackoffMax)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.release(r.work, -1)
-	c.pump()
+	c.release(r.job, -1)
+	c.startReady()
 }
 
 const (
-	settleInitial = 100 * time.Millisecond
-	settleMax     = 2 * time.Second
+	settleBackoffInitial = 100 * time.Millisecond
+	settleBackoffMax     = 2 * time.Second
 )
 
-// idle asks the engine whether no more requests use the work's version than
-// those which other works run.
-func (c *Companion) idle(w *work) bool {
+// engineDone asks the engine whether it runs no more requests of the job's version than the
+// other jobs account for.
+func (c *Companion) engineDone(j *job) bool {
 	state, ok := c.state(c.root)
 	if !ok {
 		return false
 	}
-	if state.Incarnation != w.incarnation {
+	if state.Incarnation != j.incarnation {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	others := c.table.Pins(w.dispatch.Version) - 1
+	others := c.table.Pins(j.dispatch.Version) - 1
 	for _, a := range state.Adapters {
-		if a.Name == w.dispatch.Version {
+		if a.Name == j.dispatch.Version {
 			return a.InUse <= others
 		}
 	}
--- a/internal/transport/companion/service.go
+++ b/internal/transport/companion/service.go
@@ -12,14 +12,14 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/streamer"
 )
 
-// forward runs the work at the plain service and ends it.
-func (c *Companion) forward(ctx context.Context, w *work) {
-	r := &run{companion: c, work: w}
+// forward runs the job at the plain service and ends it.
+func (c *Companion) forward(ctx context.Context, j *job) {
+	r := &run{companion: c, job: j}
 	call := orderer.ServiceCall{
-		Request: w.dispatch.Request, Method: w.dispatch.Method, Target: w.dispatch.Path,
-		Header: http.Header{}, Body: w.dispatch.Body, Idempotent: w.dispatch.Idempotent,
+		Request: j.dispatch.Request, Method: j.dispatch.Method, Target: j.dispatch.Path,
+		Header: http.Header{}, Body: j.dispatch.Body, Idempotent: j.dispatch.Idempotent,
 	}
-	for _, f := range w.dispatch.Header {
+	for _, f := range j.dispatch.Header {
 		call.Header.Add(f.Name, f.Value)
 	}
 	end := messenger.End{Outcome: messenger.OutcomeCompleted}
@@ -29,7 +29,7 @@
 			end.Outcome = messenger.OutcomeNotRun
 		}
 	}
-	c.finish(w, end, w.dispatch.Tokens)
+	c.finish(j, end, j.dispatch.Tokens)
 }
 
 func (c *Companion) copyAnswer(ctx context.Context, r *run, call orderer.ServiceCall) error {
--- a/internal/transport/companion/settings.go
+++ b/internal/transport/companion/settings.go
@@ -18,7 +18,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Engine is what a companion asks of a model engine; an *orderer.Engine.
+// Engine is the interface of a model engine; an *orderer.Engine.
 type Engine interface {
 	State(ctx context.Context) (orderer.EngineState, error)
 	Report(ctx context.Context) (orderer.LoadReport, error)
@@ -28,22 +28,23 @@
 	Cancel(ctx context.Context, request string) (orderer.Cancellation, error)
 }
 
-// Service is what a companion asks of a plain service; an *orderer.Service.
+// Service is the interface of a plain service; an *orderer.Service.
 type Service interface {
 	Forward(ctx context.Context, c orderer.ServiceCall) (*orderer.ServiceAnswer, error)
 }
 
-// Control is what a companion asks of the control hosts; a *subscriber.Client.
+// Control is the interface of the control hosts; a *subscriber.Client.
 type Control interface {
 	// Join begins a membership, or renews the present one.
 	Join(ctx context.Context, name string, m storer.MemberSpec) (registrar.Lease, error)
-	// Renew hands over the heartbeat without waiting for it to be sent.
+	// Renew queues a heartbeat and does not wait until it is sent.
 	Renew(r registrar.Renewal)
 	// Leave marks the membership as leaving, or ends it.
 	Leave(ctx context.Context, name string, epoch uint64, ended bool) error
-	// OnMembershipEnd registers what is called when a membership has ended.
+	// OnMembershipEnd registers a function that is called when a membership has ended.
 	OnMembershipEnd(f func(name string, epoch uint64))
-	// LeaseValid tells whether there was contact with a leader lately.
+	// LeaseValid reports whether there was contact with a leader within the configuration
+	// lease.
 	LeaseValid() bool
 	// RequestPermit waits for a permit to load.
 	RequestPermit(ctx context.Context, r permitter.Request) (permitter.Grant, error)
@@ -51,30 +52,29 @@
 	FinishPermit(g permitter.Grant)
 }
 
-// Defaults of Settings and of what the settings of a companion leave open.
+// Defaults of Settings and of configurer.CompanionSettings.
 const (
-	// DefaultServiceBatch is the number of requests that a plain service runs at
-	// once.
+	// DefaultServiceBatch is the number of requests that a plain service runs concurrently.
 	DefaultServiceBatch = 64
-	// engineLimit is the time without an answer after which an engine counts as
+	// engineTimeout is the time without an answer after which an engine counts as
 	// unreachable.
-	engineLimit = 5 * time.Second
-	// tickInterval is the time between two looks at what has become due.
+	engineTimeout = 5 * time.Second
+	// tickInterval is the time between two checks for expired requests.
 	tickInterval = 50 * time.Millisecond
-	// staticPatience is the longest wait for a load without a control host.
-	staticPatience = 30 * time.Second
+	// staticLoadTimeout is the longest wait for a load without a control host.
+	staticLoadTimeout = 30 * time.Second
 )
 
-// Settings are what a companion is made of. Engine or Service, Control, Now and
-// Random must be set.
+// Settings are the options of a Companion. Engine or Service, Control, Now and Random are
+// required.
 type Settings struct {
 	// Node is the process's name, and the name of the backend server.
 	Node          string
 	Region        string
 	FailureDomain string
-	// Address is announced to entries, IP:port.
+	// Address is the address that entries connect to, as IP:port.
 	Address string
-	// Companion and Stop are read with their defaults filled in.
+	// Companion and Stop must have their defaults filled in.
 	Companion configurer.CompanionSettings
 	Stop      configurer.StopSettings
 	// Policy chooses the versions to evict; loader.PolicyDemand by default.
@@ -88,7 +88,7 @@
 	Registerer prometheus.Registerer
 	Log        zerolog.Logger
 	Now        func() time.Time
-	// Random is taken over by the companion.
+	// Random must not be used by others after NewCompanion.
 	Random *rand.Rand
 }
 
@@ -101,7 +101,7 @@
 	}
 }
 
-// loaderSettings returns the slot table's settings for the engine's state.
+// loaderSettings returns the slot table's settings for an engine.
 func (s Settings) loaderSettings(e orderer.EngineState) loader.Settings {
 	m := s.Companion
 	l := loader.Settings{
@@ -117,8 +117,8 @@
 	return l
 }
 
-// checksFencing tells whether the engine surely refuses old fencing numbers:
-// only where both the operator and the engine say so.
+// checksFencing reports whether the engine is certain to refuse outdated fencing numbers:
+// only if both the operator and the engine say so.
 func (s Settings) checksFencing(e orderer.EngineState) bool {
 	return s.Companion.ChecksFencing && e.ChecksFencing
 }
--- a/internal/transport/companion/suite_test.go
+++ b/internal/transport/companion/suite_test.go
@@ -32,13 +32,13 @@
 	RunSpecs(t, "Companion")
 }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// fakeControl grants memberships and permits at once, unless lost or full.
+// fakeControl grants memberships and permits at once, unless lost or permitsFull is set.
 type fakeControl struct {
-	// full makes requests for permits wait until they are withdrawn.
-	full atomic.Bool
-	// asked and withdrawn count the requests for permits.
+	// permitsFull makes requests for permits wait until they are withdrawn.
+	permitsFull atomic.Bool
+	// asked and withdrawn count the requests for permits and their withdrawals.
 	asked, withdrawn atomic.Int32
 
 	// joins counts the calls of Join, including those in progress.
@@ -52,9 +52,9 @@
 	// leaving holds the ended argument of each call of Leave.
 	leaving []bool
 	// endedEpochs holds the epochs of the memberships announced as ended.
-	endedEpochs []uint64
-	void        func(string, uint64)
-	renewal     registrar.Renewal
+	endedEpochs   []uint64
+	membershipEnd func(string, uint64)
+	renewal       registrar.Renewal
 }
 
 func (f *fakeControl) Join(_ context.Context, name string, _ storer.MemberSpec) (registrar.Lease, error) {
@@ -90,11 +90,11 @@
 	return nil
 }
 
-func (f *fakeControl) OnMembershipEnd(g func(string, uint64)) { f.void = g }
+func (f *fakeControl) OnMembershipEnd(g func(string, uint64)) { f.membershipEnd = g }
 
 func (f *fakeControl) RequestPermit(ctx context.Context, r permitter.Request) (permitter.Grant, error) {
 	f.asked.Add(1)
-	if f.full.Load() {
+	if f.permitsFull.Load() {
 		<-ctx.Done()
 		f.withdrawn.Add(1)
 		return permitter.Grant{}, ctx.Err()
@@ -115,19 +115,20 @@
 
 func (f *fakeControl) FinishPermit(permitter.Grant) {}
 
-// fakeLink is an entry's connection that puts answers together.
+// fakeLink is an entry's connection that assembles and acknowledges answers.
 type fakeLink struct {
 	companion *Companion
-	// take bounds the pieces taken before the link goes silent; 0 means all.
-	take int
-
-	mu    sync.Mutex
-	taken int
-	done  chan struct{}
-	calls map[streamer.ID]*answerOf
+	// maxPieces limits the pieces that are processed before the link goes silent; 0 means
+	// no limit.
+	maxPieces int
+
+	mu     sync.Mutex
+	pieces int
+	done   chan struct{}
+	calls  map[streamer.ID]*receivedAnswer
 }
 
-type answerOf struct {
+type receivedAnswer struct {
 	text      strings.Builder
 	head      *messenger.Head
 	assembler *streamer.Assembler
@@ -136,7 +137,7 @@
 }
 
 func newLink(c *Companion) *fakeLink {
-	return &fakeLink{companion: c, done: make(chan struct{}), calls: map[streamer.ID]*answerOf{}}
+	return &fakeLink{companion: c, done: make(chan struct{}), calls: map[streamer.ID]*receivedAnswer{}}
 }
 
 func (l *fakeLink) Done() <-chan struct{} { return l.done }
@@ -148,8 +149,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.taken++
-	if l.take > 0 && l.taken > l.take {
+	l.pieces++
+	if l.maxPieces > 0 && l.pieces > l.maxPieces {
 		return nil
 	}
 	a := l.answer(streamer.ID{Request: p.Request, Attempt: p.Attempt})
@@ -168,16 +169,16 @@
 	return nil
 }
 
-func (l *fakeLink) answer(id streamer.ID) *answerOf {
+func (l *fakeLink) answer(id streamer.ID) *receivedAnswer {
 	a := l.calls[id]
 	if a == nil {
-		a = &answerOf{assembler: streamer.NewAssembler(1 << 20)}
+		a = &receivedAnswer{assembler: streamer.NewAssembler(1 << 20)}
 		l.calls[id] = a
 	}
 	return a
 }
 
-// send dispatches and expects to be accepted.
+// send dispatches an attempt and fails the test if it is refused.
 func (l *fakeLink) send(d messenger.Dispatch) {
 	GinkgoHelper()
 	if _, refusal := l.companion.dispatch(l, d); refusal != nil {
@@ -185,7 +186,7 @@
 	}
 }
 
-// refused dispatches and returns the refusal.
+// refused dispatches an attempt that must be refused, and returns the refusal.
 func (l *fakeLink) refused(d messenger.Dispatch) *messenger.Refusal {
 	GinkgoHelper()
 	_, refusal := l.companion.dispatch(l, d)
@@ -195,7 +196,7 @@
 	return refusal
 }
 
-// end returns the ending of an attempt, or nil.
+// end returns the end of an attempt, or nil.
 func (l *fakeLink) end(request string, attempt int) *messenger.End {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,7 +209,7 @@
 	return l.answer(streamer.ID{Request: request, Attempt: 1}).text.String()
 }
 
-// text returns the generated text of a streamed or whole answer.
+// text returns the generated text of an answer, streamed or not.
 func (l *fakeLink) text(request string) string {
 	var text strings.Builder
 	for line := range strings.SplitSeq(l.bytes(request), "\n") {
@@ -226,20 +227,20 @@
 	return text.String()
 }
 
-// wait returns the ending of the first attempt once it is there.
+// wait waits for the end of the first attempt and returns it.
 func (l *fakeLink) wait(request string) messenger.End {
 	GinkgoHelper()
-	Eventually(func() *messenger.End { return l.end(request, 1) }).WithTimeout(patience).ShouldNot(BeNil(), request)
+	Eventually(func() *messenger.End { return l.end(request, 1) }).WithTimeout(testTimeout).ShouldNot(BeNil(), request)
 	return *l.end(request, 1)
 }
 
-// waitLeft waits for the ending of an attempt whose caller has left.
+// waitCancelled waits for the end of an attempt whose caller has left.
 //
-// Where the answer was complete when the caller left, and its bytes not sent yet, they are
-// dropped, and the ending does not reach the link: it says that all of them came. An entry
-// that still wanted them would ask for the rest and be told that it is gone. In all other
-// cases the link must get the ending.
-func (l *fakeLink) waitLeft(request string) {
+// If the answer was complete when the caller left, but not all sent, the rest is dropped
+// and the end does not reach the link, since it would claim that all bytes were sent. An
+// entry that resumes such an answer is told that it is gone. In all other cases the link
+// must get the end.
+func (l *fakeLink) waitCancelled(request string) {
 	GinkgoHelper()
 	id := streamer.ID{Request: request, Attempt: 1}
 	Eventually(func() bool {
@@ -248,7 +249,7 @@
 		}
 		a := l.companion.buffer.Lookup(id)
 		return a != nil && a.Ended() != nil && a.Ended().Outcome == messenger.OutcomeCompleted && a.Released() && a.Acknowledged() == a.Length()
-	}).WithTimeout(patience).Should(BeTrue(), request)
+	}).WithTimeout(testTimeout).Should(BeTrue(), request)
 }
 
 // bench is an engine with its companion.
@@ -258,8 +259,8 @@
 	control   *fakeControl
 	companion *Companion
 	recorder  *recorder.Recorder
-	// lives counts the companions started.
-	lives uint64
+	// companions counts the companions started.
+	companions uint64
 }
 
 func newBench(s generator.Settings) *bench {
@@ -275,13 +276,13 @@
 	return b
 }
 
-// start starts a companion beside the engine.
+// start starts a companion for the engine.
 func (b *bench) start(checksFencing bool) *Companion {
 	GinkgoHelper()
 	client := orderer.NewEngine(orderer.Settings{
 		Address: b.address, ResumePause: 5 * time.Millisecond, ResumeAttempts: 2, SilenceLimit: 500 * time.Millisecond,
 	})
-	b.lives++
+	b.companions++
 	c := b.compose(checksFencing, client, nil)
 	Expect(c.Start(context.Background())).To(Succeed())
 	DeferCleanup(func() {
@@ -291,7 +292,7 @@
 	return c
 }
 
-// compose returns a companion with short times.
+// compose returns a companion with short intervals.
 func (b *bench) compose(checksFencing bool, engine Engine, service Service) *Companion {
 	b.recorder = recorder.NewRecorder(recorder.Settings{Node: "atl-a-1"})
 	settings := configurer.Settings{Companion: configurer.CompanionSettings{
@@ -310,11 +311,11 @@
 		Node: "atl-a-1", Region: "atl", FailureDomain: "atl-a", Address: "127.0.0.1:1",
 		Companion: settings.Companion, Stop: settings.Stop, Engine: engine, Service: service, Control: b.control,
 		Recorder: b.recorder, Registerer: prometheus.NewRegistry(), Log: zerolog.Nop(),
-		Now: time.Now, Random: rand.New(rand.NewPCG(1, b.lives)),
+		Now: time.Now, Random: rand.New(rand.NewPCG(1, b.companions)),
 	})
 }
 
-// call is a dispatch of a completion.
+// call returns a dispatch of a completion.
 func (b *bench) call(request, version string, tokens int) messenger.Dispatch {
 	workspace, _, _ := strings.Cut(version, "/")
 	return messenger.Dispatch{
--- a/internal/transport/companion/watch.go
+++ b/internal/transport/companion/watch.go
@@ -13,35 +13,35 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// engineView is what was last read of the engine.
+// engineView is the last state read from the engine.
 type engineView struct {
 	orderer.EngineState
-	// heard is the time of the last answer.
-	heard time.Time
+	// lastContact is the time of the last answer.
+	lastContact time.Time
 }
 
-// reachable tells whether the engine answered lately. The caller holds mu. Of a
-// plain service only its requests tell.
+// reachable reports whether the engine has answered within engineTimeout. A plain service
+// always counts as reachable, as it is not polled. The caller holds mu.
 func (c *Companion) reachable(now time.Time) bool {
-	return c.settings.Engine == nil || now.Sub(c.engine.heard) < engineLimit
+	return c.settings.Engine == nil || now.Sub(c.engine.lastContact) < engineTimeout
 }
 
-// read makes the engine's state be read soon.
-func (c *Companion) read() {
+// requestRefresh requests an early read of the engine's state.
+func (c *Companion) requestRefresh() {
 	select {
-	case c.reading <- struct{}{}:
+	case c.refreshDue <- struct{}{}:
 	default:
 	}
 }
 
-// adopt takes over the engine as it stands.
+// adopt takes over the engine with its present adapters.
 //
-// Where the engine ignores fencing numbers, an order that an earlier companion
-// gave may still be on its way, and would load or unload behind the back of this
-// one: a version vanishes under a request with no unload in the events. So no
-// order is given, and no request taken, for the longest life of an order.
+// If the engine ignores fencing numbers, an order of an earlier companion may still be on
+// its way, and would load or unload without this companion's knowledge: a version vanishes
+// under a request with no unload in the events. So no order is sent and no request accepted
+// for the longest lifetime of an order.
 func (c *Companion) adopt(ctx context.Context) error {
-	state, err := c.firstState(ctx)
+	state, err := c.awaitState(ctx)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 		if !pauser.Pause(ctx, time.Duration(c.settings.Companion.OrderLife)) {
 			return errors.Trace(context.Cause(ctx))
 		}
-		if state, err = c.firstState(ctx); err != nil {
+		if state, err = c.awaitState(ctx); err != nil {
 			return err
 		}
 	}
@@ -62,17 +62,17 @@
 	source := rand.New(rand.NewPCG(c.settings.Random.Uint64(), c.settings.Random.Uint64()))
 	c.table = loader.NewTable(c.settings.loaderSettings(state), 0, source)
 	c.table.Raise(0, state.HighestFence)
-	c.table.Adopt(now, observed(state))
-	c.engine = engineView{EngineState: state, heard: now}
+	c.table.Adopt(now, observedSlots(state))
+	c.engine = engineView{EngineState: state, lastContact: now}
 	if c.maxBatch == 0 {
 		c.maxBatch = max(1, state.MaxBatch)
 	}
 	return nil
 }
 
-// firstState reads the engine's state until it answers.
-func (c *Companion) firstState(ctx context.Context) (orderer.EngineState, error) {
-	wait := joinInitial
+// awaitState reads the engine's state, and retries until the engine answers.
+func (c *Companion) awaitState(ctx context.Context) (orderer.EngineState, error) {
+	wait := joinBackoffInitial
 	for {
 		state, err := c.settings.Engine.State(ctx)
 		if err == nil {
@@ -81,11 +81,11 @@
 		if !pauser.Pause(ctx, wait) {
 			return state, errors.Annotate(context.Cause(ctx), err.Error())
 		}
-		wait = min(2*wait, joinMax)
+		wait = min(2*wait, joinBackoffMax)
 	}
 }
 
-func observed(s orderer.EngineState) []loader.Observed {
+func observedSlots(s orderer.EngineState) []loader.Observed {
 	slots := make([]loader.Observed, len(s.Adapters))
 	for i, a := range s.Adapters {
 		slots[i] = loader.Observed{Version: a.Name, Source: a.Path, Loading: a.Phase == orderer.Loading, InUse: a.InUse}
@@ -93,8 +93,8 @@
 	return slots
 }
 
-// watch reads the engine's state at each heartbeat and when asked to.
-func (c *Companion) watch(ctx context.Context) {
+// watchEngine reads the engine's state at each heartbeat and on request.
+func (c *Companion) watchEngine(ctx context.Context) {
 	interval := time.Duration(c.settings.Companion.HeartbeatInterval)
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -103,49 +103,49 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-c.reading:
+		case <-c.refreshDue:
 		}
-		c.observe(ctx, interval)
+		c.pollEngine(ctx, interval)
 	}
 }
 
-func (c *Companion) observe(ctx context.Context, interval time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, max(interval, stopLimit))
+func (c *Companion) pollEngine(ctx context.Context, interval time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, max(interval, engineCallTimeout))
 	defer cancel()
-	if _, ok := c.notice(ctx); !ok {
+	if _, ok := c.refreshState(ctx); !ok {
 		return
 	}
 	if report, err := c.settings.Engine.Report(ctx); err == nil {
-		c.metrics.reported(report)
+		c.metrics.addEngineReport(report)
 	}
 }
 
-// notice reads the engine's state and brings the slot table in line with it.
-func (c *Companion) notice(ctx context.Context) (orderer.EngineState, bool) {
-	c.noticing.Lock()
-	defer c.noticing.Unlock()
+// refreshState reads the engine's state and updates the slot table from it.
+func (c *Companion) refreshState(ctx context.Context) (orderer.EngineState, bool) {
+	c.refreshMu.Lock()
+	defer c.refreshMu.Unlock()
 	c.mu.Lock()
 	sequence := c.table.Sequence()
 	c.mu.Unlock()
 	state, ok := c.state(ctx)
 	if !ok {
-		c.settings.Log.Warn().Str("Backend", c.settings.Node).Msg("engine state not read")
+		c.settings.Log.Warn().Str("Backend", c.settings.Node).Msg("could not read the engine state")
 		return state, false
 	}
-	c.tell(func(now time.Time) []loader.Action {
-		former := c.engine
-		c.engine = engineView{EngineState: state, heard: now}
-		if former.Incarnation != state.Incarnation {
+	c.applyEvent(func(now time.Time) []loader.Action {
+		previous := c.engine
+		c.engine = engineView{EngineState: state, lastContact: now}
+		if previous.Incarnation != state.Incarnation {
 			return c.engineRestarted(now, state)
 		}
-		c.metrics.sampled(c.running, c.queue.Len(), c.maxBatch)
-		return c.table.Observe(now, sequence, observed(state))
+		c.metrics.sampleBatch(c.running, c.queue.Len(), c.maxBatch)
+		return c.table.Observe(now, sequence, observedSlots(state))
 	})
 	return state, true
 }
 
-// engineRestarted voids what was known of the former engine. The caller holds
-// mu.
+// engineRestarted discards the state of the previous incarnation of the engine. The caller
+// holds mu.
 func (c *Companion) engineRestarted(now time.Time, s orderer.EngineState) []loader.Action {
 	c.settings.Log.Warn().Str("Backend", c.settings.Node).Str("Incarnation", s.Incarnation).Msg("engine restarted")
 	c.settings.Recorder.Record(recorder.Event{
@@ -155,26 +155,26 @@
 	return c.table.Restarted(now)
 }
 
-// tick does what becomes due by time alone.
+// tick expires queued requests and runs the periodic work of table and buffer.
 func (c *Companion) tick(ctx context.Context) {
 	var last time.Time
 	for pauser.Pause(ctx, tickInterval) {
 		c.mu.Lock()
 		now := c.settings.Now()
 		for _, r := range c.queue.Expire(now) {
-			c.giveUp(r)
+			c.endRejected(r)
 		}
 		slow := now.Sub(last) >= time.Second
 		if slow && c.table != nil {
 			c.apply(c.table.Tick(now))
-			c.metrics.slots(c.table.Stats())
+			c.metrics.addSlotStats(c.table.Stats())
 		}
-		c.pump()
+		c.startReady()
 		c.mu.Unlock()
 		if slow {
 			last = now
 			c.buffer.Sweep(now)
-			c.buffer.Reclaim(now, returnLimit, int64(c.settings.Companion.AnswerBuffer)/2)
+			c.buffer.Reclaim(now, resumeWindow, int64(c.settings.Companion.AnswerBuffer)/2)
 		}
 	}
 }
--- a/internal/transport/companion/whole.go
+++ b/internal/transport/companion/whole.go
@@ -10,41 +10,41 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/orderer"
 )
 
-// prepare reads from the request's body how the answer is to look.
+// prepare reads the format of the answer from the request's body.
 func (r *run) prepare() {
 	var body orderer.CompletionRequest
-	if err := json.Unmarshal(r.work.dispatch.Body, &body); err == nil && body.StreamOptions != nil {
-		r.wantsUsage = body.StreamOptions.IncludeUsage
+	if err := json.Unmarshal(r.job.dispatch.Body, &body); err == nil && body.StreamOptions != nil {
+		r.includeUsage = body.StreamOptions.IncludeUsage
 	}
-	if !r.work.dispatch.Stream {
-		r.whole = &whole{chat: r.work.dispatch.Kind == messenger.CallKindChat}
+	if !r.job.dispatch.Stream {
+		r.builder = &builder{chat: r.job.dispatch.Kind == messenger.CallKindChat}
 	}
 }
 
-// whole puts the chunks of a streamed answer together into the one answer of a
-// request that did not ask for a stream. The engine is always asked for a
-// stream, since only a stream can be resumed.
-type whole struct {
+// builder assembles the chunks of a streamed answer into the complete answer to a request
+// without streaming. The engine is always asked for a stream, since only a stream can be
+// resumed.
+type builder struct {
 	chat bool
-	// answer names the answer, from the first chunk; nil before it.
-	answer  *wholeAnswer
-	choices []*wholeChoice
+	// answer holds the members from the first chunk; nil before it.
+	answer  *completeAnswer
+	choices []*completeChoice
 }
 
-// wholeAnswer is the answer in OpenAI's shape.
-type wholeAnswer struct {
-	ID          string          `json:"id"`
-	Object      string          `json:"object"`
-	Created     int64           `json:"created"`
-	Model       string          `json:"model"`
-	Fingerprint json.RawMessage `json:"system_fingerprint,omitempty"`
-	Choices     []*wholeChoice  `json:"choices"`
-	Usage       json.RawMessage `json:"usage,omitempty"`
+// completeAnswer is the answer in OpenAI's format.
+type completeAnswer struct {
+	ID          string            `json:"id"`
+	Object      string            `json:"object"`
+	Created     int64             `json:"created"`
+	Model       string            `json:"model"`
+	Fingerprint json.RawMessage   `json:"system_fingerprint,omitempty"`
+	Choices     []*completeChoice `json:"choices"`
+	Usage       json.RawMessage   `json:"usage,omitempty"`
 }
 
-// wholeChunk is one chunk of the stream.
-type wholeChunk struct {
-	wholeAnswer
+// answerChunk is one chunk of the stream.
+type answerChunk struct {
+	completeAnswer
 	Choices []chunkChoice `json:"choices"`
 }
 
@@ -57,7 +57,7 @@
 	StopReason   json.RawMessage `json:"stop_reason"`
 }
 
-type wholeChoice struct {
+type completeChoice struct {
 	Index        int             `json:"index"`
 	Text         *string         `json:"text,omitempty"`
 	Message      *message        `json:"message,omitempty"`
@@ -68,89 +68,89 @@
 	text strings.Builder
 }
 
-// logprobs are the lists of OpenAI's log probabilities, by name: those of a
-// stream's chunks follow each other.
+// logprobs are the lists of OpenAI's log probabilities, by name; those of successive chunks
+// are concatenated.
 type logprobs map[string][]json.RawMessage
 
-// add takes in one chunk.
-func (w *whole) add(data []byte) error {
-	var chunk wholeChunk
+// add adds a chunk.
+func (b *builder) add(data []byte) error {
+	var chunk answerChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
 		return errors.Annotate(err, "chunk")
 	}
-	if w.answer == nil {
-		w.answer = &wholeAnswer{ID: chunk.ID, Created: chunk.Created, Model: chunk.Model, Fingerprint: chunk.Fingerprint}
+	if b.answer == nil {
+		b.answer = &completeAnswer{ID: chunk.ID, Created: chunk.Created, Model: chunk.Model, Fingerprint: chunk.Fingerprint}
 	}
-	if given(chunk.Usage) {
-		w.answer.Usage = chunk.Usage
+	if isSet(chunk.Usage) {
+		b.answer.Usage = chunk.Usage
 	}
 	for i := range chunk.Choices {
 		c := &chunk.Choices[i]
 		if c.Index < 0 || c.Index >= maxChoices {
 			return errors.NotValidf("choice %d", c.Index)
 		}
-		for len(w.choices) <= c.Index {
-			w.choices = append(w.choices, &wholeChoice{Index: len(w.choices), FinishReason: jsonNull})
+		for len(b.choices) <= c.Index {
+			b.choices = append(b.choices, &completeChoice{Index: len(b.choices), FinishReason: jsonNull})
 		}
-		if err := w.choices[c.Index].add(c); err != nil {
+		if err := b.choices[c.Index].add(c); err != nil {
 			return errors.Annotatef(err, "choice %d", c.Index)
 		}
 	}
 	return nil
 }
 
-// maxChoices bounds the number of choices in an answer, as OpenAI does.
+// maxChoices limits the number of choices in an answer, as OpenAI does.
 const maxChoices = 128
 
 var jsonNull = json.RawMessage("null")
 
-// given tells whether a member was there and is not null.
-func given(v json.RawMessage) bool { return len(v) > 0 && string(v) != "null" }
+// isSet reports whether a member is present and not null.
+func isSet(v json.RawMessage) bool { return len(v) > 0 && string(v) != "null" }
 
-func (w *wholeChoice) add(c *chunkChoice) error {
+func (choice *completeChoice) add(c *chunkChoice) error {
 	if c.Text != nil {
-		w.text.WriteString(*c.Text)
+		choice.text.WriteString(*c.Text)
 	}
 	for name, list := range c.Logprobs {
-		if w.Logprobs == nil {
-			w.Logprobs = logprobs{}
+		if choice.Logprobs == nil {
+			choice.Logprobs = logprobs{}
 		}
-		w.Logprobs[name] = append(w.Logprobs[name], list...)
+		choice.Logprobs[name] = append(choice.Logprobs[name], list...)
 	}
-	if given(c.FinishReason) {
-		w.FinishReason = c.FinishReason
+	if isSet(c.FinishReason) {
+		choice.FinishReason = c.FinishReason
 	}
-	if given(c.StopReason) {
-		w.StopReason = c.StopReason
+	if isSet(c.StopReason) {
+		choice.StopReason = c.StopReason
 	}
 	if c.Delta == nil {
 		return nil
 	}
-	if w.Message == nil {
-		w.Message = newMessage()
+	if choice.Message == nil {
+		choice.Message = newMessage()
 	}
-	return w.Message.add(c.Delta)
+	return choice.Message.add(c.Delta)
 }
 
-// body returns the whole answer.
-func (w *whole) body() ([]byte, error) {
-	if w.answer == nil {
+// body returns the complete answer.
+func (b *builder) body() ([]byte, error) {
+	if b.answer == nil {
 		return nil, errors.New("answer without a chunk")
 	}
-	w.answer.Object = "text_completion"
-	if w.chat {
-		w.answer.Object = "chat.completion"
+	b.answer.Object = "text_completion"
+	if b.chat {
+		b.answer.Object = "chat.completion"
 	}
-	for _, c := range w.choices {
-		if w.chat && c.Message == nil {
+	for _, c := range b.choices {
+		if b.chat && c.Message == nil {
 			c.Message = newMessage()
 		}
-		if !w.chat {
+		if !b.chat {
 			text := c.text.String()
 			c.Text = &text
 		}
 	}
-	w.answer.Choices = w.choices
-	data, err := json.Marshal(w.answer)
+	b.answer.Choices = b.choices
+	data, err := json.Marshal(b.answer)
 	return data, errors.Trace(err)
 }
--- a/internal/transport/companion/whole_test.go
+++ b/internal/transport/companion/whole_test.go
@@ -5,13 +5,12 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("whole", func() {
-	// Symptom: a caller that asked for a whole answer misses the tool calls and log
-	// probabilities which a stream would have shown. Sequence: the engine is asked
-	// for a stream, and the companion puts the chunks together. Cause: only text
-	// was joined.
-	It("joins texts, tool calls and log probabilities, and keeps what it doesn't know", func() {
-		w := whole{chat: true}
+var _ = Describe("builder", func() {
+	// Guards against a complete answer that lacks the tool calls and log probabilities
+	// which a stream would contain: the engine is asked for a stream, and only text was
+	// joined from its chunks.
+	It("joins texts, tool calls and log probabilities, and keeps unknown members", func() {
+		w := builder{chat: true}
 		for _, chunk := range []string{
 			`{"id":"c1","created":7,"model":"w/a@1","system_fingerprint":"fp","choices":[{"index":0,"delta":{"role":"assistant","content":null},"finish_reason":null}]}`,
 			`{"id":"c1","choices":[{"index":0,"delta":{"reasoning_content":"first "},"logprobs":{"content":[{"token":"a"}]}},{"index":1,"delta":{"content":"other"}}]}`,
@@ -32,7 +31,7 @@
 	})
 
 	It("joins completions", func() {
-		var w whole
+		var w builder
 		Expect(w.add([]byte(`{"id":"c","model":"m","choices":[{"index":0,"text":" a","logprobs":{"tokens":["a"],"token_logprobs":[-1]}}]}`))).To(Succeed())
 		Expect(w.add([]byte(`{"id":"c","model":"m","choices":[{"index":0,"text":" b","logprobs":{"tokens":["b"],"token_logprobs":[-2]},"finish_reason":"length"}]}`))).To(Succeed())
 		body, err := w.body()
@@ -41,8 +40,8 @@
 			{"index":0,"text":" a b","logprobs":{"tokens":["a","b"],"token_logprobs":[-1,-2]},"finish_reason":"length"}]}`))
 	})
 
-	It("refuses choices and tool calls beyond bounds", func() {
-		var w whole
+	It("refuses choices and tool calls beyond their limits", func() {
+		var w builder
 		Expect(w.add([]byte(`{"choices":[{"index":100000000}]}`))).NotTo(Succeed())
 		Expect(w.add([]byte(`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":-1}]}}]}`))).NotTo(Succeed())
 	})
--- a/internal/transport/companion/work.go
+++ b/internal/transport/companion/work.go
@@ -14,95 +14,95 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/streamer"
 )
 
-// The causes with which a running request is given up.
+// The causes for which a running request is aborted.
 const (
 	errCancelled = errors.ConstError("caller has left")
 	errRestarted = errors.ConstError("engine restarted")
 	errDeadline  = errors.ConstError("deadline passed")
 )
 
-// work is one attempt that waits or runs. Its fields are guarded by
-// Companion.mu, but for those that never change.
-type work struct {
-	// key names the attempt in the table, the queue and Companion.works.
+// job is an attempt that waits or runs. Its mutable fields are guarded by Companion.mu.
+type job struct {
+	// key identifies the attempt in the slot table, the queue and Companion.jobs.
 	key      string
 	dispatch messenger.Dispatch
 	answer   *streamer.Answer
 
 	arrived  time.Time
 	deadline time.Time
-	// begun tells that the work runs, or has run and not ended yet.
-	begun bool
-	// givenUp is the cause with which the run is to end, or nil.
-	givenUp error
-	// cancel ends the run; nil before the run has its context.
+	// active reports whether the job runs, or has run and has not ended yet.
+	active bool
+	// abortCause is the cause for which the run is to be aborted, or nil.
+	abortCause error
+	// cancel aborts the run; nil before the run has its context.
 	cancel context.CancelCauseFunc
-	// mayHaveRun tells that an earlier run may have begun.
+	// mayHaveRun reports whether an earlier run may have begun.
 	mayHaveRun bool
-	// endedLives are the lives of the engine that ended while they ran the work.
-	endedLives []string
-	// runs counts the times that the engine was asked to run the work.
+	// endedIncarnations are the incarnations of the engine that ended while they ran the
+	// job.
+	endedIncarnations []string
+	// runs counts the runs at the engine.
 	runs int
-	// incarnation is that of the engine which was asked.
+	// incarnation is the engine's incarnation of the current run.
 	incarnation string
 	queued      time.Duration
 	stalled     time.Duration
 }
 
-func keyOf(id streamer.ID) string { return fmt.Sprintf("%s-%d", id.Request, id.Attempt) }
+func jobKey(id streamer.ID) string { return fmt.Sprintf("%s-%d", id.Request, id.Attempt) }
 
-func newWork(d messenger.Dispatch, a *streamer.Answer) *work {
-	return &work{key: keyOf(a.ID()), dispatch: d, answer: a}
+func newJob(d messenger.Dispatch, a *streamer.Answer) *job {
+	return &job{key: jobKey(a.ID()), dispatch: d, answer: a}
 }
 
-func (w *work) event(kind recorder.Kind, backend string) recorder.Event {
+func (j *job) event(kind recorder.Kind, backend string) recorder.Event {
 	return recorder.Event{
-		Kind: kind, Request: w.dispatch.Request, Workspace: w.dispatch.Workspace, Backend: backend, Version: w.dispatch.Version,
+		Kind: kind, Request: j.dispatch.Request, Workspace: j.dispatch.Workspace, Backend: backend, Version: j.dispatch.Version,
 	}
 }
 
-// enqueue makes the work wait for its version and its place. The caller holds
-// mu. A refusal concerns the work itself; others that the queue gives up for it
-// end on their own.
-func (c *Companion) enqueue(now time.Time, w *work) *messenger.Refusal {
-	d := w.dispatch
-	c.works[w.key] = w
+// enqueue queues the job for its adapter version and a place in the batch. The returned
+// refusal is about the job itself; other jobs that the queue rejects in its favour are
+// ended here. The caller holds mu.
+func (c *Companion) enqueue(now time.Time, j *job) *messenger.Refusal {
+	d := j.dispatch
+	c.jobs[j.key] = j
 	load := time.Duration(0)
 	if c.table != nil {
 		if !c.table.Ready(d.Version) {
 			load = max(c.table.LoadTime(d.Version), c.loadTime)
 		}
 		actions := c.table.Want(now, loader.Want{
-			Request: w.key, Workspace: d.Workspace, Share: d.Share, Version: d.Version, Source: d.Source,
+			Request: j.key, Workspace: d.Workspace, Share: d.Share, Version: d.Version, Source: d.Source,
 		})
-		if refusal := failureOf(actions, w.key); refusal != nil {
-			delete(c.works, w.key)
+		if refusal := loadFailure(actions, j.key); refusal != nil {
+			delete(c.jobs, j.key)
 			return refusal
 		}
 		c.apply(actions)
 	}
 	refused := c.queue.Push(now, scheduler.Item{
-		Request: w.key, Workspace: d.Workspace, Share: d.Share, Version: d.Version,
-		Priority: d.Priority, Tokens: d.Tokens, Deadline: w.deadline,
+		Request: j.key, Workspace: d.Workspace, Share: d.Share, Version: d.Version,
+		Priority: d.Priority, Tokens: d.Tokens, Deadline: j.deadline,
 	}, load)
 	var own *messenger.Refusal
 	for _, r := range refused {
-		if r.Request == w.key {
-			own = refusalOf(r)
-			c.leave(w)
+		if r.Request == j.key {
+			own = queueRefusal(r)
+			c.removeJob(j)
 			continue
 		}
-		c.giveUp(r)
+		c.endRejected(r)
 	}
 	if own == nil {
-		c.settings.Recorder.Record(w.event(recorder.KindQueued, c.settings.Node))
+		c.settings.Recorder.Record(j.event(recorder.KindQueued, c.settings.Node))
 	}
-	c.pump()
+	c.startReady()
 	return own
 }
 
-// failureOf returns the refusal among the actions that concerns the request.
-func failureOf(actions []loader.Action, key string) *messenger.Refusal {
+// loadFailure returns the refusal among the actions that concerns the request, or nil.
+func loadFailure(actions []loader.Action, key string) *messenger.Refusal {
 	for _, a := range actions {
 		if f, ok := a.(loader.FailAction); ok && f.Request == key {
 			return loadRefusal(f)
@@ -117,7 +117,7 @@
 	return r
 }
 
-func refusalOf(r scheduler.Refused) *messenger.Refusal {
+func queueRefusal(r scheduler.Refused) *messenger.Refusal {
 	reason := messenger.ReasonOverloaded
 	detail := "queue is full"
 	if r.Cause == scheduler.CauseDeadline {
@@ -129,131 +129,133 @@
 	return refusal
 }
 
-// giveUp ends a waiting work that the queue has let go of. The caller holds mu.
-func (c *Companion) giveUp(r scheduler.Refused) {
-	if w := c.works[r.Request]; w != nil {
-		c.leave(w)
-		c.endLocked(w, c.notRun(w, refusalOf(r)))
+// endRejected ends a waiting job that the queue has rejected. The caller holds mu.
+func (c *Companion) endRejected(r scheduler.Refused) {
+	if j := c.jobs[r.Request]; j != nil {
+		c.removeJob(j)
+		c.endLocked(j, c.notRunEnd(j, queueRefusal(r)))
 	}
 }
 
-// withdraw ends a work that has not begun. The caller holds mu.
-func (c *Companion) withdraw(w *work, r *messenger.Refusal) {
-	c.queue.Remove(w.key)
-	c.leave(w)
-	c.endLocked(w, c.notRun(w, r))
+// refuseJob ends a job that has not started. The caller holds mu.
+func (c *Companion) refuseJob(j *job, r *messenger.Refusal) {
+	c.queue.Remove(j.key)
+	c.removeJob(j)
+	c.endLocked(j, c.notRunEnd(j, r))
 }
 
-// leave forgets the work and ends its wait or pin. The caller holds mu.
-func (c *Companion) leave(w *work) {
-	delete(c.works, w.key)
+// removeJob deletes the job and releases its wait or pin in the slot table. The caller
+// holds mu.
+func (c *Companion) removeJob(j *job) {
+	delete(c.jobs, j.key)
 	if c.table != nil {
-		c.apply(c.table.Drop(c.settings.Now(), w.key))
+		c.apply(c.table.Drop(c.settings.Now(), j.key))
 	}
 }
 
-// notRun is the ending of a work that won't be run now. One whose engine
-// restarted under it may have run all the same.
-func (c *Companion) notRun(w *work, r *messenger.Refusal) messenger.End {
+// notRunEnd returns the end of a job that will not be run. Its outcome is unknown if an
+// earlier run may have begun before the engine restarted.
+func (c *Companion) notRunEnd(j *job, r *messenger.Refusal) messenger.End {
 	e := messenger.End{
 		Outcome: messenger.OutcomeNotRun, Reason: r.Reason, Detail: r.Detail, RetryAfterMillis: r.RetryAfterMillis,
 	}
-	if w.mayHaveRun {
+	if j.mayHaveRun {
 		e.Outcome = messenger.OutcomeUnknown
 		e.RetryAfterMillis = 0
 	}
 	return e
 }
 
-// pump starts all that can run. The caller holds mu.
-func (c *Companion) pump() {
+// startReady starts all jobs that can run. The caller holds mu.
+func (c *Companion) startReady() {
 	for {
 		now := c.settings.Now()
-		free := c.maxBatch - c.running - c.foreign()
+		free := c.maxBatch - c.running - c.foreignRequests()
 		started, ok := c.queue.Next(now, free, func(it scheduler.Item) bool {
 			return c.table == nil || c.table.Pin(it.Request)
 		})
 		if !ok {
 			return
 		}
-		c.begin(now, started)
+		c.startJob(now, started)
 	}
 }
 
-// foreign counts the requests of an earlier companion that the engine runs.
-func (c *Companion) foreign() int {
+// foreignRequests returns the number of requests that the engine still runs for an earlier
+// companion.
+func (c *Companion) foreignRequests() int {
 	if c.table == nil {
 		return 0
 	}
 	return c.table.Foreign()
 }
 
-// begin runs a work whose version is pinned. The caller holds mu.
-func (c *Companion) begin(now time.Time, s scheduler.Started) {
-	w := c.works[s.Request]
-	w.queued += s.Queued
-	w.stalled += s.Stalled
-	w.runs++
-	w.incarnation = c.engine.Incarnation
+// startJob runs a job whose version is pinned. The caller holds mu.
+func (c *Companion) startJob(now time.Time, s scheduler.Started) {
+	j := c.jobs[s.Request]
+	j.queued += s.Queued
+	j.stalled += s.Stalled
+	j.runs++
+	j.incarnation = c.engine.Incarnation
 	c.running++
-	c.metrics.started(w.dispatch, s)
-	c.settings.Recorder.Record(w.event(recorder.KindAdmitted, c.settings.Node))
-	w.begun = true
+	c.metrics.jobStarted(j.dispatch, s)
+	c.settings.Recorder.Record(j.event(recorder.KindAdmitted, c.settings.Node))
+	j.active = true
 	c.spawnLocked(func(ctx context.Context) {
 		ctx, cancel := context.WithCancelCause(ctx)
 		defer cancel(nil)
-		if !w.deadline.IsZero() {
+		if !j.deadline.IsZero() {
 			var stop context.CancelFunc
-			ctx, stop = context.WithTimeoutCause(ctx, w.deadline.Sub(now), errDeadline)
+			ctx, stop = context.WithTimeoutCause(ctx, j.deadline.Sub(now), errDeadline)
 			defer stop()
 		}
 		c.mu.Lock()
-		w.cancel = cancel
-		if w.givenUp != nil {
-			cancel(w.givenUp)
+		j.cancel = cancel
+		if j.abortCause != nil {
+			cancel(j.abortCause)
 		}
 		c.mu.Unlock()
 		if c.settings.Service != nil {
-			c.forward(ctx, w)
+			c.forward(ctx, j)
 		} else {
-			c.generate(ctx, w)
+			c.generate(ctx, j)
 		}
 	})
 }
 
-// interrupt ends the work's run. The caller of it holds Companion.mu.
-func (w *work) interrupt(cause error) {
-	w.givenUp = cause
-	if w.cancel != nil {
-		w.cancel(cause)
+// abort aborts the job's run. The caller holds Companion.mu.
+func (j *job) abort(cause error) {
+	j.abortCause = cause
+	if j.cancel != nil {
+		j.cancel(cause)
 	}
 }
 
-// finish ends a work's run: its place and its pin are free, and its answer has
-// the ending. The tokens are the engine's count, negative where unknown.
-func (c *Companion) finish(w *work, e messenger.End, tokens int64) {
+// finish ends a job after its run and frees its place and pin. Tokens is the engine's
+// count, negative if unknown.
+func (c *Companion) finish(j *job, e messenger.End, tokens int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.release(w, tokens)
-	c.endLocked(w, e)
-	c.pump()
+	c.release(j, tokens)
+	c.endLocked(j, e)
+	c.startReady()
 }
 
-// release frees the work's place in the batch and its pin. The caller holds mu.
-func (c *Companion) release(w *work, tokens int64) {
+// release frees the job's place in the batch and its pin. The caller holds mu.
+func (c *Companion) release(j *job, tokens int64) {
 	c.running--
-	c.queue.Finish(c.settings.Now(), w.key, tokens)
-	c.leave(w)
+	c.queue.Finish(c.settings.Now(), j.key, tokens)
+	c.removeJob(j)
 }
 
-func (c *Companion) endLocked(w *work, e messenger.End) {
-	e.StallMillis = float64(w.stalled) / float64(time.Millisecond)
-	e.QueueMillis = float64(w.queued) / float64(time.Millisecond)
+func (c *Companion) endLocked(j *job, e messenger.End) {
+	e.StallMillis = float64(j.stalled) / float64(time.Millisecond)
+	e.QueueMillis = float64(j.queued) / float64(time.Millisecond)
 	e.Load = c.loadLocked()
-	e.EndedLives = w.endedLives
-	c.metrics.ended(e.Outcome, e.Reason)
-	event := w.event(recorder.KindEngineFinished, c.settings.Node)
+	e.EndedLives = j.endedIncarnations
+	c.metrics.jobEnded(e.Outcome, e.Reason)
+	event := j.event(recorder.KindEngineFinished, c.settings.Node)
 	event.Detail = e.Outcome.String()
 	c.settings.Recorder.Record(event)
-	w.answer.End(c.settings.Now(), e)
+	j.answer.End(c.settings.Now(), e)
 }
