--- a/internal/transport/relayer/keys.go
+++ b/internal/transport/relayer/keys.go
@@ -31,7 +31,7 @@
 	if r.settings.Control == nil || r.settings.KeyLease <= 0 {
 		return true
 	}
-	age, ok := r.settings.Control.AskedAge()
+	age, ok := r.settings.Control.ConfirmedAge()
 	return ok && age < r.settings.KeyLease
 }
 
@@ -41,7 +41,7 @@
 	if r.settings.Control == nil {
 		return true
 	}
-	age, ok := r.settings.Control.AskedAge()
+	age, ok := r.settings.Control.ConfirmedAge()
 	return ok && age < r.settings.Now().Sub(at)
 }
 
--- a/internal/transport/relayer/settings.go
+++ b/internal/transport/relayer/settings.go
@@ -41,10 +41,10 @@
 
 // Control is the entry's client of the control hosts, a *subscriber.Client.
 type Control interface {
-	// AskedAge returns the age of the known state: the time since the entry sent the
+	// ConfirmedAge returns the age of the known state: the time since the entry sent the
 	// last request after whose answer it held everything accepted until then. It
 	// returns false if there was none.
-	AskedAge() (time.Duration, bool)
+	ConfirmedAge() (time.Duration, bool)
 	// AwaitReport sends a report at once and waits for the answer. It reports whether
 	// one arrived.
 	AwaitReport(ctx context.Context) bool
