--- a/internal/transport/inspector/gather.go
+++ b/internal/transport/inspector/gather.go
@@ -39,11 +39,11 @@
 type Timeline struct {
 	Events []recorder.Event
 	// Missing names the processes that gave no events, and why.
-	Missing []Absence
+	Missing []MissingProcess
 }
 
-// Absence is a process that gave no events.
-type Absence struct {
+// MissingProcess is a process that gave no events.
+type MissingProcess struct {
 	Address string
 	Cause   string
 }
@@ -65,7 +65,7 @@
 	t := Timeline{Events: recorder.Merge(pages)}
 	for i, err := range causes {
 		if err != nil {
-			t.Missing = append(t.Missing, Absence{Address: s.Addresses[i], Cause: err.Error()})
+			t.Missing = append(t.Missing, MissingProcess{Address: s.Addresses[i], Cause: err.Error()})
 		}
 	}
 	return t
