--- a/internal/transport/controller/administration.go
+++ b/internal/transport/controller/administration.go
@@ -10,26 +10,34 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/distributor"
 )
 
-// AdministrationPath is the path below which Administration serves.
+// AdministrationPath is the path prefix served by Administration.
 const AdministrationPath = "/api/v1/control"
 
 const (
-	// administrationTimeout bounds a change of the group; a new voter first
-	// takes the whole state over.
+	// administrationTimeout bounds a change of the group. A new voter first receives the
+	// whole state.
 	administrationTimeout = 2 * time.Minute
-	// administrationBody bounds the body of a request, in bytes.
+	// administrationBody bounds a request body, in bytes.
 	administrationBody = 64 << 10
 	wildcardHost       = "id"
 )
 
-// GroupClient changes the control group. *subscriber.Client is one.
+// GroupClient reads and changes the control group. *subscriber.Client implements it.
 type GroupClient interface {
 	Group(ctx context.Context) (distributor.Group, error)
 	ChangeGroup(ctx context.Context, g distributor.GroupChange) (distributor.Group, error)
 }
 
-// Administration returns the handler by which operators see and change the
-// control group; the caller guards it:
+// Administration returns the handler with which operators inspect and change the control
+// group. It does no authorization; the caller must guard it:
+//
+//	GET    /api/v1/control             the group, as one of its hosts sees it
+//	PUT    /api/v1/control/hosts/{id}  add a host; body {"Address","FailureDomain","Voter"}
+//	DELETE /api/v1/control/hosts/{id}  remove a host
+//	POST   /api/v1/control/transfer    hand leadership to another host
+//
+// notAccepted reports whether an error of ChangeGroup proves that the change has no
+// effect.
 //
 //	GET    /api/v1/control             the group, as one of its hosts sees it
 //	PUT    /api/v1/control/hosts/{id}  add a host; body {"Address","FailureDomain","Voter"}
@@ -53,10 +61,10 @@
 	notAccepted func(error) bool
 }
 
-// AdministrationProblem is the body of a refusal.
+// AdministrationProblem is the body of an error response.
 type AdministrationProblem struct {
 	Reason string
-	// Accepted is "No" where the change certainly has no effect, else "Unknown".
+	// Accepted is "No" if the change certainly has no effect, and "Unknown" otherwise.
 	Accepted string
 }
 
@@ -109,17 +117,18 @@
 	}
 }
 
-// host returns the number of the host in the path.
+// host returns the host ID in the path. If the ID is invalid, it writes the response and
+// returns false.
 func (a administration) host(w http.ResponseWriter, r *http.Request) (uint64, bool) {
 	id, err := strconv.ParseUint(r.PathValue(wildcardHost), 10, 64)
 	if err != nil || id == 0 {
-		answerJSON(w, http.StatusBadRequest, AdministrationProblem{Reason: "a host's id is a number above 0", Accepted: acceptedNo})
+		answerJSON(w, http.StatusBadRequest, AdministrationProblem{Reason: "the host ID must be a positive integer", Accepted: acceptedNo})
 		return 0, false
 	}
 	return id, true
 }
 
-// The values of AdministrationProblem.Accepted.
+// Values of AdministrationProblem.Accepted.
 const (
 	acceptedNo      = "No"
 	acceptedUnknown = "Unknown"
@@ -136,6 +145,6 @@
 func answerJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A client that has gone needs no answer.
+	// Write errors mean that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/transport/controller/announcing.go
+++ b/internal/transport/controller/announcing.go
@@ -12,34 +12,35 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// ErrNoLeaderContact tells that this host can't be sure of what is in force: the
-// sender should ask another one.
-const ErrNoLeaderContact = errors.ConstError("this control host is not in touch with a leader")
+// ErrNoLeaderContact is returned by a host that may be partitioned from the leader. The
+// sender should retry at another host.
+const ErrNoLeaderContact = errors.ConstError("this control host has no recent contact with a leader")
 
-// certainLimit is the age of this host's knowledge up to which it takes
-// heartbeats: two of a leader's pulses, and time for one to be late. A heartbeat
-// taken by a host that is cut off reaches no leader, and the lease of a backend
-// server that is well would run out.
-const certainLimit = time.Second
+// maxLeaderContactAge is the maximum knowledge age at which this host acknowledges
+// heartbeats: two pulse intervals of a leader, with time for one pulse to be late. A
+// partitioned host can't pass heartbeats on to the leader; if it acknowledged them, the
+// lease of a healthy backend server would expire.
+const maxLeaderContactAge = time.Second
 
-// Announce takes a backend server's word that it is there. A heartbeat that
-// brings nothing new only renews the lease; all else is accepted through the log
-// before Announce returns, and then reaches every entry.
+// Announce processes an announcement or heartbeat of a backend server. A heartbeat
+// without changes only renews the lease. Everything else is committed to the log before
+// Announce returns, and is then distributed to every entry.
 func (c *Control) Announce(ctx context.Context, m storer.MemberSpec) error {
 	name := MemberName(m.Address)
 	if r, ok := c.store.Get(storer.Key{Kind: storer.KindMember, Name: name}); ok {
 		held := r.Spec.(storer.MemberSpec)
 		m.Epoch = held.Epoch
-		late := !c.heard.note(name, m.Incarnation, m.Sequence)
+		late := !c.lastHeartbeats.observe(name, m.Incarnation, m.Sequence)
 		leaveInForce := held.Incarnation == m.Incarnation && held.State == storer.MemberStateLeaving
-		// A late message must not renew the lease, since its sender may have ended. A late leave
-		// that is not in force here is proposed, so that it is not acknowledged without effect.
+		// A reordered heartbeat must not renew the lease, since its sender may have
+		// ended. A reordered leave that is not in force here is proposed, so that it is
+		// not acknowledged without effect.
 		if late && (m.State == storer.MemberStateServing || leaveInForce) {
-			c.settings.Log.Info().Str("Backend", name).Stringer("State", m.State).Uint64("Sequence", m.Sequence).Msg("late heartbeat passed over")
+			c.settings.Log.Info().Str("Backend", name).Stringer("State", m.State).Uint64("Sequence", m.Sequence).Msg("ignored a reordered heartbeat")
 			return nil
 		}
 		if held.SameBut(m) {
-			return c.renewAnnounced(name, held.Epoch)
+			return c.renewAnnouncedLease(name, held.Epoch)
 		}
 		m.Epoch = 0
 	}
@@ -48,8 +49,8 @@
 	case err != nil:
 		return err
 	case result.Verdict == storer.VerdictStale:
-		// A late message of a life that has ended: its sender is gone.
-		c.settings.Log.Info().Str("Backend", name).Str("Incarnation", m.Incarnation).Stringer("State", m.State).Msg("late announcement passed over")
+		// A late message of an incarnation that has ended.
+		c.settings.Log.Info().Str("Backend", name).Str("Incarnation", m.Incarnation).Stringer("State", m.State).Msg("ignored an announcement of an ended incarnation")
 		return nil
 	case result.Verdict != storer.VerdictAccepted:
 		return errors.NotValidf("announcement: %s", result.Reason)
@@ -64,18 +65,18 @@
 	return nil
 }
 
-func (c *Control) renewAnnounced(name string, epoch uint64) error {
-	if age, ok := c.freshness(); !ok || age > certainLimit {
+func (c *Control) renewAnnouncedLease(name string, epoch uint64) error {
+	if age, ok := c.knowledgeAge(); !ok || age > maxLeaderContactAge {
 		return ErrNoLeaderContact
 	}
 	c.relay.renew(nil, registrar.LeaseRenewal{Name: name, Epoch: epoch})
 	return nil
 }
 
-// Retire ends an incarnation of a backend server or, if r has an instance, all incarnations
-// of it that have a membership. The command is accepted through the log before Retire
-// returns, even if this host finds no membership: its lease may have expired, or its
-// announcement may not have been applied here yet.
+// Retire ends an incarnation of a backend server or, if r has an instance, all
+// incarnations of it that have a membership. The command is committed to the log before
+// Retire returns, even if this host finds no membership: its lease may have expired, or
+// this host may not have applied its announcement yet.
 func (c *Control) Retire(ctx context.Context, r storer.RetireMember) error {
 	members, _ := c.store.List(storer.KindMember, "")
 	for _, m := range members {
@@ -89,7 +90,7 @@
 		return err
 	}
 	if result.Verdict != storer.VerdictAccepted {
-		c.settings.Log.Info().Str("Incarnation", r.Incarnation).Str("Reason", result.Reason).Msg("backend server retired without a membership")
+		c.settings.Log.Info().Str("Incarnation", r.Incarnation).Str("Reason", result.Reason).Msg("retired backend server had no membership")
 		return nil
 	}
 	if result.Resource != nil {
@@ -101,5 +102,5 @@
 	return nil
 }
 
-// MemberName returns the name of the backend server at an address, IP:port.
+// MemberName returns the member name of the backend server at address, an IP:port.
 func MemberName(address string) string { return strings.ReplaceAll(address, ":", "-") }
--- a/internal/transport/controller/behind_test.go
+++ b/internal/transport/controller/behind_test.go
@@ -19,8 +19,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/subscriber"
 )
 
-// share returns the share of a workspace that is in force at a node; -1 where
-// there is no such workspace.
+// share returns the share of a workspace in force at a node, or -1 if there is no such
+// workspace.
 func (n *node) share(workspace string) int {
 	w, ok := n.index.Workspace(workspace)
 	if !ok {
@@ -29,7 +29,7 @@
 	return w.Share
 }
 
-var _ = Describe("Those who are behind", func() {
+var _ = Describe("Subscribers and hosts that lag behind", func() {
 	ctx := context.Background()
 	var g *group
 
@@ -38,14 +38,14 @@
 		g, err = newGroup(3, shortLeases)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(g.close)
-		Eventually(g.leader, patience).ShouldNot(Equal(-1))
+		Eventually(g.leader, eventuallyTimeout).ShouldNot(Equal(-1))
 	})
 
 	isolate := func(host int, cut bool) {
 		for i, h := range g.hosts {
 			if i != host {
-				g.network.set(nodeOf(g.hosts[host].ID), h.Address, cut)
-				g.network.set(nodeOf(h.ID), g.hosts[host].Address, cut)
+				g.network.set(nodeName(g.hosts[host].ID), h.Address, cut)
+				g.network.set(nodeName(h.ID), g.hosts[host].Address, cut)
 			}
 		}
 	}
@@ -57,12 +57,11 @@
 		return r.Revision
 	}
 
-	// Symptom: an entry routes by a rule that operators replaced minutes ago.
-	// Sequence: a control host is cut off from the others; a change is accepted
-	// and in force at the entry; the entry loses the other hosts and fails over to
-	// the one that lacks the change.
-	// Cause to prevent: a host that sends what it holds to a node that holds more.
-	It("never take a node back that fails over to them", func() {
+	// Guards against a host that sends older configuration to a node that holds a newer
+	// one. A control host is partitioned from the others; a change is accepted and in
+	// force at the entry; the entry loses the other hosts and fails over to the host
+	// without the change. It would then route by a rule that operators have replaced.
+	It("never revert a node that fails over to them", func() {
 		behind := (g.leader() + 1) % 3
 		events := recorder.NewRecorder(recorder.Settings{Node: "entry"})
 		g.network.set("entry", g.hosts[behind].Address, true)
@@ -74,27 +73,27 @@
 		writer := g.node("writer", g.hosts[g.leader()].FailureDomain, distributor.ScopeEntry, shortLease)
 		DeferCleanup(writer.Close)
 		first := put(writer, "w", 1)
-		Eventually(g.controls[behind].Store().Revision, patience).Should(BeNumerically(">=", first))
+		Eventually(g.controls[behind].Store().Revision, eventuallyTimeout).Should(BeNumerically(">=", first))
 
 		isolate(behind, true)
 		second := put(writer, "w", 2)
-		Eventually(entry.index.Revision, patience).Should(Equal(second))
+		Eventually(entry.index.Revision, eventuallyTimeout).Should(Equal(second))
 		for i, h := range g.hosts {
 			g.network.set("entry", h.Address, i != behind)
 		}
-		Eventually(entry.Host, patience).Should(Equal(g.hosts[behind].Address))
-		// The host has sent the entry what it has to send once its pulses have
-		// worn the entry's trust down.
-		Eventually(entry.LeaseValid, patience).Should(BeFalse())
+		Eventually(entry.Host, eventuallyTimeout).Should(Equal(g.hosts[behind].Address))
+		// Once its pulses have made the entry's lease expire, the host has sent
+		// everything it would send.
+		Eventually(entry.LeaseValid, eventuallyTimeout).Should(BeFalse())
 		Expect(g.controls[behind].Store().Revision()).To(Equal(first))
 		Expect(entry.index.Revision()).To(Equal(second))
 		Expect(entry.share("w")).To(Equal(2))
 
 		isolate(behind, false)
 		third := put(writer, "w", 3)
-		Eventually(entry.index.Revision, patience).Should(Equal(third))
+		Eventually(entry.index.Revision, eventuallyTimeout).Should(Equal(third))
 		Expect(entry.share("w")).To(Equal(3))
-		Eventually(entry.LeaseValid, patience).Should(BeTrue())
+		Eventually(entry.LeaseValid, eventuallyTimeout).Should(BeTrue())
 		reached := uint64(0)
 		for _, e := range events.Events("").Events {
 			if e.Kind == recorder.KindConfigurationApplied {
@@ -105,8 +104,8 @@
 		Expect(reached).To(Equal(third))
 	})
 
-	// forget leaves the node out of so many changes that the history no longer
-	// reaches back to what it holds, one of them a deletion.
+	// forget makes so many changes, one of them a deletion, that the history no longer
+	// reaches back to the revision that the node holds.
 	forget := func(writer *node) (revision uint64) {
 		retention := storer.SetRetention{Retention: storer.Retention{HistoryChanges: 5}}
 		_, err := writer.Propose(ctx, storer.Envelope{Command: retention})
@@ -121,19 +120,18 @@
 		return revision
 	}
 
-	// Symptom: a node that was away goes on with a workspace that was deleted
-	// meanwhile, or gets no news any more.
-	// Sequence: it sleeps through more changes than the history keeps, comes back
-	// and asks for what came after its revision.
-	// Cause to prevent: passing over a gap, or ending the subscription at it.
-	It("take the whole state where the history no longer reaches back, and go on", func() {
+	// Guards against a node that skips a gap in the history or whose subscription ends at
+	// it. It misses more changes than the history keeps, reconnects, and requests what
+	// follows its revision. It would then keep a deleted workspace or receive no further
+	// changes.
+	It("receive the whole state if the history no longer reaches back, and then further changes", func() {
 		entry := g.node("entry", "d1", distributor.ScopeEntry, shortLease)
 		DeferCleanup(entry.Close)
 		writer := g.node("writer", "d2", distributor.ScopeEntry, shortLease)
 		DeferCleanup(writer.Close)
 		put(writer, "kept", 7)
 		before := put(writer, "gone", 1)
-		Eventually(entry.index.Revision, patience).Should(Equal(before))
+		Eventually(entry.index.Revision, eventuallyTimeout).Should(Equal(before))
 		for _, h := range g.hosts {
 			g.network.set("entry", h.Address, true)
 		}
@@ -142,18 +140,18 @@
 		for _, h := range g.hosts {
 			g.network.set("entry", h.Address, false)
 		}
-		Eventually(entry.index.Revision, patience).Should(Equal(last))
+		Eventually(entry.index.Revision, eventuallyTimeout).Should(Equal(last))
 		Expect(entry.share("gone")).To(Equal(-1))
 		Expect(entry.share("kept")).To(Equal(7))
 		Expect(entry.share("w9")).To(Equal(10))
 		next := put(writer, "kept", 8)
-		Eventually(entry.index.Revision, patience).Should(Equal(next))
+		Eventually(entry.index.Revision, eventuallyTimeout).Should(Equal(next))
 		Expect(entry.share("kept")).To(Equal(8))
 	})
 
-	// Symptom: an operator's watch shows a workspace that was deleted long ago.
-	// Sequence and cause as above, for a watcher of the resource API.
-	It("are told to list again by a watch, and miss nothing from there", func() {
+	// Guards against the same fault for a watch of the resource API, which would still
+	// show a workspace deleted long ago.
+	It("are asked by a watch to list again, and miss nothing from there", func() {
 		writer := g.node("writer", "d2", distributor.ScopeEntry, shortLease)
 		DeferCleanup(writer.Close)
 		server := httptest.NewServer(operator.NewAPI(operator.Settings{Control: writer, WatchHeartbeat: 200 * time.Millisecond}))
--- a/internal/transport/controller/board.go
+++ b/internal/transport/controller/board.go
@@ -15,56 +15,56 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// sharedBoard is the board of all backend servers that this host knows.
+// sharedBoard holds the states of all backend servers known to this host.
 type sharedBoard struct {
 	mu sync.Mutex
 	// board is guarded by mu.
 	board *registrar.Board
-	// touched names the backend servers that reported to this host since the
-	// last share with the other hosts; guarded by mu.
-	touched map[string]struct{}
-	// ended is the revision up to which ended memberships were dropped; guarded
-	// by mu.
-	ended uint64
-	// departures are the memberships seen to end; guarded by mu.
+	// reported names the backend servers that reported to this host since their states
+	// were last shared with the other hosts; guarded by mu.
+	reported map[string]struct{}
+	// droppedUpTo is the revision up to which ended memberships were dropped; guarded by
+	// mu.
+	droppedUpTo uint64
+	// departures records recently ended memberships; guarded by mu.
 	departures permitter.Departures
 }
 
 func newSharedBoard(now time.Time, permitExpiry time.Duration) *sharedBoard {
 	b := &sharedBoard{
 		board:      registrar.NewBoard(),
-		touched:    make(map[string]struct{}),
+		reported:   make(map[string]struct{}),
 		departures: permitter.Departures{Expiry: permitExpiry},
 	}
 	b.departures.Reset(now)
 	return b
 }
 
-// whole encodes all published states. Before it lets the board go on it calls
-// cut, so that a session can place the whole between two digests.
-func (b *sharedBoard) whole(cut func()) (json.RawMessage, error) {
+// full encodes all published states. It calls captured while it holds the lock, so that a
+// session can order the full states relative to other digests.
+func (b *sharedBoard) full(captured func()) (json.RawMessage, error) {
 	b.mu.Lock()
 	batch := b.board.Whole()
-	cut()
+	captured()
 	b.mu.Unlock()
 	data, err := json.Marshal(batch)
 	return data, errors.Annotate(err, "encode digest")
 }
 
-// report takes in the report of a backend server connected to this host, and
-// returns false where the whole is wanted.
-func (b *sharedBoard) report(change registrar.ServerChange) bool {
+// applyReport applies the report of a backend server connected to this host. It returns
+// false if a full report is needed.
+func (b *sharedBoard) applyReport(change registrar.ServerChange) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.board.Apply(change) {
 		return false
 	}
-	b.touched[change.Name] = struct{}{}
+	b.reported[change.Name] = struct{}{}
 	return true
 }
 
-// share returns the whole states of the backend servers named.
-func (b *sharedBoard) share(names []string) registrar.DigestBatch {
+// fullStates returns the full states of the named backend servers.
+func (b *sharedBoard) fullStates(names []string) registrar.DigestBatch {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var batch registrar.DigestBatch
@@ -76,20 +76,21 @@
 	return batch
 }
 
-// takeTouched returns the backend servers that reported to this host since the
-// last call.
-func (b *sharedBoard) takeTouched() []string {
+// takeReported returns the names of the backend servers that reported to this host since
+// the last call.
+func (b *sharedBoard) takeReported() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	names := slices.Sorted(maps.Keys(b.touched))
-	clear(b.touched)
+	names := slices.Sorted(maps.Keys(b.reported))
+	clear(b.reported)
 	return names
 }
 
-// current reports whether a backend server's report belongs to its membership.
-// One of a membership that ended would put a dead server back on the board; one
-// newer than the host's own revision belongs to a join not seen here yet.
-func (c *Control) current(name string, epoch uint64) bool {
+// isCurrentReport reports whether the report of a backend server belongs to a membership
+// that can still be in force. A report of an ended membership would put a dead server
+// back on the board. An epoch above this host's revision belongs to a join that it has
+// not applied yet.
+func (c *Control) isCurrentReport(name string, epoch uint64) bool {
 	head := c.store.Revision()
 	r, ok := c.store.Get(storer.Key{Kind: storer.KindMember, Name: name})
 	if !ok {
@@ -99,10 +100,10 @@
 	return ok && spec.Epoch <= epoch
 }
 
-// takeShared takes in what another control host's backend servers reported.
-func (c *Control) takeShared(batch registrar.DigestBatch) {
+// applyShared applies the states that another control host shared.
+func (c *Control) applyShared(batch registrar.DigestBatch) {
 	for _, change := range batch.Changes {
-		if !c.current(change.Name, change.Epoch) {
+		if !c.isCurrentReport(change.Name, change.Epoch) {
 			continue
 		}
 		c.board.mu.Lock()
@@ -111,17 +112,17 @@
 	}
 }
 
-// dropEnded takes the backend servers off the board whose membership ended.
-func (c *Control) dropEnded() {
+// dropEndedMembers removes backend servers from the board whose membership has ended.
+func (c *Control) dropEndedMembers() {
 	b := c.board
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
-		changes, upTo, ok := c.store.Since(b.ended, 0)
+		changes, upTo, ok := c.store.Since(b.droppedUpTo, 0)
 		if !ok {
-			b.ended = c.store.Revision()
+			b.droppedUpTo = c.store.Revision()
 			b.departures.Reset(c.settings.Now())
-			c.dropUnknown()
+			c.dropNonMembers()
 			return
 		}
 		for _, change := range changes {
@@ -131,16 +132,16 @@
 				b.departures.Note(c.settings.Now(), change.Resource.Metadata.Name)
 			}
 		}
-		if upTo <= b.ended {
+		if upTo <= b.droppedUpTo {
 			return
 		}
-		b.ended = upTo
+		b.droppedUpTo = upTo
 	}
 }
 
-// dropUnknown takes every backend server off the board that is no member. The
+// dropNonMembers removes all backend servers from the board that are not members. The
 // caller holds the board's lock.
-func (c *Control) dropUnknown() {
+func (c *Control) dropNonMembers() {
 	members, revision := c.store.List(storer.KindMember, "")
 	known := make(map[string]struct{}, len(members))
 	for _, m := range members {
@@ -153,16 +154,16 @@
 	}
 }
 
-// digest gives the changes of the backend servers to the entries, and those
-// reported here to the other hosts.
-func (c *Control) digest() {
-	own := c.board.share(c.board.takeTouched())
+// sendDigests queues the collected changes for the entries, and shares the states
+// reported to this host with the other hosts.
+func (c *Control) sendDigests() {
+	own := c.board.fullStates(c.board.takeReported())
 	c.board.mu.Lock()
 	batch := c.board.board.Collect()
 	if len(batch.Changes) > 0 || len(batch.Gone) > 0 {
 		data, err := json.Marshal(batch)
 		if err != nil {
-			c.settings.Log.Error().Err(err).Msg("encoding a digest")
+			c.settings.Log.Error().Err(err).Msg("failed to encode a digest")
 		}
 		c.eachSession(func(s *session) { s.queueDigest(data) })
 	}
@@ -170,26 +171,28 @@
 	if len(batch.Changes) > 0 || len(batch.Gone) > 0 {
 		c.eachSession((*session).wake)
 	}
-	c.shareWith(own)
+	c.shareWithHosts(own)
 }
 
-// shareWith sends the states of own backend servers to the other hosts. A host
-// to which a new connection was made gets all of them: it may have missed some.
-func (c *Control) shareWith(own registrar.DigestBatch) {
-	for _, address := range c.others() {
-		c.relay.send(address, func() {
+// shareWithHosts sends the given states to the other hosts. A host with a new connection
+// receives the states of all backend servers connected here, since it may have missed
+// some.
+func (c *Control) shareWithHosts(own registrar.DigestBatch) {
+	for _, address := range c.otherHosts() {
+		c.relay.sendAsync(address, func() {
 			conn, err := c.pool.Conn(c.ctx, address)
 			if err != nil {
 				return
 			}
 			batch := own
-			if c.relay.newConn(address, conn) {
-				batch = c.board.share(c.relay.names())
+			if c.relay.replaceConn(address, conn) {
+				batch = c.board.fullStates(c.relay.connectedBackends())
 			}
 			if len(batch.Changes) == 0 {
 				return
 			}
-			// Lost digests are made good by the whole on the next connection.
+			// A lost message is compensated by the full states sent on the next
+			// connection.
 			_ = conn.Notify(c.ctx, messenger.MethodShareDigest, batch)
 		})
 	}
--- a/internal/transport/controller/control.go
+++ b/internal/transport/controller/control.go
@@ -17,7 +17,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/listener"
 )
 
-// Control is one host of the control group.
+// Control is one host of the control group. Its methods are safe for concurrent use.
 type Control struct {
 	settings  Settings
 	store     *storer.Store
@@ -34,46 +34,45 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	workers sync.WaitGroup
-	// turned wakes the watch over the leadership.
-	turned chan struct{}
+	// leadershipChanged wakes watchLeadership.
+	leadershipChanged chan struct{}
 
 	sessionsMu sync.Mutex
-	// sessions holds the session of each connection that subscribed; guarded by
-	// sessionsMu.
+	// sessions holds the session of each subscribed connection; guarded by sessionsMu.
 	sessions map[*messenger.Conn]*session
-	// tally counts the sessions' revisions; guarded by sessionsMu.
+	// tally tracks the revisions that the sessions' nodes hold; guarded by sessionsMu.
 	tally distributor.Tally
-	// stopping refuses new sessions; guarded by sessionsMu.
+	// stopping makes new sessions be refused; guarded by sessionsMu.
 	stopping bool
 
-	freshMu sync.Mutex
-	// fresh tells how old this host's knowledge is; guarded by freshMu.
-	fresh distributor.Lease
-	// term is the newest leader's term heard of; guarded by freshMu.
+	knowledgeMu sync.Mutex
+	// knowledge tracks the age of this host's knowledge; guarded by knowledgeMu.
+	knowledge distributor.Lease
+	// term is the highest leader's term received; guarded by knowledgeMu.
 	term uint64
 
-	heard heard
+	lastHeartbeats lastHeartbeats
 
 	dutiesMu sync.Mutex
-	// duties are those of a leader; nil while this host does not lead. Guarded
-	// by dutiesMu.
+	// duties is nil unless this host is an active leader; guarded by dutiesMu.
 	duties *duties
 }
 
-// NewControl opens the data folder. Nothing is served before Start.
+// NewControl opens the data folder. Nothing is served before Start. It panics if s has no
+// Random or no Listener.
 func NewControl(s Settings) (*Control, error) {
 	if s.Random == nil || s.Listener == nil {
-		panic("controller: NewControl needs a random source and a listener")
+		panic("controller: NewControl requires Settings.Random and Settings.Listener")
 	}
 	s = s.withDefaults()
 	c := &Control{
-		settings: s,
-		store:    storer.NewStore(storer.Settings{}),
-		metrics:  newMetrics(s.Registerer),
-		relay:    newRelay(),
-		board:    newSharedBoard(s.Now(), time.Duration(s.Control.PermitExpiry)),
-		sessions: make(map[*messenger.Conn]*session),
-		turned:   make(chan struct{}, 1),
+		settings:          s,
+		store:             storer.NewStore(storer.Settings{}),
+		metrics:           newMetrics(s.Registerer),
+		relay:             newRelay(),
+		board:             newSharedBoard(s.Now(), time.Duration(s.Control.PermitExpiry)),
+		sessions:          make(map[*messenger.Conn]*session),
+		leadershipChanged: make(chan struct{}, 1),
 	}
 	c.source = newSharedSource(c.store)
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -95,7 +94,7 @@
 	return c, nil
 }
 
-// Start serves connections and begins the host's work.
+// Start starts serving connections and the background goroutines.
 func (c *Control) Start() {
 	served := c.settings.Messenger
 	served.Handler = c
@@ -106,28 +105,29 @@
 	go c.watchLeadership()
 }
 
-// SetHosts replaces the control hosts of the settings.
-func (c *Control) SetHosts(hosts []configurer.ControlHost) { c.links.set(hosts) }
+// SetHosts replaces the configured control hosts.
+func (c *Control) SetHosts(hosts []configurer.ControlHost) { c.links.setConfigured(hosts) }
 
-// Store returns the host's copy of the replicated state. It may be behind.
+// Store returns this host's copy of the replicated state, which may lag behind the
+// leader.
 func (c *Control) Store() *storer.Store { return c.store }
 
 // Status returns the state of the replicated log.
 func (c *Control) Status() replicator.Status { return c.agreement.Status() }
 
-// Leading reports whether this host leads and has taken up a leader's duties.
+// Leading reports whether this host leads and has assumed a leader's duties.
 func (c *Control) Leading() bool { return c.currentDuties() != nil }
 
-// Ready reports whether the host knows what is in force: a leader was heard of
-// within the configuration lease.
+// Ready reports whether the host's knowledge of what is in force is no older than the
+// configuration lease.
 func (c *Control) Ready() bool {
-	age, ok := c.freshness()
+	age, ok := c.knowledgeAge()
 	return ok && age < time.Duration(c.settings.Control.ConfigurationLease)
 }
 
-// Failed is closed when the replicated log has stopped for a failure, after
-// which the process must stop: its disk can't be trusted. It is nil for a log
-// that does not tell.
+// Failed returns a channel that is closed when the replicated log has stopped because of
+// a failure. The process must then stop, since its disk can't be trusted. The channel is
+// nil if the log does not report failures.
 func (c *Control) Failed() <-chan struct{} {
 	if f, ok := c.agreement.(interface{ Done() <-chan struct{} }); ok {
 		return f.Done()
@@ -135,23 +135,23 @@
 	return nil
 }
 
-// Stop hands leadership over, sends the nodes to other hosts, and waits until
-// they have gone. Close must follow. Without it a planned stop would cost the
-// group an election timeout without accepted changes, and calls under way an
-// unknown outcome.
+// Stop hands leadership over, asks the nodes to connect to other hosts, and waits until
+// they have disconnected or ctx ends. Close must follow. Without Stop, a planned shutdown
+// would leave the group without accepted changes for an election timeout, and calls in
+// progress with an unknown outcome.
 func (c *Control) Stop(ctx context.Context) error {
 	c.record(recorder.KindStopping, 0, "control")
 	c.sessionsMu.Lock()
 	c.stopping = true
 	c.sessionsMu.Unlock()
-	if c.voters() < minimumOthers {
+	if c.voters() < minHandOverVoters {
 		return nil
 	}
 	err := c.agreement.TransferLeadership(ctx)
 	c.endDuties()
 	c.eachSession(func(s *session) {
-		c.relay.send("goodbye "+s.conn.Peer(), func() {
-			// A node that misses it goes when the connection ends.
+		c.relay.sendAsync("goodbye "+s.conn.Peer(), func() {
+			// A node that does not receive it reconnects when the connection ends.
 			_ = s.conn.Notify(c.ctx, messenger.MethodGoodbye, nil)
 		})
 	})
@@ -163,9 +163,9 @@
 	return errors.Annotate(err, "hand leadership over")
 }
 
-// minimumOthers is the number of voters from which there is another host to
-// hand leadership and nodes to.
-const minimumOthers = 2
+// minHandOverVoters is the number of voters from which another host exists that can take
+// over leadership and nodes.
+const minHandOverVoters = 2
 
 func (c *Control) sessionCount() int {
 	c.sessionsMu.Lock()
@@ -183,7 +183,7 @@
 	return n
 }
 
-// Close ends all work at once and waits for it.
+// Close stops all work at once, and waits until it has stopped.
 func (c *Control) Close() error {
 	c.cancel()
 	c.endDuties()
@@ -206,16 +206,16 @@
 	return errors.Trace(first)
 }
 
-// observe takes the replicated log's events.
+// observe handles events of the replicated log.
 func (c *Control) observe(o replicator.Observation) {
 	switch o := o.(type) {
 	case replicator.Elected:
 		c.metrics.elections.Inc()
 		c.record(recorder.KindElected, 0, "term %d", o.Term)
-		c.wakeLeadership()
+		c.notifyLeadershipChanged()
 	case replicator.SteppedDown:
 		c.record(recorder.KindSteppedDown, 0, "term %d", o.Term)
-		c.wakeLeadership()
+		c.notifyLeadershipChanged()
 	case replicator.SnapshotTaken:
 		c.record(recorder.KindSnapshotTaken, 0, "index %d, %d bytes", o.Index, o.Bytes)
 	case replicator.SnapshotInstalled:
@@ -223,7 +223,7 @@
 	case replicator.Synced:
 		c.metrics.sync.Observe(o.Took.Seconds())
 	case replicator.MembershipChanged:
-		c.links.learn(o.Configuration.Members)
+		c.links.updateMembers(o.Configuration.Members)
 		c.record(recorder.KindControlMembersChanged, 0, "%d hosts at index %d", len(o.Configuration.Members), o.Index)
 	case replicator.MessageRefused:
 		c.metrics.refused.Inc()
@@ -234,9 +234,9 @@
 	}
 }
 
-func (c *Control) wakeLeadership() {
+func (c *Control) notifyLeadershipChanged() {
 	select {
-	case c.turned <- struct{}{}:
+	case c.leadershipChanged <- struct{}{}:
 	default:
 	}
 }
--- a/internal/transport/controller/disk.go
+++ b/internal/transport/controller/disk.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// probeName is the file by which a disk is tried, and probeBytes its size: room for
-	// some hundred changes.
-	probeName  = "probe"
-	probeBytes = 256 << 10
-	// probePause is the time between two tries.
-	probePause = 200 * time.Millisecond
+	// probeFileName is the file written to test a disk, and probeBytes its size: enough
+	// for some hundred changes.
+	probeFileName = "probe"
+	probeBytes    = 256 << 10
+	// probeInterval is the time between two probes.
+	probeInterval = 200 * time.Millisecond
 )
 
-// WaitDiskWritable returns once the disk takes writes again, or with the context's error. Call
-// it after Failed: a disk that is full or refuses writes may do so for some seconds
-// only, and a host that is started anew before would fail as the one that stopped.
+// WaitDiskWritable returns once the disk accepts writes again, or with the context's
+// error. Call it after Failed is closed: a disk that is full or refuses writes may
+// recover within seconds, and a host that restarts earlier fails again.
 //
-// A host whose log has stopped is lost to its group, although it runs. One that stays
-// so is no longer there when the next is lost: of three hosts one had a full disk for
-// some seconds, another lost its own half a minute later, and there was no leader until
-// all were started anew.
+// A host whose log has stopped is lost to its group although its process runs, so the
+// group does not survive the next loss. Example: of three hosts, one had a full disk for
+// some seconds, another lost its disk half a minute later, and there was no leader until
+// all were restarted.
 func (c *Control) WaitDiskWritable(ctx context.Context) error {
 	for {
 		err := probe(c.settings.DataFolder)
 		if err == nil {
 			return nil
 		}
-		c.settings.Log.Debug().Err(err).Msg("the disk takes no writes")
-		if !pauser.Pause(ctx, probePause) {
+		c.settings.Log.Debug().Err(err).Msg("the disk does not accept writes")
+		if !pauser.Pause(ctx, probeInterval) {
 			return errors.Trace(ctx.Err())
 		}
 	}
 }
 
-// probe writes a file, syncs and removes it.
+// probe writes, syncs and removes a file.
 func probe(folder string) error {
-	path := filepath.Join(folder, probeName)
+	path := filepath.Join(folder, probeFileName)
 	f, err := os.Create(path)
 	if err != nil {
 		return errors.Trace(err)
@@ -55,7 +55,7 @@
 	if closed := f.Close(); err == nil {
 		err = closed
 	}
-	// What is left of a file that could not be written is room for others.
+	// Remove a partially written file too, to free its space.
 	if removed := os.Remove(path); err == nil {
 		err = removed
 	}
--- a/internal/transport/controller/disk_test.go
+++ b/internal/transport/controller/disk_test.go
@@ -9,11 +9,10 @@
 	"time"
 )
 
-// TestAwaitDisk: symptom: of three control hosts one is lost, and there is no leader
-// until all are started anew. Sequence: the disk of another was full for some seconds,
-// half a minute before; its log had stopped, and the process ran on without it. Cause:
-// nobody looked whether the disk took writes again.
-func TestAwaitDisk(t *testing.T) {
+// TestWaitDiskWritable guards against a host that keeps running without its replicated
+// log after its disk was full for some seconds. Of three control hosts, another one lost
+// half a minute later left no leader until all were restarted.
+func TestWaitDiskWritable(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	synctest.Test(t, func(t *testing.T) {
 		c := &Control{settings: Settings{DataFolder: folder}}
@@ -22,13 +21,13 @@
 		<-time.After(time.Second)
 		select {
 		case err := <-done:
-			t.Fatalf("a disk that takes no writes was waited for to no avail: %v", err)
+			t.Fatalf("returned while the disk accepts no writes: %v", err)
 		default:
 		}
 		if err := os.Mkdir(folder, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		<-time.After(probePause)
+		<-time.After(probeInterval)
 		synctest.Wait()
 		select {
 		case err := <-done:
@@ -36,16 +35,16 @@
 				t.Error(err)
 			}
 		default:
-			t.Fatal("still waiting for a disk that takes writes")
+			t.Fatal("still waiting although the disk accepts writes")
 		}
 	})
 	if left, err := os.ReadDir(folder); err != nil || len(left) > 0 {
-		t.Errorf("left on the disk: %v, %v", left, err)
+		t.Errorf("probe left files on the disk: %v, %v", left, err)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	c := &Control{settings: Settings{DataFolder: filepath.Join(folder, "missing")}}
 	if err := c.WaitDiskWritable(ended); err == nil {
-		t.Error("waited beyond the end of its context")
+		t.Error("no error after the context ended")
 	}
 }
--- a/internal/transport/controller/doc.go
+++ b/internal/transport/controller/doc.go
@@ -1,20 +1,18 @@
 // Package controller runs the Control role: one host of the control group.
 //
-// A Control joins the replicated log with the store, and serves nodes and the
-// other control hosts over messenger connections. Any control host takes any
-// call. What only the leader may decide is forwarded to it once, and the answer
-// keeps the truth: a forward whose connection broke after sending is an unknown
-// outcome, not a refusal.
+// A Control connects the replicated log to the store, and serves nodes and the other
+// control hosts over messenger connections. Any control host accepts any call. Calls that
+// only the leader may decide are forwarded to it once. A forward whose connection broke
+// after sending is reported as an unknown outcome, not as a refusal.
 //
-// Each node has a session at the control host it is connected to: a feed of the
-// configuration, the digest of the backend servers, and a pulse that tells how
-// fresh the host's own knowledge is. The leader sends pulses to the other hosts
-// in the same way, so that the ages add up along the path.
+// Each node has a session at the control host that it is connected to. The session sends
+// the configuration, the digests of the backend servers, and pulses with the age of the
+// host's knowledge. The leader sends pulses to the other hosts in the same way, so that
+// the ages add up along the path.
 //
-// The duties of a leader (leases of backend servers, load permits) begin once
-// the leader has applied all that was accepted before its term, and end with its
-// leadership.
+// A leader's duties (leases of backend servers, load permits) begin once it has applied
+// all that was accepted before its term, and end with its leadership.
 //
-// Locks: each field names its own. Where more than one is taken, the order is
-// the board's, Control.sessionsMu, and a session's.
+// Locks: each field names its lock. If several are taken, the order is the board's,
+// Control.sessionsMu, a session's.
 package controller
--- a/internal/transport/controller/duties.go
+++ b/internal/transport/controller/duties.go
@@ -16,10 +16,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// permitKey names what a permit is asked for.
+// permitKey identifies what a permit is requested for.
 type permitKey struct{ companion, version string }
 
-// duties are those of the leader of one term.
+// duties are a leader's tasks during one term.
 type duties struct {
 	control *Control
 	term    uint64
@@ -28,30 +28,29 @@
 	workers sync.WaitGroup
 
 	leasesMu sync.Mutex
-	// leases are the backend servers' leases; guarded by leasesMu.
+	// leases holds the backend servers' leases; guarded by leasesMu.
 	leases *registrar.Table
-	// seen is the revision up to which memberships are in leases; guarded by
-	// leasesMu.
-	seen uint64
+	// appliedUpTo is the revision up to which membership changes are applied to leases;
+	// guarded by leasesMu.
+	appliedUpTo uint64
 
-	// suspects tells when a suspect's time is over; guarded by leasesMu.
+	// suspects determines when a suspect is due for review; guarded by leasesMu.
 	suspects *suspecter.Reviewer
 
-	// changing is held during a change of the control group's membership.
-	changing sync.Mutex
+	// groupChangeMu is held during a change of the control group's membership.
+	groupChangeMu sync.Mutex
 
 	permitsMu sync.Mutex
-	// permits is the list of permits; guarded by permitsMu.
+	// permits is the table of permits; guarded by permitsMu.
 	permits *permitter.Table
-	// waiters hold the latest call that waits for each permit; guarded by
-	// permitsMu.
+	// waiters holds the most recent waiting call for each permit; guarded by permitsMu.
 	waiters map[permitKey]chan permitter.Grant
-	// due fires when the next permit may be given. Without it the store would
-	// stand idle from then to the next tick.
-	due *time.Timer
+	// grantTimer fires when the next permit may be granted. Without it the store would be
+	// idle until the next tick.
+	grantTimer *time.Timer
 
 	ledgerMu sync.Mutex
-	// ledger holds the workspaces to their quotas; guarded by ledgerMu.
+	// ledger enforces the workspaces' quotas; guarded by ledgerMu.
 	ledger *bucketer.Ledger
 }
 
@@ -64,17 +63,17 @@
 	}
 	s := c.settings.Control
 	d := &duties{
-		control:  c,
-		term:     term,
-		leases:   registrar.NewTable(registrar.Settings{Lease: time.Duration(s.MemberLease)}, now, memberships),
-		seen:     revision,
-		suspects: c.suspects(now),
+		control:     c,
+		term:        term,
+		leases:      registrar.NewTable(registrar.Settings{Lease: time.Duration(s.MemberLease)}, now, memberships),
+		appliedUpTo: revision,
+		suspects:    c.suspects(now),
 		permits: permitter.NewTable(permitter.Settings{
 			Rate: s.StoreRate, Parallel: s.StoreParallel, Overlap: s.StoreOverlap, Expiry: time.Duration(s.PermitExpiry),
 		}, term, now, c.permitHolders(now, members)),
-		waiters: make(map[permitKey]chan permitter.Grant),
-		due:     time.NewTimer(time.Hour),
-		ledger:  bucketer.NewLedger(now, term),
+		waiters:    make(map[permitKey]chan permitter.Grant),
+		grantTimer: time.NewTimer(time.Hour),
+		ledger:     bucketer.NewLedger(now, term),
 	}
 	d.ctx, d.cancel = context.WithCancel(c.ctx)
 	return d
@@ -88,10 +87,10 @@
 	return m
 }
 
-// permitHolders returns every companion that may hold a permit of a former
-// leader: the members, and those whose membership ended within the life of a
-// permit. It returns nil where some may have left unseen. On a host that started
-// lately the history tells, where it still reaches back to the beginning.
+// permitHolders returns every companion that may hold a permit granted by a previous
+// leader: the members, and the companions whose membership ended within a permit's
+// expiry. It returns nil if departures may have been missed. A host that has not run that
+// long uses the store's history, if that is still complete.
 func (c *Control) permitHolders(now time.Time, members []storer.Resource) []string {
 	engines := []string{}
 	for _, m := range members {
@@ -99,7 +98,7 @@
 			engines = append(engines, m.Metadata.Name)
 		}
 	}
-	c.dropEnded()
+	c.dropEndedMembers()
 	c.board.mu.Lock()
 	holders, ok := c.board.departures.Holders(now, engines)
 	c.board.mu.Unlock()
@@ -128,8 +127,8 @@
 	go d.run()
 }
 
-// close ends the duties and waits for them. Calls that wait for a permit are
-// refused: their companions ask the next leader.
+// close stops the duties and waits for their goroutines. Calls that wait for a permit are
+// refused; their companions ask the next leader.
 func (d *duties) close() {
 	d.cancel()
 	d.workers.Wait()
@@ -137,37 +136,37 @@
 
 func (d *duties) run() {
 	defer d.workers.Done()
-	d.retain(d.ctx)
+	d.proposeRetention(d.ctx)
 	ticker := time.NewTicker(d.control.settings.TickInterval)
 	defer ticker.Stop()
-	defer d.due.Stop()
+	defer d.grantTimer.Stop()
 	for {
 		select {
 		case <-d.ctx.Done():
 			return
-		case <-d.due.C:
-			d.grant()
+		case <-d.grantTimer.C:
+			d.grantPermits()
 			continue
 		case <-ticker.C:
 		}
-		d.follow()
-		d.expire()
+		d.applyMemberChanges()
+		d.expireMembers()
 		d.reviewSuspects()
-		d.review()
-		d.grant()
+		d.reviewSilentVoters()
+		d.grantPermits()
 	}
 }
 
-// follow takes the memberships that began and ended into the table of leases.
-func (d *duties) follow() {
+// applyMemberChanges applies membership changes to the table of leases.
+func (d *duties) applyMemberChanges() {
 	d.leasesMu.Lock()
 	defer d.leasesMu.Unlock()
 	now := d.control.settings.Now()
 	for {
-		changes, upTo, ok := d.control.store.Since(d.seen, 0)
-		if !ok || upTo <= d.seen {
-			// A leader applies every command itself, and its history reaches
-			// back further than a tick.
+		changes, upTo, ok := d.control.store.Since(d.appliedUpTo, 0)
+		if !ok || upTo <= d.appliedUpTo {
+			// A leader applies every command itself, and its history covers more than a
+			// tick.
 			break
 		}
 		for _, change := range changes {
@@ -182,13 +181,13 @@
 				d.leases.Begin(now, m)
 			}
 		}
-		d.seen = upTo
+		d.appliedUpTo = upTo
 	}
 	d.control.metrics.members.Set(float64(d.leases.Len()))
 }
 
-// expire ends the memberships whose leases ran out, in one command.
-func (d *duties) expire() {
+// expireMembers ends the memberships whose leases expired, in one command.
+func (d *duties) expireMembers() {
 	if !d.control.agreement.LeaseValid() {
 		return
 	}
@@ -199,18 +198,18 @@
 		return
 	}
 	if err := d.propose(storer.ExpireMembers{Members: expired}); err != nil {
-		d.control.settings.Log.Debug().Err(err).Msg("expired memberships were not ended; the next tick tries again")
+		d.control.settings.Log.Debug().Err(err).Msg("failed to end expired memberships; retrying at the next tick")
 		return
 	}
 	for _, m := range expired {
 		d.control.metrics.expired.Inc()
 		d.control.recordBackend(recorder.KindMemberExpired, m.Name, "epoch %d", m.Epoch)
 		d.control.settings.Log.Info().Str("Backend", m.Name).Uint64("Epoch", m.Epoch).
-			Dur("Lease", time.Duration(d.control.settings.Control.MemberLease)).Msg("backend server's lease ran out")
+			Dur("Lease", time.Duration(d.control.settings.Control.MemberLease)).Msg("lease of backend server expired")
 	}
 }
 
-// propose has a command of the leader's own accepted.
+// propose commits a command of the leader itself.
 func (d *duties) propose(c storer.Command) error {
 	data, err := storer.Encode(storer.Envelope{Time: storer.InstantOf(d.control.settings.Now()), Command: c})
 	if err != nil {
@@ -222,7 +221,7 @@
 	return errors.Trace(err)
 }
 
-// renew takes the renewals of one control host in.
+// renew applies the lease renewals of one control host.
 func (d *duties) renew(b registrar.RenewBatch) registrar.RenewAnswer {
 	now := d.control.settings.Now()
 	d.leasesMu.Lock()
@@ -236,11 +235,11 @@
 	return registrar.RenewAnswer{Void: void}
 }
 
-// requestPermit waits for a permit until the context ends.
+// requestPermit waits for a permit until ctx or the leadership ends.
 func (d *duties) requestPermit(ctx context.Context, r permitter.Request) (permitter.Grant, error) {
 	if _, member := d.control.store.Get(storer.Key{Kind: storer.KindMember, Name: r.Companion}); !member {
 		// The next leader would not know that this companion may hold a permit.
-		return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonUnavailable, "no member of that name")
+		return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonUnavailable, "the companion is not a member")
 	}
 	key := permitKey{companion: r.Companion, version: r.Version}
 	granted := make(chan permitter.Grant, 1)
@@ -252,7 +251,7 @@
 	}
 	d.waiters[key] = granted
 	d.permitsMu.Unlock()
-	d.grant()
+	d.grantPermits()
 	select {
 	case g := <-granted:
 		return g, nil
@@ -267,29 +266,29 @@
 	default:
 	}
 	if d.waiters[key] == granted {
-		// Another call for the same permit may have taken this one's place
-		// after its connection broke; then it is not withdrawn.
+		// Withdraw the request only if no other call for the same permit has replaced
+		// this one, as happens after its connection broke.
 		delete(d.waiters, key)
 		d.permits.Finish(d.control.settings.Now(), permitter.Finish{Companion: r.Companion, Version: r.Version})
 	}
 	if d.ctx.Err() != nil {
 		return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonUnavailable, "leadership ended")
 	}
-	return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonDeadline, "no permit within the time")
+	return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonDeadline, "no permit became available before the deadline")
 }
 
 func (d *duties) finishPermit(f permitter.Finish) {
 	d.permitsMu.Lock()
 	d.permits.Finish(d.control.settings.Now(), f)
 	d.permitsMu.Unlock()
-	d.grant()
+	d.grantPermits()
 }
 
-// grant gives the permits that are due to the calls that wait.
+// grantPermits grants the permits that are due and answers the calls that wait for them.
 //
-// A leader that can't be sure of its lease grants nothing: another may have been
-// elected, and the two would have the store load twice at once.
-func (d *duties) grant() {
+// A leader whose lease is not valid grants nothing: another leader may have been elected,
+// and together they would let the store serve two loads at once.
+func (d *duties) grantPermits() {
 	if d.ctx.Err() != nil || !d.control.agreement.LeaseValid() {
 		return
 	}
@@ -308,7 +307,7 @@
 		}
 	}
 	if at, ok := d.permits.Next(now); ok && at.After(now) {
-		d.due.Reset(at.Sub(now))
+		d.grantTimer.Reset(at.Sub(now))
 	}
 	d.control.metrics.waiting.Set(float64(d.permits.Waiting()))
 	d.control.metrics.held.Set(float64(d.permits.Held()))
--- a/internal/transport/controller/enlisting.go
+++ b/internal/transport/controller/enlisting.go
@@ -14,58 +14,56 @@
 )
 
 const (
-	// enlistInterval is the time between two looks whether this host has its
-	// vote, and between two tries to get it. Three tries fit into a second, so
-	// that the change of a lost host takes little more than the transfer of the
-	// state.
+	// enlistInterval is the time between two checks whether this host is a voter, and
+	// between two attempts to become one. Three attempts fit into a second, so that
+	// replacing a lost host takes little longer than the transfer of the state.
 	enlistInterval = 300 * time.Millisecond
-	// enlistTimeout bounds one try; the transfer of the state goes on after it.
+	// enlistTimeout bounds one attempt; the transfer of the state continues after it.
 	enlistTimeout = time.Second
-	// unheardLimit is the time without a leader's word after which a voter asks
-	// whether it still is one. It lies above two elections, so that a group that
-	// only changes its leader is not asked.
-	unheardLimit = 2 * time.Second
-	// changeTimeout bounds one change of the membership by the leader.
+	// maxLeaderSilence is the time without contact from a leader after which a voter
+	// enlists again. It exceeds two elections, so that a change of leader does not
+	// trigger it.
+	maxLeaderSilence = 2 * time.Second
+	// changeTimeout bounds one membership change by the leader.
 	changeTimeout = 3 * time.Second
 )
 
-// Enlist keeps this host a voter of the group: it asks the control hosts that it
-// knows until it is one, and again when it may have been removed. It returns
-// when the host closes.
+// Enlist keeps this host a voter of the group: it polls the known control hosts until it
+// is one, and again whenever it may have been removed. It returns when the host is
+// closed.
 //
-// A host that was removed while it was cut off hears nothing that tells it: it
-// would stay without a vote for good, and the next loss would stop the group.
+// A host that was removed while it was partitioned receives no message about it. Without
+// Enlist it would stay without a vote, and the next loss would stop the group.
 func (c *Control) Enlist() {
 	for c.pause(enlistInterval) {
-		if c.voting() {
+		if c.isActiveVoter() {
 			continue
 		}
 		for _, address := range c.reachableHosts() {
-			err := c.askToEnlist(address)
+			err := c.requestEnlistment(address)
 			if err == nil {
 				break
 			}
-			c.settings.Log.Debug().Err(err).Str("Host", address).Msg("not enlisted yet")
+			c.settings.Log.Debug().Err(err).Str("Host", address).Msg("enlistment attempt failed")
 		}
 	}
 }
 
-// voting reports whether this host votes and hears of a leader.
-func (c *Control) voting() bool {
+// isActiveVoter reports whether this host is a voter with recent contact to a leader.
+func (c *Control) isActiveVoter() bool {
 	s := c.agreement.Status()
 	self, member := replicator.Configuration{Members: s.Members}.Find(s.Self)
 	if s.Formation == 0 && !c.settings.Control.Join {
-		// The group is still to be formed, by this host among others.
+		// The group is not formed yet; this host takes part in forming it.
 		return true
 	}
-	return member && self.Voter && self.Incarnation == s.Incarnation && c.agreement.LeaderContact() < unheardLimit
+	return member && self.Voter && self.Incarnation == s.Incarnation && c.agreement.LeaderContact() < maxLeaderSilence
 }
 
-// reachableHosts returns the addresses of other control hosts, members of the
-// group first.
+// reachableHosts returns the addresses of the other control hosts, group members first.
 func (c *Control) reachableHosts() []string {
-	addresses := c.others()
-	for _, h := range c.links.hosts() {
+	addresses := c.otherHosts()
+	for _, h := range c.links.allAddresses() {
 		if h != c.settings.Control.Listen && !slices.Contains(addresses, h) {
 			addresses = append(addresses, h)
 		}
@@ -73,7 +71,7 @@
 	return addresses
 }
 
-func (c *Control) askToEnlist(address string) error {
+func (c *Control) requestEnlistment(address string) error {
 	ctx, cancel := context.WithTimeout(c.ctx, enlistTimeout)
 	defer cancel()
 	conn, err := c.pool.Conn(ctx, address)
@@ -86,69 +84,69 @@
 			ID: c.settings.ID, Address: c.settings.Control.Listen, FailureDomain: c.settings.FailureDomain, Voter: true,
 		},
 		Incarnation:   c.agreement.Status().Incarnation,
-		TimeoutMillis: remaining(ctx),
+		TimeoutMillis: remainingMillis(ctx),
 	}, &group)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	c.learnHosts(group)
+	c.updateHosts(group)
 	return nil
 }
 
-// learnHosts takes in where the group's hosts are.
-func (c *Control) learnHosts(g distributor.Group) {
+// updateHosts records the addresses of the group's hosts.
+func (c *Control) updateHosts(g distributor.Group) {
 	var members []replicator.Member
 	for _, h := range g.Hosts {
 		members = append(members, replicator.Member{ID: replicator.HostID(h.ID), Address: h.Address})
 	}
-	c.links.learn(members)
+	c.links.updateMembers(members)
 }
 
-// enlist serves MethodEnlist: the leader begins to take the host in, and the
-// answer tells of the group as it is now.
+// enlist serves MethodEnlist: the leader starts to add the host, and the answer is the
+// current group.
 func (c *Control) enlist(ctx context.Context, e distributor.Enlistment) (answer distributor.Group, err error) {
 	ctx, cancel := bounded(ctx, e.TimeoutMillis)
 	defer cancel()
-	err = c.atLeader(ctx, e.Forwarded, func(context.Context) error {
+	err = c.onLeader(ctx, e.Forwarded, func(context.Context) error {
 		if d := c.currentDuties(); d != nil {
-			d.takeIn(e) //nolint:contextcheck // The change outlives the call, which is repeated.
+			d.startEnlistment(e) //nolint:contextcheck // The change outlives the call, which the host repeats.
 		}
-		answer = c.describe()
+		answer = c.describeGroup()
 		return nil
 	}, func(ctx context.Context, conn *messenger.Conn) error {
-		e.Forwarded, e.TimeoutMillis = true, remaining(ctx)
+		e.Forwarded, e.TimeoutMillis = true, remainingMillis(ctx)
 		return conn.Call(ctx, messenger.MethodEnlist, e, &answer)
 	})
 	return answer, err
 }
 
-// takeIn begins to make a host a voter, unless a change is under way: the host
-// asks again.
-func (d *duties) takeIn(e distributor.Enlistment) {
-	if d.ctx.Err() != nil || !d.changing.TryLock() {
+// startEnlistment starts to make a host a voter, unless another change is in progress;
+// the host then retries.
+func (d *duties) startEnlistment(e distributor.Enlistment) {
+	if d.ctx.Err() != nil || !d.groupChangeMu.TryLock() {
 		return
 	}
 	d.workers.Go(func() {
-		defer d.changing.Unlock()
+		defer d.groupChangeMu.Unlock()
 		ctx, cancel := context.WithTimeout(d.ctx, changeTimeout)
 		defer cancel()
 		err := d.makeVoter(ctx, e)
-		d.logChange(err).Uint64("Host", e.Host.ID).Str("Address", e.Host.Address).Msg("a control host enlists")
+		d.logChange(err).Uint64("Host", e.Host.ID).Str("Address", e.Host.Address).Msg("processed the enlistment of a control host")
 		if err == nil {
-			d.dismissSilent(ctx)
+			d.removeSilentVoters(ctx)
 		}
 	})
 }
 
-// makeVoter adds the host, and first removes the one whose number it bears where
-// that one's disk is lost: the votes and acknowledgements of the old disk must
-// not be taken for the new one's.
+// makeVoter adds the host as a voter. If a voter with the same ID but another disk
+// exists, it is removed first: that disk is lost, and its votes and acknowledgements must
+// not be attributed to the new one.
 func (d *duties) makeVoter(ctx context.Context, e distributor.Enlistment) error {
 	agreement := d.control.agreement
 	old, found := replicator.Configuration{Members: agreement.Status().Members}.Find(replicator.HostID(e.Host.ID))
 	if found && old.Voter && old.Incarnation != e.Incarnation {
 		if err := agreement.RemoveMember(ctx, old.ID); err != nil {
-			return errors.Annotate(err, "remove the host's lost disk")
+			return errors.Annotate(err, "remove the voter whose disk is lost")
 		}
 	}
 	return errors.Trace(agreement.AddMember(ctx, replicator.Member{
@@ -156,10 +154,10 @@
 	}))
 }
 
-// dismissSilent removes voters that are silent, as long as there are more than
-// the group wants. A host that is only cut off keeps its vote where nobody has
-// taken its place, and enlists again where somebody has.
-func (d *duties) dismissSilent(ctx context.Context) {
+// removeSilentVoters removes voters that are silent, as long as the group has more than
+// the wanted number. A host that is only partitioned keeps its vote unless it has been
+// replaced, and enlists again if it was.
+func (d *duties) removeSilentVoters(ctx context.Context) {
 	wanted := d.control.settings.Control.WantedVoters
 	if wanted == 0 {
 		return
@@ -170,23 +168,23 @@
 			return
 		}
 		err := d.control.agreement.RemoveMember(ctx, s.Silent[0])
-		d.logChange(err).Uint64("Host", uint64(s.Silent[0])).Msg("a silent control host is removed")
+		d.logChange(err).Uint64("Host", uint64(s.Silent[0])).Msg("removed a silent control host")
 		if err != nil {
 			return
 		}
 	}
 }
 
-// review is dismissSilent for the leader's tick.
-func (d *duties) review() {
-	if d.control.settings.Control.WantedVoters == 0 || len(d.control.agreement.Status().Silent) == 0 || !d.changing.TryLock() {
+// reviewSilentVoters runs removeSilentVoters from the leader's tick.
+func (d *duties) reviewSilentVoters() {
+	if d.control.settings.Control.WantedVoters == 0 || len(d.control.agreement.Status().Silent) == 0 || !d.groupChangeMu.TryLock() {
 		return
 	}
 	d.workers.Go(func() {
-		defer d.changing.Unlock()
+		defer d.groupChangeMu.Unlock()
 		ctx, cancel := context.WithTimeout(d.ctx, changeTimeout)
 		defer cancel()
-		d.dismissSilent(ctx)
+		d.removeSilentVoters(ctx)
 	})
 }
 
--- a/internal/transport/controller/enlisting_test.go
+++ b/internal/transport/controller/enlisting_test.go
@@ -17,16 +17,16 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/controller"
 )
 
-// enlisting lets the hosts of a group repair it by themselves.
-func enlisting(s *controller.Settings) {
+// selfRepairing configures a group that replaces its lost hosts by itself.
+func selfRepairing(s *controller.Settings) {
 	shortLeases(s)
 	s.Control.WantedVoters = 3
 }
 
-// enlist runs a host's Enlist until the host closes.
-func enlist(running *sync.WaitGroup, c *controller.Control) { running.Go(c.Enlist) }
+// runEnlist runs a host's Enlist until the host is closed.
+func runEnlist(running *sync.WaitGroup, c *controller.Control) { running.Go(c.Enlist) }
 
-// voters returns the numbers of the voters that a host knows of.
+// voters returns the IDs of the voters that a host knows of.
 func voters(c *controller.Control) []uint64 {
 	var ids []uint64
 	for _, m := range c.Status().Members {
@@ -37,7 +37,7 @@
 	return ids
 }
 
-// join starts a host that waits to be taken in, with an empty folder.
+// join starts a host with an empty folder that waits to be added to the group.
 func (g *group) join(i int, address string) {
 	GinkgoHelper()
 	network, err := net.Listen("tcp", address)
@@ -59,48 +59,44 @@
 
 	BeforeEach(func() {
 		var err error
-		g, err = newGroup(3, enlisting)
+		g, err = newGroup(3, selfRepairing)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() {
 			g.close()
 			running.Wait()
 		})
 		for _, c := range g.controls {
-			enlist(&running, c)
+			runEnlist(&running, c)
 		}
 		Eventually(g.leader, patience).Should(BeNumerically(">=", 0))
 	})
 
 	follower := func() int { return (g.leader() + 1) % 3 }
 
-	It("takes the successor of a lost host in, and the lost one out", func() {
-		// Symptom: the loss of a second host stops all changes, days after the
-		// first was replaced.
-		// Events: a host is lost; an empty one comes at another address; nobody
-		// tells the group.
-		// Cause: members changed by operators' hands only.
+	It("adds the replacement of a lost host, and removes the lost one", func() {
+		// Guards against a group whose members change only by operator action. A host is
+		// lost and an empty one starts at another address; if it does not become a voter,
+		// the later loss of a second host stops all changes.
 		lost := follower()
 		id := g.hosts[lost].ID
 		Expect(g.kill(lost)).To(Succeed())
 		g.hosts = append(g.hosts, configurer.ControlHost{ID: 4, FailureDomain: "d4", Region: "r"})
 		g.controls, g.metrics = append(g.controls, nil), append(g.metrics, nil)
 		g.join(3, "127.0.0.1:0")
-		enlist(&running, g.controls[3])
+		runEnlist(&running, g.controls[3])
 		Eventually(func() []uint64 { return voters(g.controls[3]) }, patience).Should(And(HaveLen(3), ContainElement(uint64(4)), Not(ContainElement(id))))
 	})
 
-	It("takes a host with an empty disk in as a new one", func() {
-		// Symptom: what was accepted is gone after two losses, though each was of
-		// one host.
-		// Events: a host comes back with an empty disk and answers as before; the
-		// only other holder of a change is lost.
-		// Cause: the empty disk's vote counted as the old one's.
+	It("adds a host with an empty disk as a new one", func() {
+		// Guards against counting the vote of an empty disk as the old disk's. A host
+		// comes back with an empty disk, and the only other holder of a change is lost:
+		// accepted changes would be gone after two losses of one host each.
 		wiped := follower()
 		old, _ := replicator.Configuration{Members: g.controls[wiped].Status().Members}.Find(replicator.HostID(g.hosts[wiped].ID))
 		Expect(g.kill(wiped)).To(Succeed())
-		Expect(os.RemoveAll(filepath.Join(g.folder, nodeOf(g.hosts[wiped].ID)))).To(Succeed())
+		Expect(os.RemoveAll(filepath.Join(g.folder, nodeName(g.hosts[wiped].ID)))).To(Succeed())
 		g.join(wiped, g.hosts[wiped].Address)
-		enlist(&running, g.controls[wiped])
+		runEnlist(&running, g.controls[wiped])
 		Eventually(func() uint64 {
 			m, _ := replicator.Configuration{Members: g.controls[wiped].Status().Members}.Find(old.ID)
 			if !m.Voter {
@@ -111,31 +107,31 @@
 		Eventually(func() []uint64 { return voters(g.controls[wiped]) }, patience).Should(HaveLen(3))
 	})
 
-	It("keeps a host that is only cut off", func() {
+	It("keeps a host that is only partitioned", func() {
 		cut := follower()
 		for i := range g.hosts {
-			g.network.set(nodeOf(g.hosts[i].ID), g.hosts[cut].Address, true)
-			g.network.set(nodeOf(g.hosts[cut].ID), g.hosts[i].Address, true)
+			g.network.set(nodeName(g.hosts[i].ID), g.hosts[cut].Address, true)
+			g.network.set(nodeName(g.hosts[cut].ID), g.hosts[i].Address, true)
 		}
 		leader := g.controls[g.leader()]
 		Eventually(func() []replicator.HostID { return leader.Status().Silent }, patience).ShouldNot(BeEmpty())
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		Expect(leader.PutRouting(ctx, 1, []byte("one"))).To(Succeed(), "the others go on")
-		// A removal would come with one of the leader's next ticks.
+		Expect(leader.PutRouting(ctx, 1, []byte("one"))).To(Succeed(), "the others still accept changes")
+		// A removal would happen at one of the leader's next ticks.
 		Consistently(func() []uint64 { return voters(leader) }, 10*controller.DefaultTickInterval).Should(HaveLen(3))
 	})
 })
 
 var _ = Describe("Announcements to control hosts", func() {
 	ctx := context.Background()
-	// A host that took a change to the leader applies it a moment later itself.
+	// A host that forwards a change to the leader applies it shortly afterwards itself.
 	announcedKey := storer.Key{Kind: storer.KindMember, Name: controller.MemberName("10.0.0.1:80")}
 	spec := func(state storer.MemberState) storer.MemberSpec {
 		return storer.MemberSpec{Kind: storer.MemberKindService, Service: "s", Address: "10.0.0.1:80", FailureDomain: "d", Incarnation: "i-1", State: state}
 	}
 
-	It("reach the store by any host, and keep the membership alive", func() {
+	It("reach the store through any host, and renew the membership", func() {
 		g, err := newGroup(3, shortLeases)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(g.close)
@@ -144,7 +140,7 @@
 		Eventually(func() error { return at.Announce(ctx, spec(storer.MemberStateServing)) }, 10*time.Second).Should(Succeed())
 		Eventually(func() bool { _, ok := at.Store().Get(announcedKey); return ok }, 10*time.Second).Should(BeTrue())
 		first := at.Store().Revision()
-		// A heartbeat that brings nothing new is no change.
+		// A heartbeat without changes does not change the revision.
 		Eventually(func() error { return at.Announce(ctx, spec(storer.MemberStateServing)) }, 10*time.Second).Should(Succeed())
 		Expect(at.Store().Revision()).To(Equal(first))
 		Expect(at.Announce(ctx, spec(storer.MemberStateLeaving))).To(Succeed())
@@ -156,11 +152,9 @@
 		Eventually(func() bool { _, ok := at.Store().Get(announcedKey); return ok }, 10*time.Second).Should(BeFalse())
 	})
 
-	It("are not taken by a host that is cut off", func() {
-		// Symptom: a backend server that is well loses its membership.
-		// Events: its heartbeats go to a control host that is cut off from the
-		// leader, which acknowledges them; the lease runs out at the leader.
-		// Cause: any host that runs acknowledged.
+	It("are not acknowledged by a partitioned host", func() {
+		// Guards against a partitioned control host that acknowledges heartbeats. They do
+		// not reach the leader, where the lease of the healthy backend server expires.
 		g, err := newGroup(3, shortLeases)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(g.close)
@@ -170,16 +164,17 @@
 		Eventually(func() bool { _, ok := g.controls[cut].Store().Get(announcedKey); return ok }, 10*time.Second).Should(BeTrue())
 		for i := range g.hosts {
 			if i != cut {
-				g.network.set(nodeOf(g.hosts[i].ID), g.hosts[cut].Address, true)
-				g.network.set(nodeOf(g.hosts[cut].ID), g.hosts[i].Address, true)
+				g.network.set(nodeName(g.hosts[i].ID), g.hosts[cut].Address, true)
+				g.network.set(nodeName(g.hosts[cut].ID), g.hosts[i].Address, true)
 			}
 		}
 		Eventually(func() error { return g.controls[cut].Announce(ctx, spec(storer.MemberStateServing)) }, 10*time.Second).
 			Should(MatchError(controller.ErrNoLeaderContact))
 	})
 
-	It("of a leave are acknowledged only once accepted, in whatever order they arrive", func() {
-		// Guards against a leave that is acknowledged because a later message, itself not accepted, arrived first.
+	It("of a leave are acknowledged only once committed, in any order of arrival", func() {
+		// Guards against a leave that is acknowledged because a later message, itself not
+		// accepted, arrived first.
 		g, err := newGroup(3, shortLeases)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(g.close)
@@ -196,16 +191,17 @@
 		Eventually(func() bool { _, ok := g.controls[cut].Store().Get(announcedKey); return ok }, 10*time.Second).Should(BeTrue())
 		for i := range g.hosts {
 			if i != cut {
-				g.network.set(nodeOf(g.hosts[i].ID), g.hosts[cut].Address, true)
-				g.network.set(nodeOf(g.hosts[cut].ID), g.hosts[i].Address, true)
+				g.network.set(nodeName(g.hosts[i].ID), g.hosts[cut].Address, true)
+				g.network.set(nodeName(g.hosts[cut].ID), g.hosts[i].Address, true)
 			}
 		}
 		Eventually(func() error { return announce(storer.MemberStateLeaving, 3) }, 10*time.Second).ShouldNot(Succeed())
 		Expect(announce(storer.MemberStateLeaving, 2)).NotTo(Succeed())
 	})
 
-	It("of an end take effect at all hosts, even through a host that may be behind", func() {
-		// Guards against an end that a host acknowledges without effect because it has not applied the membership yet.
+	It("of an end take effect at all hosts, even through a host that may lag behind", func() {
+		// Guards against an end that a host acknowledges without effect because it has
+		// not applied the membership yet.
 		g, err := newGroup(3, shortLeases)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(g.close)
@@ -223,14 +219,14 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("and routing configurations are read after all that was accepted", func() {
+	It("and routing configurations are read after everything accepted before", func() {
 		g, err := newGroup(3, shortLeases)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(g.close)
 		Eventually(g.leader, 10*time.Second).Should(BeNumerically(">=", 0))
 		Expect(g.controls[0].PutRouting(ctx, 7, []byte("seven"))).To(Succeed())
 		Expect(g.controls[1].PutRouting(ctx, 5, []byte("five"))).To(Succeed())
-		Expect(g.controls[2].SetNewestVersion(ctx, "m/a1", 2)).To(Succeed())
+		Expect(g.controls[2].NameNewest(ctx, "m/a1", 2)).To(Succeed())
 		for _, c := range g.controls {
 			spec, ok, err := c.Routing(ctx)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/transport/controller/failover_benchmark_test.go
+++ b/internal/transport/controller/failover_benchmark_test.go
@@ -13,10 +13,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/registrar"
 )
 
-// BenchmarkFailover kills the leader of three control hosts and measures, from
-// then on, the time until a change is accepted and until a companion has a load
-// permit, at the default settings with three companions that renew twice a
-// second.
+// BenchmarkFailover kills the leader of three control hosts, and measures the time until
+// a change is accepted and until a companion has a load permit, with the default settings
+// and three companions that renew twice a second.
 func BenchmarkFailover(b *testing.B) {
 	g, err := newGroup(3, nil)
 	if err != nil {
--- a/internal/transport/controller/fanout_benchmark_test.go
+++ b/internal/transport/controller/fanout_benchmark_test.go
@@ -17,12 +17,12 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/subscriber"
 )
 
-// watcher is a node's replica that only notes when it came to hold what.
+// watcher is a node's replica that only records when it reached each revision.
 type watcher struct {
 	revision atomic.Uint64
 
 	mu sync.Mutex
-	// steps rise by revision and time; guarded by mu.
+	// steps is ordered by revision and time; guarded by mu.
 	steps []watcherStep
 }
 
@@ -45,27 +45,27 @@
 	return w.Apply(nil, revision)
 }
 
-// held returns when the watcher came to hold a revision.
-func (w *watcher) held(revision uint64) time.Time {
+// heldAt returns when the watcher reached a revision.
+func (w *watcher) heldAt(revision uint64) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i, _ := slices.BinarySearchFunc(w.steps, revision, func(s watcherStep, r uint64) int { return cmp.Compare(s.upTo, r) })
 	return w.steps[i].at
 }
 
-// counting counts the bytes read from a connection.
-type counting struct {
+// countingConn counts the bytes read from a connection.
+type countingConn struct {
 	net.Conn
 	read *atomic.Int64
 }
 
-func (c counting) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.read.Add(int64(n))
 	return n, err
 }
 
-// processorTime returns the time this process has used.
+// processorTime returns the CPU time used by this process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -74,9 +74,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// crowd is a control group of three with watchers in their three failure
+// watcherFleet is a control group of three hosts with watchers in their three failure
 // domains.
-type crowd struct {
+type watcherFleet struct {
 	*group
 	writer   *node
 	watchers []*watcher
@@ -84,17 +84,17 @@
 	read     atomic.Int64
 
 	mu sync.Mutex
-	// accepted holds when each revision was accepted; guarded by mu.
+	// accepted holds the time at which each revision was accepted; guarded by mu.
 	accepted map[uint64]time.Time
 }
 
-func newCrowd(b *testing.B, size int) *crowd {
+func newWatcherFleet(b *testing.B, size int) *watcherFleet {
 	b.Helper()
 	g, err := newGroup(3, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
-	c := &crowd{group: g, accepted: make(map[uint64]time.Time)}
+	c := &watcherFleet{group: g, accepted: make(map[uint64]time.Time)}
 	c.writer = g.node("writer", "d1", distributor.ScopeEntry, nil)
 	for i := range size {
 		w := &watcher{}
@@ -106,18 +106,18 @@
 				if err != nil {
 					return nil, err
 				}
-				return counting{Conn: conn, read: &c.read}, nil
+				return countingConn{Conn: conn, read: &c.read}, nil
 			}
 		})
 		c.watchers, c.clients = append(c.watchers, w), append(c.clients, n.Client)
 	}
-	c.await(c.write(b, 0))
+	c.waitHeld(c.write(b, 0))
 	clear(c.accepted)
 	return c
 }
 
-// write has a change accepted and returns its revision.
-func (c *crowd) write(b *testing.B, i int) uint64 {
+// write proposes a change and returns its revision.
+func (c *watcherFleet) write(b *testing.B, i int) uint64 {
 	b.Helper()
 	r, err := putWorkspace(c.writer, fmt.Sprintf("w%d", i%50), 1+i%1000)
 	if err != nil || r.Verdict != storer.VerdictAccepted {
@@ -130,8 +130,8 @@
 	return r.Revision
 }
 
-// await returns when all watchers hold a revision.
-func (c *crowd) await(revision uint64) {
+// waitHeld waits until all watchers hold a revision.
+func (c *watcherFleet) waitHeld(revision uint64) {
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	for slices.ContainsFunc(c.watchers, func(w *watcher) bool { return w.Revision() < revision }) {
@@ -139,14 +139,14 @@
 	}
 }
 
-// inForce returns, for each change, the time from its acceptance until the last
-// watcher held it.
-func (c *crowd) inForce() []time.Duration {
+// inForce returns, for each change, the time from its acceptance until the last watcher
+// held it.
+func (c *watcherFleet) inForce() []time.Duration {
 	var times []time.Duration
 	for revision, accepted := range c.accepted {
 		var last time.Time
 		for _, w := range c.watchers {
-			if at := w.held(revision); at.After(last) {
+			if at := w.heldAt(revision); at.After(last) {
 				last = at
 			}
 		}
@@ -155,7 +155,7 @@
 	return times
 }
 
-func (c *crowd) close() {
+func (c *watcherFleet) close() {
 	for _, n := range c.clients {
 		n.Close()
 	}
@@ -163,16 +163,16 @@
 	c.group.close()
 }
 
-// cost is what a crowd has used up to some moment.
+// cost is a reading of the bytes read and the CPU time used.
 type cost struct {
 	read int64
 	used time.Duration
 }
 
-func (c *crowd) cost() cost { return cost{read: c.read.Load(), used: processorTime()} }
+func (c *watcherFleet) cost() cost { return cost{read: c.read.Load(), used: processorTime()} }
 
-// report gives the times until changes were in force, and what they cost.
-func (c *crowd) report(b *testing.B, before cost) {
+// report reports the times until changes were in force, and their cost.
+func (c *watcherFleet) report(b *testing.B, before cost) {
 	b.Helper()
 	after := c.cost()
 	times := c.inForce()
@@ -187,32 +187,32 @@
 	b.ReportMetric(float64((after.used-before.used).Microseconds())/n, "cpu-us/change")
 }
 
-// BenchmarkInForce measures the time from the acceptance of a change until it is
-// in force on all watchers, one change at a time and at a steady rate, with the
-// three control hosts and all watchers in this process.
+// BenchmarkInForce measures the time from the acceptance of a change until it is in force
+// on all watchers, for single changes and at a constant rate. The three control hosts and
+// all watchers run in this process.
 func BenchmarkInForce(b *testing.B) {
 	for _, size := range []int{25, 100, 200} {
 		b.Run(fmt.Sprintf("Watchers=%d/OneAtATime", size), func(b *testing.B) {
-			c := newCrowd(b, size)
+			c := newWatcherFleet(b, size)
 			defer c.close()
 			before := c.cost()
 			for i := 0; b.Loop(); i++ {
-				c.await(c.write(b, i))
+				c.waitHeld(c.write(b, i))
 			}
 			c.report(b, before)
 		})
 	}
 	for _, size := range []int{25, 100, 200} {
 		for _, rate := range []int{100, 1000} {
-			b.Run(fmt.Sprintf("Watchers=%d/PerSecond=%d", size, rate), func(b *testing.B) { steady(b, size, rate) })
+			b.Run(fmt.Sprintf("Watchers=%d/PerSecond=%d", size, rate), func(b *testing.B) { benchmarkSteadyRate(b, size, rate) })
 		}
 	}
 }
 
-// steady writes at a rate, a second for each iteration.
-func steady(b *testing.B, size, rate int) {
+// benchmarkSteadyRate writes changes at a constant rate, one second per iteration.
+func benchmarkSteadyRate(b *testing.B, size, rate int) {
 	b.Helper()
-	c := newCrowd(b, size)
+	c := newWatcherFleet(b, size)
 	defer c.close()
 	before := c.cost()
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
@@ -226,7 +226,7 @@
 	}
 	writers.Wait()
 	for revision := range c.accepted {
-		c.await(revision)
+		c.waitHeld(revision)
 	}
 	c.report(b, before)
 }
--- a/internal/transport/controller/faults_test.go
+++ b/internal/transport/controller/faults_test.go
@@ -26,12 +26,12 @@
 )
 
 const (
-	// memberLease is the one that the product promises by default.
+	// memberLease is the default of the settings.
 	memberLease        = time.Duration(configurer.DefaultMemberLease)
 	configurationLease = 2 * time.Second
-	// hang bounds the waits for what is promised without a time, on hosts whose rounds take
-	// longer than an election timeout.
-	hang = time.Minute
+	// longTimeout bounds waits without a promised duration, for machines on which a round
+	// trip takes longer than an election timeout.
+	longTimeout = time.Minute
 )
 
 func shortLeases(s *controller.Settings) {
@@ -39,12 +39,12 @@
 	s.Control.ConfigurationLease = configurer.Duration(configurationLease)
 	s.Control.StoreRate = 1000
 	s.PulseInterval = 100 * time.Millisecond
-	s.Messenger = quick
+	s.Messenger = fastIntervals
 }
 
 func shortLease(s *subscriber.Settings) {
 	s.ConfigurationLease = configurationLease
-	s.Messenger = quick
+	s.Messenger = fastIntervals
 }
 
 func member(domain, incarnation string) storer.MemberSpec {
@@ -63,11 +63,11 @@
 		g, err = newGroup(3, shortLeases)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(g.close)
-		Eventually(g.leader, patience).ShouldNot(Equal(-1))
+		Eventually(g.leader, eventuallyTimeout).ShouldNot(Equal(-1))
 	})
 
-	// heartbeats renews a membership until the test ends, joining again when it
-	// is void, and counts the voids.
+	// heartbeats renews a membership until the test ends, and returns the count of void
+	// notifications.
 	heartbeats := func(n *node, lease registrar.Lease) *atomic.Int64 {
 		voids := &atomic.Int64{}
 		epoch := &atomic.Uint64{}
@@ -95,18 +95,17 @@
 	join := func(name, domain string) (*node, registrar.Lease) {
 		n := g.node(name, domain, distributor.ScopeCompanion, shortLease)
 		DeferCleanup(n.Close)
-		waiting, cancel := context.WithTimeout(ctx, hang)
+		waiting, cancel := context.WithTimeout(ctx, longTimeout)
 		defer cancel()
 		lease, err := n.Join(waiting, name, member(domain, "i1"))
 		Expect(err).NotTo(HaveOccurred())
 		return n, lease
 	}
 
-	// Symptom: every backend server vanishes after an election, and all calls
-	// are refused until they have joined again.
-	// Sequence: companions renew through three control hosts; the leader dies;
-	// the new one knows of no renewal.
-	// Cause to prevent: taking renewals that another leader had for missing.
+	// Guards against a new leader that counts renewals received by its predecessor as
+	// missing. Companions renew through three control hosts and the leader dies; all
+	// memberships would expire, and all calls would be refused until the backend servers
+	// have joined again.
 	It("keeps every membership over the loss of the leader", func() {
 		entry := g.node("entry", "d2", distributor.ScopeEntry, shortLease)
 		DeferCleanup(entry.Close)
@@ -120,26 +119,26 @@
 		}
 		old := g.leader()
 		Expect(g.kill(old)).To(Succeed())
-		Eventually(g.leader, hang).ShouldNot(Equal(-1))
+		Eventually(g.leader, longTimeout).ShouldNot(Equal(-1))
 
-		// A membership that expires proves that the new leader's leases run.
+		// A membership that expires proves that the new leader tracks leases.
 		join("backend-dying", fmt.Sprintf("d%d", old+1))
-		Eventually(func() int { return len(entry.index.Members().Members) }, hang).Should(Equal(4))
+		Eventually(func() int { return len(entry.index.Members().Members) }, longTimeout).Should(Equal(4))
 		Eventually(func() map[string]uint64 {
 			epochs := make(map[string]uint64)
 			for _, m := range entry.index.Members().Members {
 				epochs[m.Name] = m.Spec.Epoch
 			}
 			return epochs
-		}, hang).Should(Equal(leases))
+		}, longTimeout).Should(Equal(leases))
 		for _, v := range voids {
 			Expect(v.Load()).To(BeZero())
 		}
 	})
 
-	// Guards against quotas that are given anew, and knowledge of keys that is not renewed,
+	// Guards against quotas that start again, and key knowledge that is not renewed,
 	// after the loss of the leader.
-	It("goes on answering reports over the loss of the leader", func() {
+	It("keeps answering reports after the loss of the leader", func() {
 		asking := func(s *subscriber.Settings) {
 			shortLease(s)
 			s.Keyed = func() bool { return true }
@@ -160,27 +159,25 @@
 			}
 		}
 		Expect(entries[0].Spend("w", limit, 1).Unknown).To(BeTrue())
-		Eventually(func() int { drain(); return spent }, patience, "20ms").Should(BeNumerically(">=", 40))
+		Eventually(func() int { drain(); return spent }, eventuallyTimeout, "20ms").Should(BeNumerically(">=", 40))
 		Expect(g.kill(g.leader())).To(Succeed())
-		Eventually(g.leader, patience).ShouldNot(Equal(-1))
+		Eventually(g.leader, eventuallyTimeout).ShouldNot(Equal(-1))
 		for _, e := range entries {
 			killed := time.Now()
 			Eventually(func() bool {
 				age, ok := e.AskedAge()
 				return ok && age < time.Since(killed)
-			}, patience).Should(BeTrue())
+			}, eventuallyTimeout).Should(BeTrue())
 		}
 		drain()
 		allowed := limit.Burst + limit.Rate*time.Since(began).Seconds() + float64(len(entries))
 		Expect(float64(spent)).To(BeNumerically("<=", allowed))
 	})
 
-	// Symptom: orders with an old fencing number go on being given by a
-	// companion that was replaced.
-	// Sequence: a companion is frozen; another incarnation joins under its name;
-	// the first one thaws and renews.
-	// Cause to prevent: leases by name.
-	It("tells an old incarnation that its membership is void", func() {
+	// Guards against leases that are identified by name only. A companion is suspended,
+	// another incarnation joins under its name, and the first one resumes and renews; it
+	// would continue to send orders with an old fencing number.
+	It("notifies an old incarnation that its membership is void", func() {
 		old, lease := join("backend", "d1")
 		voids := heartbeats(old, lease)
 		fresh := g.node("backend-again", "d2", distributor.ScopeCompanion, shortLease)
@@ -188,16 +185,15 @@
 		later, err := fresh.Join(ctx, "backend", member("d2", "i2"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(later.Epoch).To(BeNumerically(">", lease.Epoch))
-		Eventually(voids.Load, patience).Should(BeNumerically(">", 0))
+		Eventually(voids.Load, eventuallyTimeout).Should(BeNumerically(">", 0))
 		_, err = old.Join(ctx, "backend", member("d1", "i1"))
 		Expect(err).To(MatchError(subscriber.ErrStale))
 	})
 
-	// Symptom: two loads run at once after an election, each at half speed.
-	// Sequence: a companion holds a permit; the leader dies; another companion
-	// asks the new leader.
-	// Cause to prevent: a leader that grants beside a permit it never heard of.
-	It("grants no second permit while one of the former leader is in use", func() {
+	// Guards against a leader that grants permits without knowing of one that is in use.
+	// A companion holds a permit, the leader dies, and another companion requests a
+	// permit from the new leader; two loads would run at once, each at half speed.
+	It("grants no second permit while one of the previous leader is in use", func() {
 		first, firstLease := join("backend-1", "d1")
 		heartbeats(first, firstLease)
 		second, secondLease := join("backend-2", "d2")
@@ -209,28 +205,27 @@
 		var finished atomic.Bool
 		granted := make(chan bool, 1)
 		go func() {
-			waiting, cancel := context.WithTimeout(ctx, patience)
+			waiting, cancel := context.WithTimeout(ctx, eventuallyTimeout)
 			defer cancel()
 			grant, err := second.RequestPermit(waiting, permitter.Request{Companion: "backend-2", Workspace: "w", Version: "w/b@1"})
 			granted <- err == nil && finished.Load() && grant.Number > held.Number
 		}()
-		Eventually(g.leader, patience).ShouldNot(Equal(-1))
-		// A leader that has a request and grants it at once never shows it as
-		// waiting: the store's rate lets it.
-		Eventually(func() float64 { return g.gauge(g.leader(), "marigoldpoint_control_permits_waiting") }, patience).
+		Eventually(g.leader, eventuallyTimeout).ShouldNot(Equal(-1))
+		// If the new leader granted the request at once, as the store's rate permits, the
+		// request would never be counted as waiting.
+		Eventually(func() float64 { return g.gauge(g.leader(), "marigoldpoint_control_permits_waiting") }, eventuallyTimeout).
 			Should(BeEquivalentTo(1))
 		Expect(granted).NotTo(Receive())
 		finished.Store(true)
 		first.FinishPermit(held)
-		Eventually(granted, patience).Should(Receive(BeTrue()))
+		Eventually(granted, eventuallyTimeout).Should(Receive(BeTrue()))
 	})
 
-	// Symptom: an entry answers by replaced rules, and is ready, for as long as
-	// a partition lasts.
-	// Sequence: the leader is cut off from the other hosts, but not from the
-	// entry; the others elect a new one and accept a change.
-	// Cause to prevent: a cut-off host that renews configuration leases.
-	It("lets the trust of nodes run out at a leader that is cut off", func() {
+	// Guards against a partitioned host that renews configuration leases. The leader is
+	// cut off from the other hosts but not from the entry, and the others elect a new
+	// leader and accept a change; the entry would apply the replaced rules, and be ready,
+	// for as long as the partition lasts.
+	It("lets the configuration leases of nodes expire at a partitioned leader", func() {
 		cutOff := g.leader()
 		stuck := g.node("stuck", "d1", distributor.ScopeEntry, func(s *subscriber.Settings) {
 			shortLease(s)
@@ -239,52 +234,50 @@
 		DeferCleanup(stuck.Close)
 		free := g.node("free", g.hosts[cutOff].FailureDomain, distributor.ScopeEntry, shortLease)
 		DeferCleanup(free.Close)
-		Eventually(stuck.LeaseValid, patience).Should(BeTrue())
-		Eventually(free.LeaseValid, patience).Should(BeTrue())
+		Eventually(stuck.LeaseValid, eventuallyTimeout).Should(BeTrue())
+		Eventually(free.LeaseValid, eventuallyTimeout).Should(BeTrue())
 
 		for i, h := range g.hosts {
 			if i != cutOff {
-				g.network.set(nodeOf(g.hosts[cutOff].ID), h.Address, true)
-				g.network.set(nodeOf(h.ID), g.hosts[cutOff].Address, true)
+				g.network.set(nodeName(g.hosts[cutOff].ID), h.Address, true)
+				g.network.set(nodeName(h.ID), g.hosts[cutOff].Address, true)
 			}
 		}
-		Eventually(stuck.LeaseValid, patience).Should(BeFalse())
+		Eventually(stuck.LeaseValid, eventuallyTimeout).Should(BeFalse())
 		result, err := putWorkspace(free, "after", 1)
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(free.index.Revision, patience).Should(BeNumerically(">=", result.Revision))
-		Eventually(free.LeaseValid, patience).Should(BeTrue())
+		Eventually(free.index.Revision, eventuallyTimeout).Should(BeNumerically(">=", result.Revision))
+		Eventually(free.LeaseValid, eventuallyTimeout).Should(BeTrue())
 		Expect(stuck.index.Revision()).To(BeNumerically("<", result.Revision))
 		Expect(stuck.LeaseValid()).To(BeFalse())
 
 		for i, h := range g.hosts {
-			g.network.set(nodeOf(g.hosts[cutOff].ID), h.Address, false)
-			g.network.set(nodeOf(g.hosts[i].ID), g.hosts[cutOff].Address, false)
+			g.network.set(nodeName(g.hosts[cutOff].ID), h.Address, false)
+			g.network.set(nodeName(g.hosts[i].ID), g.hosts[cutOff].Address, false)
 		}
-		Eventually(stuck.index.Revision, patience).Should(BeNumerically(">=", result.Revision))
-		Eventually(stuck.LeaseValid, patience).Should(BeTrue())
+		Eventually(stuck.index.Revision, eventuallyTimeout).Should(BeNumerically(">=", result.Revision))
+		Eventually(stuck.LeaseValid, eventuallyTimeout).Should(BeTrue())
 	})
 
-	// Symptom: an entry is without news for minutes, though its host is up and
-	// new connections to it work.
-	// Sequence: a box between the two forgets the connection and swallows all
-	// that is written to it, without an end or a reset.
-	// Cause to prevent: waiting for an error that never comes.
-	It("finds a connection that went silent and subscribes on a new one", func() {
+	// Guards against waiting for an error of a connection that never comes. A middlebox
+	// forgets the connection and discards everything written to it, without a FIN or RST;
+	// the entry would receive no updates for minutes although new connections work.
+	It("detects a silent connection and subscribes on a new one", func() {
 		entry := g.node("entry", "d1", distributor.ScopeEntry, func(s *subscriber.Settings) {
 			shortLease(s)
-			s.Dial = g.network.swallowing(s.Dial)
+			s.Dial = g.network.silenceable(s.Dial)
 		})
 		DeferCleanup(entry.Close)
-		Eventually(entry.LeaseValid, patience).Should(BeTrue())
-		g.network.swallow()
+		Eventually(entry.LeaseValid, eventuallyTimeout).Should(BeTrue())
+		g.network.silenceAll()
 		writer := g.node("writer", "d2", distributor.ScopeEntry, shortLease)
 		DeferCleanup(writer.Close)
 		result, err := putWorkspace(writer, "w", 1)
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(entry.index.Revision, patience).Should(BeNumerically(">=", result.Revision))
+		Eventually(entry.index.Revision, eventuallyTimeout).Should(BeNumerically(">=", result.Revision))
 	})
 
-	It("reads at a follower what was accepted before, and lists in pages", func() {
+	It("reads at a follower everything accepted before, and lists in pages", func() {
 		entry := g.node("entry", g.hosts[(g.leader()+1)%3].FailureDomain, distributor.ScopeEntry, shortLease)
 		DeferCleanup(entry.Close)
 		for i := range 5 {
@@ -305,12 +298,11 @@
 		Expect(upTo).To(Equal(revision))
 	})
 
-	// Symptom: after the loss of a disk the group stays one short, and the next
-	// loss costs the quorum.
-	// Sequence: a follower loses its disk; operators remove it and add a new host
-	// with an empty disk; then another of the old hosts is lost for good.
-	// Cause to prevent: a repair that takes a new disk for the old one.
-	It("replaces a host that lost its disk, by the operators' listener, and bears another loss after it", func() {
+	// Guards against a repair that takes a new disk for the old one. A follower loses its
+	// disk, operators remove it and add a new host with an empty disk, and another of the
+	// old hosts is lost permanently; the group would have stayed one voter short and lose
+	// its quorum.
+	It("replaces a host that lost its disk, through the operators' listener, and tolerates another loss", func() {
 		entry := g.node("entry", "d1", distributor.ScopeEntry, shortLease)
 		DeferCleanup(entry.Close)
 		handler := controller.Administration(entry, func(err error) bool { return errors.Is(err, subscriber.ErrNotAccepted) })
@@ -323,7 +315,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		lost := (g.leader() + 1) % 3
 		Expect(g.kill(lost)).To(Succeed())
-		Expect(os.RemoveAll(filepath.Join(g.folder, nodeOf(g.hosts[lost].ID)))).To(Succeed())
+		Expect(os.RemoveAll(filepath.Join(g.folder, nodeName(g.hosts[lost].ID)))).To(Succeed())
 		Expect(operate("DELETE", fmt.Sprintf("/hosts/%d", g.hosts[lost].ID), "")).To(Equal(200))
 
 		l := listen()
@@ -348,16 +340,15 @@
 		Expect(found).To(BeTrue())
 	})
 
-	// Symptom: operators' changes end with unknown outcome at each upgrade.
-	// Sequence: a node writes, without idempotency keys, through the leader's host
-	// while that is stopped as planned.
-	// Cause to prevent: connections closed under calls, and an election timeout
-	// without a leader.
+	// Guards against connections closed during calls, and an election timeout without a
+	// leader, at a planned stop. A node writes, without idempotency keys, through the
+	// leader's host while that host is stopped as planned; changes would end with an
+	// unknown outcome at each upgrade.
 	It("loses no change at a planned stop of the leader", func() {
 		old := g.leader()
 		entry := g.node("entry", g.hosts[old].FailureDomain, distributor.ScopeEntry, shortLease)
 		DeferCleanup(entry.Close)
-		Eventually(entry.Host, patience).Should(Equal(g.hosts[old].Address))
+		Eventually(entry.Host, eventuallyTimeout).Should(Equal(g.hosts[old].Address))
 		stopped := make(chan struct{})
 		var outcomes []error
 		var writer sync.WaitGroup
@@ -375,7 +366,7 @@
 				}
 			}
 		})
-		bound, cancel := context.WithTimeout(ctx, patience)
+		bound, cancel := context.WithTimeout(ctx, eventuallyTimeout)
 		defer cancel()
 		Expect(g.controls[old].Stop(bound)).To(Succeed())
 		Expect(g.kill(old)).To(Succeed())
--- a/internal/transport/controller/forward.go
+++ b/internal/transport/controller/forward.go
@@ -11,10 +11,11 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/dialer"
 )
 
-// leaderPoll is the time between two looks for a leader, while none is known.
-const leaderPoll = 20 * time.Millisecond
+// leaderPollInterval is the time between two checks for a leader while none is known.
+const leaderPollInterval = 20 * time.Millisecond
 
-// bounded returns a context that ends after the time that the caller waits.
+// bounded returns a context with the caller's timeout in milliseconds, or
+// DefaultCallTimeout if there is none.
 func bounded(ctx context.Context, millis int64) (context.Context, context.CancelFunc) {
 	d := time.Duration(millis) * time.Millisecond
 	if d <= 0 {
@@ -23,10 +24,10 @@
 	return context.WithTimeout(ctx, d)
 }
 
-// lastTry returns the time after which no further try begins: two thirds of the
-// time that the caller waits. A try that the end of that time cut short would
-// leave the outcome unknown, though all before it certainly had no effect.
-func lastTry(ctx context.Context) time.Time {
+// retryDeadline returns the time after which no further attempt starts: two thirds of the
+// time until ctx ends. An attempt that is cut short by the end of ctx has an unknown
+// outcome, although all earlier attempts certainly had no effect.
+func retryDeadline(ctx context.Context) time.Time {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return time.Now().Add(DefaultCallTimeout)
@@ -34,54 +35,55 @@
 	return time.Now().Add(time.Until(deadline) * 2 / 3)
 }
 
-// atLeader has here serve a call, where this host leads, or else hands it to the
-// leader. It looks for the leader again while the call certainly had no effect.
+// onLeader runs local if this host leads, and otherwise remote with a connection to the
+// leader. It retries while the call certainly had no effect. A call that was already
+// forwarded is neither forwarded again nor retried.
 //
-// A forward that broke after sending may have taken effect: that is never told
-// as a refusal, or else a caller would take what runs for what did not run.
-func (c *Control) atLeader(
-	ctx context.Context, forwarded bool, here func(ctx context.Context) error, there func(ctx context.Context, conn *messenger.Conn) error,
+// A forward that broke after sending may have taken effect. It is never reported as a
+// refusal, since the caller would conclude that the call did not run.
+func (c *Control) onLeader(
+	ctx context.Context, forwarded bool, local func(ctx context.Context) error, remote func(ctx context.Context, conn *messenger.Conn) error,
 ) error {
-	enough := lastTry(ctx)
+	deadline := retryDeadline(ctx)
 	for {
 		status := c.agreement.Status()
 		var err error
 		switch {
 		case status.Role == replicator.Leader:
-			err = here(ctx)
+			err = local(ctx)
 		case forwarded:
 			return c.notLeader()
 		case status.Leader == 0:
-			err = messenger.NewRefusal(messenger.ReasonUnavailable, "no leader is known")
+			err = messenger.NewRefusal(messenger.ReasonUnavailable, "the control group has no known leader")
 		default:
-			err = c.forward(ctx, status.Leader, there)
+			err = c.forward(ctx, status.Leader, remote)
 		}
 		if err == nil {
 			return nil
 		}
-		if !retriable(err) || forwarded || time.Now().After(enough) {
-			return refusalOf(err)
+		if !retriable(err) || forwarded || time.Now().After(deadline) {
+			return toRefusal(err)
 		}
 		select {
 		case <-ctx.Done():
-			return refusalOf(err)
+			return toRefusal(err)
 		case <-c.ctx.Done():
-			return refusalOf(err)
-		case <-time.After(leaderPoll):
+			return toRefusal(err)
+		case <-time.After(leaderPollInterval):
 		}
 	}
 }
 
-func (c *Control) forward(ctx context.Context, leader replicator.HostID, there func(ctx context.Context, conn *messenger.Conn) error) error {
+func (c *Control) forward(ctx context.Context, leader replicator.HostID, remote func(ctx context.Context, conn *messenger.Conn) error) error {
 	address := c.links.address(leader)
 	if address == "" {
-		return messenger.NewRefusal(messenger.ReasonUnavailable, "the leader's address is not known")
+		return messenger.NewRefusal(messenger.ReasonUnavailable, "the leader's address is unknown")
 	}
 	conn, err := c.pool.Conn(ctx, address)
 	if err != nil {
 		return err
 	}
-	return there(ctx, conn)
+	return remote(ctx, conn)
 }
 
 func (c *Control) notLeader() error {
@@ -92,12 +94,12 @@
 	return r
 }
 
-// retriable reports whether an error proves that the call had no effect, and
-// another try may go better.
+// retriable reports whether err proves that the call had no effect and another attempt
+// may succeed.
 func retriable(err error) bool {
 	var refusal *messenger.Refusal
 	var broken *messenger.BrokenError
-	var unreached *dialer.NotConnectedError
+	var notConnected *dialer.NotConnectedError
 	var notLeader replicator.ErrNotLeader
 	switch {
 	case errors.As(err, &refusal):
@@ -105,18 +107,18 @@
 			refusal.Reason == messenger.ReasonStopping
 	case errors.As(err, &broken):
 		return !broken.Sent
-	case errors.As(err, &unreached), errors.As(err, &notLeader):
+	case errors.As(err, &notConnected), errors.As(err, &notLeader):
 		return true
 	default:
 		return false
 	}
 }
 
-// refusalOf returns the error as it crosses to the caller.
-func refusalOf(err error) error {
+// toRefusal converts err to the *messenger.Refusal that is sent to the caller.
+func toRefusal(err error) error {
 	var refusal *messenger.Refusal
 	var broken *messenger.BrokenError
-	var unreached *dialer.NotConnectedError
+	var notConnected *dialer.NotConnectedError
 	var unknown replicator.ErrOutcomeUnknown
 	switch {
 	case errors.As(err, &refusal):
@@ -124,7 +126,7 @@
 			return messenger.NewRefusal(messenger.ReasonOutcomeUnknown, refusal.Detail)
 		}
 		return refusal
-	case errors.As(err, &broken) && !broken.Sent, errors.As(err, &unreached):
+	case errors.As(err, &broken) && !broken.Sent, errors.As(err, &notConnected):
 		return messenger.NewRefusal(messenger.ReasonUnavailable, err.Error())
 	case errors.As(err, &unknown):
 		return messenger.NewRefusal(messenger.ReasonOutcomeUnknown, err.Error())
--- a/internal/transport/controller/group.go
+++ b/internal/transport/controller/group.go
@@ -10,22 +10,22 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// group serves MethodGroup: it changes the control group through its leader, or
-// only tells what this host knows of it.
+// group serves MethodGroup: it changes the control group through its leader, or returns
+// the group as this host sees it.
 func (c *Control) group(ctx context.Context, g distributor.GroupChange) (answer distributor.Group, err error) {
 	if g.Action == distributor.GroupShow {
-		return c.describe(), nil
+		return c.describeGroup(), nil
 	}
 	ctx, cancel := bounded(ctx, g.TimeoutMillis)
 	defer cancel()
-	err = c.atLeader(ctx, g.Forwarded, func(ctx context.Context) error {
+	err = c.onLeader(ctx, g.Forwarded, func(ctx context.Context) error {
 		if err := c.changeGroup(ctx, g); err != nil {
 			return err
 		}
-		answer = c.describe()
+		answer = c.describeGroup()
 		return nil
 	}, func(ctx context.Context, conn *messenger.Conn) error {
-		g.Forwarded, g.TimeoutMillis = true, remaining(ctx)
+		g.Forwarded, g.TimeoutMillis = true, remainingMillis(ctx)
 		return conn.Call(ctx, messenger.MethodGroup, g, &answer)
 	})
 	return answer, err
@@ -55,8 +55,8 @@
 	return err
 }
 
-// describe returns the group as this host sees it.
-func (c *Control) describe() distributor.Group {
+// describeGroup returns the group as this host sees it.
+func (c *Control) describeGroup() distributor.Group {
 	s := c.agreement.Status()
 	g := distributor.Group{
 		Host: c.settings.Node, Leader: uint64(s.Leader), Term: s.Term,
--- a/internal/transport/controller/group_test.go
+++ b/internal/transport/controller/group_test.go
@@ -26,8 +26,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/subscriber"
 )
 
-// group is a control group on the loopback, with a network that can be cut
-// between its hosts and towards its nodes.
+// group is a control group on loopback, whose network can be cut between its hosts and to
+// its nodes.
 type group struct {
 	folder   string
 	hosts    []configurer.ControlHost
@@ -37,16 +37,17 @@
 	adjust   func(*controller.Settings)
 }
 
-// network opens connections, and cuts them off.
+// network opens connections, and can cut or silence them. Its methods are safe for
+// concurrent use.
 type network struct {
 	mu sync.Mutex
-	// cut names the addresses that can't be reached, by the dialling node or
-	// for all; guarded by mu.
+	// cut names the pairs of a dialling node and an address that can't connect; guarded
+	// by mu.
 	cut map[string]bool
-	// open holds the connections by the pair of their ends; guarded by mu.
+	// open holds the open connections by pair; guarded by mu.
 	open map[string][]net.Conn
-	// mutes holds the connections that can fall silent; guarded by mu.
-	mutes []mute
+	// silenceableConns holds the connections that silenceAll silences; guarded by mu.
+	silenceableConns []silenceableConn
 }
 
 func (n *network) dialFrom(node string) func(context.Context, string) (net.Conn, error) {
@@ -69,7 +70,7 @@
 	}
 }
 
-// set cuts or mends the way from a node to an address.
+// set cuts or restores the path from a node to an address.
 func (n *network) set(node, address string, cut bool) {
 	pair := node + ">" + address
 	n.mu.Lock()
@@ -83,21 +84,21 @@
 	}
 }
 
-// mute is a connection that can fall silent: it swallows what is written, and
-// gives nothing to read, without an error.
-type mute struct {
+// silenceableConn is a connection that can be silenced: it then discards what is written
+// and received, without an error.
+type silenceableConn struct {
 	net.Conn
 	silent *atomic.Bool
 }
 
-func (m mute) Write(b []byte) (int, error) {
+func (m silenceableConn) Write(b []byte) (int, error) {
 	if m.silent.Load() {
 		return len(b), nil
 	}
 	return m.Conn.Write(b)
 }
 
-func (m mute) Read(b []byte) (int, error) {
+func (m silenceableConn) Read(b []byte) (int, error) {
 	for {
 		n, err := m.Conn.Read(b)
 		if err != nil || !m.silent.Load() {
@@ -106,33 +107,33 @@
 	}
 }
 
-// swallowing returns a dialler whose connections fall silent at swallow.
-func (n *network) swallowing(dial func(context.Context, string) (net.Conn, error)) func(context.Context, string) (net.Conn, error) {
+// silenceable returns a dialler whose connections silenceAll silences.
+func (n *network) silenceable(dial func(context.Context, string) (net.Conn, error)) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dial(ctx, address)
 		if err != nil {
 			return nil, err
 		}
-		m := mute{Conn: conn, silent: &atomic.Bool{}}
+		m := silenceableConn{Conn: conn, silent: &atomic.Bool{}}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.mutes = append(n.mutes, m)
+		n.silenceableConns = append(n.silenceableConns, m)
 		return m, nil
 	}
 }
 
-// swallow has the connections that are open fall silent. New ones work.
-func (n *network) swallow() {
+// silenceAll silences the open connections. New ones work.
+func (n *network) silenceAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, m := range n.mutes {
+	for _, m := range n.silenceableConns {
 		m.silent.Store(true)
 	}
 }
 
-func nodeOf(id uint64) string { return fmt.Sprintf("control-%d", id) }
+func nodeName(id uint64) string { return fmt.Sprintf("control-%d", id) }
 
-// newGroup starts n control hosts, each in a failure domain of its own.
+// newGroup starts n control hosts, each in its own failure domain.
 func newGroup(n int, adjust func(*controller.Settings)) (*group, error) {
 	folder, err := os.MkdirTemp("", "controller")
 	if err != nil {
@@ -164,14 +165,14 @@
 	h := g.hosts[i]
 	g.metrics[i] = prometheus.NewRegistry()
 	s := controller.Settings{
-		Node: nodeOf(h.ID), Region: h.Region, FailureDomain: h.FailureDomain, ID: h.ID, Hosts: g.hosts,
+		Node: nodeName(h.ID), Region: h.Region, FailureDomain: h.FailureDomain, ID: h.ID, Hosts: g.hosts,
 		Control:    configurer.ControlSettings{Listen: h.Address, Group: "test", Bootstrap: true},
-		DataFolder: filepath.Join(g.folder, nodeOf(h.ID)),
+		DataFolder: filepath.Join(g.folder, nodeName(h.ID)),
 		Listener:   l,
-		Dial:       g.network.dialFrom(nodeOf(h.ID)),
-		Recorder:   recorder.NewRecorder(recorder.Settings{Node: nodeOf(h.ID)}),
+		Dial:       g.network.dialFrom(nodeName(h.ID)),
+		Recorder:   recorder.NewRecorder(recorder.Settings{Node: nodeName(h.ID)}),
 		Registerer: g.metrics[i],
-		Log:        zerolog.New(ginkgo.GinkgoWriter).With().Timestamp().Str("Node", nodeOf(h.ID)).Logger(),
+		Log:        zerolog.New(ginkgo.GinkgoWriter).With().Timestamp().Str("Node", nodeName(h.ID)).Logger(),
 		Random:     rand.New(rand.NewPCG(h.ID, 1)),
 	}
 	if g.adjust != nil {
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// gauge returns the value of a host's metric.
+// gauge returns the value of a host's gauge, or -1 if there is none.
 func (g *group) gauge(i int, name string) float64 {
 	families, err := g.metrics[i].Gather()
 	if err != nil {
@@ -200,7 +201,8 @@
 	return -1
 }
 
-// leader returns the host that has a leader's duties, or -1.
+// leader returns the index of the host that leads and has assumed a leader's duties, or
+// -1.
 func (g *group) leader() int {
 	for i, c := range g.controls {
 		if c != nil && c.Leading() && c.Status().Role == replicator.Leader {
@@ -210,7 +212,7 @@
 	return -1
 }
 
-// kill ends a host without handing anything over.
+// kill closes a host without a planned stop.
 func (g *group) kill(i int) error {
 	c := g.controls[i]
 	g.controls[i] = nil
@@ -226,7 +228,7 @@
 	os.RemoveAll(g.folder)
 }
 
-// node is a subscriber with its replica.
+// node is a subscriber with its index.
 type node struct {
 	*subscriber.Client
 	index *indexer.Index
@@ -245,10 +247,10 @@
 	return &node{Client: subscriber.NewClient(s), index: index}
 }
 
-// writes counts the changes, each of which has an idempotency key of its own.
+// writes numbers the changes for their idempotency keys.
 var writes atomic.Int64
 
-// putWorkspace has a node write a workspace.
+// putWorkspace writes a workspace through a node.
 func putWorkspace(n *node, name string, share int) (storer.Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -261,5 +263,5 @@
 	})
 }
 
-// quick are the intervals of connections in tests.
-var quick = messenger.Settings{HeartbeatInterval: 100 * time.Millisecond, SilenceLimit: 500 * time.Millisecond}
+// fastIntervals are short connection intervals for tests.
+var fastIntervals = messenger.Settings{HeartbeatInterval: 100 * time.Millisecond, SilenceLimit: 500 * time.Millisecond}
--- a/internal/transport/controller/handler.go
+++ b/internal/transport/controller/handler.go
@@ -12,73 +12,73 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// Handle serves what nodes and the other control hosts send. Control is a
+// Handle serves the messages of nodes and other control hosts. It implements
 // messenger.Handler.
 func (c *Control) Handle(ctx context.Context, conn *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
 	switch method {
 	case messenger.MethodReplicate:
-		return nil, serve(params, func(ms []replicator.Message) {
+		return nil, handleNotification(params, func(ms []replicator.Message) {
 			for i := range ms {
 				c.agreement.Deliver(ms[i])
 			}
 		})
 	case messenger.MethodPulse:
-		return nil, serve(params, func(p distributor.Pulse) { c.takePulse(c.settings.Now(), p) })
+		return nil, handleNotification(params, func(p distributor.Pulse) { c.applyPulse(c.settings.Now(), p) })
 	case messenger.MethodShareDigest:
-		return nil, serve(params, c.takeShared)
+		return nil, handleNotification(params, c.applyShared)
 	case messenger.MethodApplied:
-		return nil, serve(params, func(a distributor.AcknowledgeRevision) { c.applied(conn, a) })
+		return nil, handleNotification(params, func(a distributor.AcknowledgeRevision) { c.acknowledge(conn, a) })
 	case messenger.MethodRenew:
-		return nil, serve(params, func(h registrar.Heartbeat) { c.heartbeat(conn, h) })
+		return nil, handleNotification(params, func(h registrar.Heartbeat) { c.heartbeat(conn, h) })
 	case messenger.MethodGoodbye:
 		c.goodbye(conn)
 		return nil, nil
 	case messenger.MethodFinishPermit:
-		// It may wait for the leader, and so may not hold up what comes after.
-		return nil, serve(params, func(f permitter.Finish) { c.passFinish(f) })
+		// Forwarding may wait for the leader, and must not block later messages.
+		return nil, handleNotification(params, func(f permitter.Finish) { c.forwardFinish(f) })
 	default:
-		return c.answer(ctx, conn, method, params)
+		return c.handleCall(ctx, conn, method, params)
 	}
 }
 
-// answer serves calls.
-func (c *Control) answer(ctx context.Context, conn *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
+// handleCall serves the methods that return an answer.
+func (c *Control) handleCall(ctx context.Context, conn *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
 	switch method {
 	case messenger.MethodSubscribe:
-		return answer(params, func(s distributor.Subscribe) (distributor.Subscribed, error) { return c.startSession(conn, s) })
+		return handleCall(params, func(s distributor.Subscribe) (distributor.Subscribed, error) { return c.startSession(conn, s) })
 	case messenger.MethodPropose:
-		return answer(params, func(p distributor.Propose) (distributor.Proposed, error) { return c.propose(ctx, p) })
+		return handleCall(params, func(p distributor.Propose) (distributor.Proposed, error) { return c.propose(ctx, p) })
 	case messenger.MethodRead:
-		return answer(params, func(r distributor.Read) (distributor.ReadAnswer, error) { return c.read(ctx, r) })
+		return handleCall(params, func(r distributor.Read) (distributor.ReadAnswer, error) { return c.read(ctx, r) })
 	case messenger.MethodBarrier:
-		return answer(params, func(b distributor.Barrier) (distributor.BarrierPassed, error) { return c.barrierHere(ctx, b) })
+		return handleCall(params, func(b distributor.Barrier) (distributor.BarrierPassed, error) { return c.serveBarrier(ctx, b) })
 	case messenger.MethodReport:
-		return answer(params, func(r bucketer.Report) (bucketer.Answer, error) { return c.reports.report(ctx, r) })
+		return handleCall(params, func(r bucketer.Report) (bucketer.Answer, error) { return c.reports.report(ctx, r) })
 	case messenger.MethodReportBatch:
-		return answer(params, func(b bucketer.Batch) (bucketer.Answer, error) { return c.reportHere(ctx, b) })
+		return handleCall(params, func(b bucketer.Batch) (bucketer.Answer, error) { return c.serveReportBatch(ctx, b) })
 	case messenger.MethodInForce:
-		return answer(params, func(r distributor.TallyRequest) (distributor.InForce, error) { return c.inForce(ctx, r), nil })
+		return handleCall(params, func(r distributor.TallyRequest) (distributor.InForce, error) { return c.inForce(ctx, r), nil })
 	case messenger.MethodTally:
-		return answer(params, func(r distributor.TallyRequest) (distributor.TallyAnswer, error) { return c.tallyHere(r), nil })
+		return handleCall(params, func(r distributor.TallyRequest) (distributor.TallyAnswer, error) { return c.localTally(r), nil })
 	case messenger.MethodGroup:
-		return answer(params, func(g distributor.GroupChange) (distributor.Group, error) { return c.group(ctx, g) })
+		return handleCall(params, func(g distributor.GroupChange) (distributor.Group, error) { return c.group(ctx, g) })
 	case messenger.MethodEnlist:
-		return answer(params, func(e distributor.Enlistment) (distributor.Group, error) { return c.enlist(ctx, e) })
+		return handleCall(params, func(e distributor.Enlistment) (distributor.Group, error) { return c.enlist(ctx, e) })
 	case messenger.MethodJoin:
-		return answer(params, func(j registrar.JoinRequest) (registrar.Lease, error) { return c.join(ctx, j) })
+		return handleCall(params, func(j registrar.JoinRequest) (registrar.Lease, error) { return c.join(ctx, j) })
 	case messenger.MethodLeave:
-		return answer(params, func(l registrar.LeaveRequest) (distributor.Proposed, error) { return c.leave(ctx, l) })
+		return handleCall(params, func(l registrar.LeaveRequest) (distributor.Proposed, error) { return c.leave(ctx, l) })
 	case messenger.MethodRenewBatch:
-		return answer(params, func(b registrar.RenewBatch) (registrar.RenewAnswer, error) { return c.renewHere(b) })
+		return handleCall(params, func(b registrar.RenewBatch) (registrar.RenewAnswer, error) { return c.serveRenewBatch(b) })
 	case messenger.MethodRequestPermit:
-		return answer(params, func(a permitter.Ask) (permitter.Grant, error) { return c.requestPermit(ctx, a) })
+		return handleCall(params, func(a permitter.Ask) (permitter.Grant, error) { return c.requestPermit(ctx, a) })
 	default:
 		return nil, messenger.NewRefusal(messenger.ReasonUnsupported, string(method))
 	}
 }
 
-// serve decodes a notification and hands it to f.
-func serve[P any](params json.RawMessage, f func(P)) error {
+// handleNotification decodes a notification and passes it to f.
+func handleNotification[P any](params json.RawMessage, f func(P)) error {
 	var p P
 	if err := messenger.Decode(params, &p); err != nil {
 		return err
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// answer decodes a call and returns what f makes of it.
-func answer[P, R any](params json.RawMessage, f func(P) (R, error)) (any, error) {
+// handleCall decodes a call and returns the result of f.
+func handleCall[P, R any](params json.RawMessage, f func(P) (R, error)) (any, error) {
 	var p P
 	if err := messenger.Decode(params, &p); err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 	return f(p)
 }
 
-// goodbye notes that a node leaves for good.
+// goodbye records that a node leaves permanently.
 func (c *Control) goodbye(conn *messenger.Conn) {
 	if s := c.session(conn); s != nil {
 		s.mu.Lock()
--- a/internal/transport/controller/leadership.go
+++ b/internal/transport/controller/leadership.go
@@ -8,19 +8,19 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// dutiesTimeout bounds the wait of a new leader for the state that was accepted
-// before it. It tries again as long as it leads.
+// dutiesTimeout bounds a new leader's wait for the state accepted before its term, and
+// its own proposals. The leader retries as long as it leads.
 const dutiesTimeout = 2 * time.Second
 
-// currentDuties returns the duties of this host as leader, or nil.
+// currentDuties returns this host's leader duties, or nil if it does not lead.
 func (c *Control) currentDuties() *duties {
 	c.dutiesMu.Lock()
 	defer c.dutiesMu.Unlock()
 	return c.duties
 }
 
-// watchLeadership begins a leader's duties with its leadership, and ends them
-// with it.
+// watchLeadership starts the leader's duties when this host becomes leader, and stops
+// them when its leadership ends.
 func (c *Control) watchLeadership() {
 	defer c.workers.Done()
 	ticker := time.NewTicker(c.settings.TickInterval)
@@ -29,7 +29,7 @@
 		select {
 		case <-c.ctx.Done():
 			return
-		case <-c.turned:
+		case <-c.leadershipChanged:
 		case <-ticker.C:
 		}
 		status := c.agreement.Status()
@@ -44,14 +44,13 @@
 	}
 }
 
-// beginDuties takes up a leader's duties once this host holds all that was
-// accepted before its term: a leader that does not know a member yet would not
-// guard its lease.
+// beginDuties starts the leader's duties once this host has applied everything accepted
+// before its term. A leader that does not know a member yet would not track its lease.
 func (c *Control) beginDuties(term uint64) {
 	ctx, cancel := context.WithTimeout(c.ctx, dutiesTimeout)
 	defer cancel()
 	if err := c.agreement.ReadBarrier(ctx); err != nil {
-		c.settings.Log.Debug().Err(err).Uint64("Term", term).Msg("the duties of a leader wait")
+		c.settings.Log.Debug().Err(err).Uint64("Term", term).Msg("leader duties postponed: previous state not applied yet")
 		return
 	}
 	if status := c.agreement.Status(); status.Role != replicator.Leader || status.Term != term {
@@ -67,10 +66,11 @@
 	c.dutiesMu.Unlock()
 	d.start()
 	c.metrics.leading.Set(1)
-	c.settings.Log.Info().Uint64("Term", term).Msg("leading the control group")
+	c.settings.Log.Info().Uint64("Term", term).Msg("became leader of the control group")
 }
 
-// endDuties ends a leader's duties and waits for them.
+// endDuties stops the leader's duties, if there are any, and waits until they have
+// stopped.
 func (c *Control) endDuties() {
 	c.dutiesMu.Lock()
 	d := c.duties
@@ -86,8 +86,8 @@
 	c.metrics.held.Set(0)
 }
 
-// retain has the group remember what the settings ask for.
-func (d *duties) retain(ctx context.Context) {
+// proposeRetention sets the replicated retention to the one in the settings.
+func (d *duties) proposeRetention(ctx context.Context) {
 	c := d.control
 	want := c.settings.retention()
 	if have := c.store.Retention(); have.IdempotencyAge == want.IdempotencyAge && have.ClaimAge == want.ClaimAge {
@@ -100,6 +100,6 @@
 		_, _, err = c.agreement.Propose(ctx, data)
 	}
 	if err != nil {
-		c.settings.Log.Debug().Err(err).Msg("the retention was not set")
+		c.settings.Log.Debug().Err(err).Msg("failed to set the retention")
 	}
 }
--- a/internal/transport/controller/link.go
+++ b/internal/transport/controller/link.go
@@ -14,25 +14,25 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/dialer"
 )
 
-// linkQueue is the number of bundles of replication messages that wait for one
-// host. Further ones are dropped, as the network might.
-const linkQueue = 256
+// linkQueueLength is the number of message batches queued for one host. Further batches
+// are dropped, as the network might drop them.
+const linkQueueLength = 256
 
-// links carries the replicated log's messages to the other hosts. It is the
-// replicator's Transport.
+// links sends the replicated log's messages to the other hosts. It implements
+// replicator.Transport.
 type links struct {
 	pool *dialer.Pool
-	// fixed holds the addresses of the settings.
-	fixed map[replicator.HostID]string
-	ctx   context.Context
-	stop  context.CancelFunc
-	done  sync.WaitGroup
+	// configuredAddresses holds the addresses from the settings; guarded by mu.
+	configuredAddresses map[replicator.HostID]string
+	ctx                 context.Context
+	stop                context.CancelFunc
+	done                sync.WaitGroup
 
 	mu sync.Mutex
-	// peers holds a queue for each host sent to; guarded by mu.
-	peers map[replicator.HostID]chan []replicator.Message
-	// known holds the addresses of the group's members; guarded by mu.
-	known map[replicator.HostID]string
+	// queues holds one send queue for each host; guarded by mu.
+	queues map[replicator.HostID]chan []replicator.Message
+	// memberAddresses holds the addresses of the group's members; guarded by mu.
+	memberAddresses map[replicator.HostID]string
 }
 
 // newLinkPool returns the pool of connections to the other control hosts.
@@ -44,44 +44,44 @@
 
 func newLinks(pool *dialer.Pool, hosts []configurer.ControlHost) *links {
 	l := &links{
-		pool:  pool,
-		fixed: make(map[replicator.HostID]string),
-		peers: make(map[replicator.HostID]chan []replicator.Message),
-		known: make(map[replicator.HostID]string),
+		pool:                pool,
+		configuredAddresses: make(map[replicator.HostID]string),
+		queues:              make(map[replicator.HostID]chan []replicator.Message),
+		memberAddresses:     make(map[replicator.HostID]string),
 	}
 	for _, h := range hosts {
-		l.fixed[replicator.HostID(h.ID)] = h.Address
+		l.configuredAddresses[replicator.HostID(h.ID)] = h.Address
 	}
 	l.ctx, l.stop = context.WithCancel(context.Background())
 	return l
 }
 
-// learn takes in the addresses of the group's members.
-func (l *links) learn(members []replicator.Member) {
+// updateMembers records the addresses of the group's members.
+func (l *links) updateMembers(members []replicator.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range members {
-		l.known[m.ID] = m.Address
+		l.memberAddresses[m.ID] = m.Address
 	}
 }
 
-// address returns where a host is reached; empty means unknown. The group's own
-// record goes before the settings, which may be older.
+// address returns the address of a host, or "" if it is unknown. The group's own record
+// takes precedence over the settings, which may be older.
 func (l *links) address(id replicator.HostID) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a := l.known[id]; a != "" {
+	if a := l.memberAddresses[id]; a != "" {
 		return a
 	}
-	return l.fixed[id]
+	return l.configuredAddresses[id]
 }
 
-// hosts returns the addresses of all control hosts that were ever told of.
-func (l *links) hosts() []string {
+// allAddresses returns the addresses of all configured hosts and group members.
+func (l *links) allAddresses() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	addresses := slices.Collect(maps.Values(l.fixed))
-	for _, a := range l.known {
+	addresses := slices.Collect(maps.Values(l.configuredAddresses))
+	for _, a := range l.memberAddresses {
 		if !slices.Contains(addresses, a) {
 			addresses = append(addresses, a)
 		}
@@ -89,23 +89,24 @@
 	return addresses
 }
 
-// set replaces the addresses of the settings.
-func (l *links) set(hosts []configurer.ControlHost) {
+// setConfigured replaces the addresses from the settings.
+func (l *links) setConfigured(hosts []configurer.ControlHost) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	clear(l.fixed)
+	clear(l.configuredAddresses)
 	for _, h := range hosts {
-		l.fixed[replicator.HostID(h.ID)] = h.Address
+		l.configuredAddresses[replicator.HostID(h.ID)] = h.Address
 	}
 }
 
-// Send queues messages for a host.
+// Send queues messages for a host. It never blocks; messages are dropped if the queue is
+// full.
 func (l *links) Send(to replicator.HostID, ms []replicator.Message) {
 	l.mu.Lock()
-	queue, ok := l.peers[to]
+	queue, ok := l.queues[to]
 	if !ok {
-		queue = make(chan []replicator.Message, linkQueue)
-		l.peers[to] = queue
+		queue = make(chan []replicator.Message, linkQueueLength)
+		l.queues[to] = queue
 		l.done.Add(1)
 		go l.run(to, queue)
 	}
@@ -116,7 +117,7 @@
 	}
 }
 
-// run sends what is queued for one host.
+// run sends the messages queued for one host.
 func (l *links) run(to replicator.HostID, queue <-chan []replicator.Message) {
 	defer l.done.Done()
 	for {
@@ -138,11 +139,11 @@
 	if err != nil {
 		return
 	}
-	// Lost messages are the replicator's to send again.
+	// The replicator resends lost messages.
 	_ = conn.Notify(l.ctx, messenger.MethodReplicate, ms)
 }
 
-// close ends the sending and waits for it. Nothing may be sent any more.
+// close stops sending and waits until it has stopped. Send must not be called afterwards.
 func (l *links) close() {
 	l.stop()
 	l.done.Wait()
--- a/internal/transport/controller/link_test.go
+++ b/internal/transport/controller/link_test.go
@@ -15,10 +15,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// TestLinkToHostThatReturns: symptom: after a loss of power no leader is found for a
-// second, though all hosts are back within a third of it. Sequence: a host that is back
-// first polls another that has no power yet, and the dial gets no answer; the other is
-// back 200 ms later. Cause: what is said next waits for the end of that dial.
+// TestLinkToHostThatReturns guards against messages that wait for the end of a dial begun
+// before their host was back. After a power failure, the first host that is back polls
+// another one without power, and the dial gets no answer; the other is back 200 ms later.
+// No leader would be found for a second, though all hosts are back within a third of it.
 func TestLinkToHostThatReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -36,7 +36,7 @@
 				return nil, ctx.Err()
 			}
 			near, other := net.Pipe()
-			ends = append(ends, messenger.NewConn(other, far)) //nolint:contextcheck // It lives longer than the dial.
+			ends = append(ends, messenger.NewConn(other, far)) //nolint:contextcheck // The connection outlives the dial.
 			return near, nil
 		}
 		pool := newLinkPool(quiet, rand.New(rand.NewPCG(1, 2)), dial)
--- a/internal/transport/controller/member.go
+++ b/internal/transport/controller/member.go
@@ -48,30 +48,30 @@
 // heartbeat serves MethodRenew.
 func (c *Control) heartbeat(conn *messenger.Conn, h registrar.Heartbeat) {
 	c.relay.renew(conn, registrar.LeaseRenewal{Name: h.Name, Epoch: h.Epoch, Term: h.Term, Permits: h.Permits})
-	if h.Report == nil || !c.current(h.Name, h.Epoch) {
+	if h.Report == nil || !c.isCurrentReport(h.Name, h.Epoch) {
 		return
 	}
-	c.board.report(*h.Report)
+	c.board.applyReport(*h.Report)
 }
 
-// passRenewals hands the renewals of one tick to the leader. A batch that
-// can't be handed over is dropped: its renewals would be told later than they
-// were made, and the next heartbeats are near.
-func (c *Control) passRenewals() {
-	batch := registrar.RenewBatch{Host: c.settings.Node, FailureDomain: c.settings.FailureDomain, Leases: c.relay.take()}
+// forwardRenewals sends the renewals of one tick to the leader. A batch that can't be
+// sent is dropped: the leader would count its renewals from too late a time, and the next
+// heartbeats follow soon.
+func (c *Control) forwardRenewals() {
+	batch := registrar.RenewBatch{Host: c.settings.Node, FailureDomain: c.settings.FailureDomain, Leases: c.relay.takeRenewals()}
 	if len(batch.Leases) == 0 {
 		return
 	}
 	if d := c.currentDuties(); d != nil {
-		c.sendVoids(d.renew(batch))
+		c.notifyVoid(d.renew(batch))
 		return
 	}
 	leader, ok := c.agreement.Leader()
 	if !ok || uint64(leader.ID) == c.settings.ID {
 		return
 	}
-	c.relay.send("renew "+leader.Address, func() {
-		ctx, cancel := context.WithTimeout(c.ctx, time.Duration(c.settings.Control.MemberLease)/renewParts)
+	c.relay.sendAsync("renew "+leader.Address, func() {
+		ctx, cancel := context.WithTimeout(c.ctx, time.Duration(c.settings.Control.MemberLease)/renewalsPerLease)
 		defer cancel()
 		conn, err := c.pool.Conn(ctx, leader.Address)
 		if err != nil {
@@ -79,15 +79,15 @@
 		}
 		var answer registrar.RenewAnswer
 		if err := conn.Call(ctx, messenger.MethodRenewBatch, batch, &answer); err != nil {
-			c.settings.Log.Debug().Err(err).Str("Leader", leader.Address).Msg("renewals not handed over")
+			c.settings.Log.Debug().Err(err).Str("Leader", leader.Address).Msg("failed to forward lease renewals to the leader")
 			return
 		}
-		c.sendVoids(answer)
+		c.notifyVoid(answer)
 	})
 }
 
 // renewHere serves MethodRenewBatch.
-func (c *Control) renewHere(b registrar.RenewBatch) (registrar.RenewAnswer, error) {
+func (c *Control) serveRenewBatch(b registrar.RenewBatch) (registrar.RenewAnswer, error) {
 	d := c.currentDuties()
 	if d == nil {
 		return registrar.RenewAnswer{}, c.notLeader()
@@ -95,16 +95,15 @@
 	return d.renew(b), nil
 }
 
-// sendVoids tells the companions connected here which of their memberships have
-// ended.
-func (c *Control) sendVoids(a registrar.RenewAnswer) {
+// notifyVoid notifies the companions connected here whose memberships have ended.
+func (c *Control) notifyVoid(a registrar.RenewAnswer) {
 	for _, m := range a.Void {
 		conn := c.relay.companion(m.Name)
 		if conn == nil {
 			continue
 		}
-		c.relay.send("void "+m.Name, func() {
-			// A companion that misses it goes on renewing, and is told again.
+		c.relay.sendAsync("void "+m.Name, func() {
+			// A companion that does not receive it keeps renewing, and is notified again.
 			_ = conn.Notify(c.ctx, messenger.MethodVoid, registrar.Void{Members: []storer.MemberEpoch{m}})
 		})
 	}
--- a/internal/transport/controller/metrics.go
+++ b/internal/transport/controller/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are a control host's.
+// metrics holds the metrics of a control host.
 type metrics struct {
 	elections prometheus.Counter
 	refused   prometheus.Counter
--- a/internal/transport/controller/outcome_test.go
+++ b/internal/transport/controller/outcome_test.go
@@ -24,38 +24,38 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/subscriber"
 )
 
-// follower is a replicated log whose leader is elsewhere.
-type follower struct {
+// followerLog is a replicated log whose leader is another host.
+type followerLog struct {
 	leader    replicator.Member
 	formation uint64
 }
 
-func (f follower) Propose(context.Context, []byte) (uint64, any, error) {
+func (f followerLog) Propose(context.Context, []byte) (uint64, any, error) {
 	return 0, nil, replicator.ErrNotLeader{Leader: f.leader}
 }
-func (follower) Deliver(replicator.Message)          {}
-func (follower) ReadBarrier(context.Context) error   { return replicator.ErrNotLeader{} }
-func (follower) LeaseValid() bool                    { return false }
-func (follower) LeaderContact() time.Duration        { return 0 }
-func (f follower) Leader() (replicator.Member, bool) { return f.leader, true }
-func (f follower) Status() replicator.Status {
+func (followerLog) Deliver(replicator.Message)          {}
+func (followerLog) ReadBarrier(context.Context) error   { return replicator.ErrNotLeader{} }
+func (followerLog) LeaseValid() bool                    { return false }
+func (followerLog) LeaderContact() time.Duration        { return 0 }
+func (f followerLog) Leader() (replicator.Member, bool) { return f.leader, true }
+func (f followerLog) Status() replicator.Status {
 	return replicator.Status{Formation: f.formation, Leader: f.leader.ID, Members: []replicator.Member{f.leader}}
 }
-func (follower) AddMember(context.Context, replicator.Member) error    { return nil }
-func (follower) RemoveMember(context.Context, replicator.HostID) error { return nil }
-func (follower) TransferLeadership(context.Context) error              { return nil }
-func (follower) Close() error                                          { return nil }
+func (followerLog) AddMember(context.Context, replicator.Member) error    { return nil }
+func (followerLog) RemoveMember(context.Context, replicator.HostID) error { return nil }
+func (followerLog) TransferLeadership(context.Context) error              { return nil }
+func (followerLog) Close() error                                          { return nil }
 
-// breakable is a listener whose connections the test breaks.
-type breakable struct {
+// breakableListener is a listener whose connections the test can break.
+type breakableListener struct {
 	net.Listener
 
 	mu sync.Mutex
-	// conns holds the connections that are open; guarded by mu.
+	// conns holds the open connections; guarded by mu.
 	conns []net.Conn
 }
 
-func (b *breakable) Accept() (net.Conn, error) {
+func (b *breakableListener) Accept() (net.Conn, error) {
 	conn, err := b.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 	return conn, nil
 }
 
-func (b *breakable) breakAll() {
+func (b *breakableListener) breakAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, c := range b.conns {
@@ -75,27 +75,25 @@
 	b.conns = nil
 }
 
-// listen returns a listener on the loopback that the test closes.
+// listen returns a listener on loopback. The caller closes it.
 func listen() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	return l
 }
 
-var _ = Describe("A control group that was formed anew", func() {
-	// Symptom: an entry answers by the rules of a lost group for ever, and is
-	// ready.
-	// Sequence: a majority of the disks is lost; operators form a new group, whose
-	// revisions begin anew, and forget to restart the entry. It holds a higher
-	// revision, so that the new group never has a delta for it.
-	// Cause to prevent: comparing the revisions of two logs.
-	It("refuses a node that outlived the old one", func() {
+var _ = Describe("A control group that was formed again", func() {
+	// Guards against comparing the revisions of two logs. A majority of the disks is
+	// lost, and operators form a new group, whose revisions restart, without restarting
+	// the entry. The entry holds a higher revision, so the new group never has a delta
+	// for it; it would apply the rules of the lost group forever, and be ready.
+	It("refuses a node of the old group", func() {
 		start := func(l net.Listener, formation uint64) *controller.Control {
 			c, err := controller.NewControl(controller.Settings{
 				Node: "host", ID: 1, Listener: l, Log: zerolog.Nop(), Random: rand.New(rand.NewPCG(1, 1)),
 				Control: configurer.ControlSettings{Listen: l.Addr().String(), Group: "test"},
 				Open: func(replicator.Settings, *storer.Store, replicator.Transport) (controller.ReplicatedLog, error) {
-					return follower{formation: formation}, nil
+					return followerLog{formation: formation}, nil
 				},
 			})
 			Expect(err).NotTo(HaveOccurred())
@@ -110,12 +108,12 @@
 		old := start(l, 1)
 		entry := g.node("entry", "d1", distributor.ScopeEntry, func(s *subscriber.Settings) { s.Recorder = events })
 		DeferCleanup(entry.Close)
-		Eventually(entry.Host, patience).Should(Equal(address))
+		Eventually(entry.Host, eventuallyTimeout).Should(Equal(address))
 		Expect(old.Close()).To(Succeed())
 		again, err := net.Listen("tcp", address)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(start(again, 2).Close)
-		Eventually(func() []recorder.Event { return events.Events("").Events }, patience).
+		Eventually(func() []recorder.Event { return events.Events("").Events }, eventuallyTimeout).
 			Should(ContainElement(HaveField("Detail", ContainSubstring("formed anew"))))
 		Expect(entry.Host()).To(BeEmpty())
 	})
@@ -124,14 +122,14 @@
 var _ = Describe("A forwarded change", func() {
 	var proposals atomic.Int64
 	var answer func() error
-	var accepted *breakable
+	var accepted *breakableListener
 	var client *node
 
-	// The node is connected to a follower, which forwards to a leader that does
-	// as the test says.
+	// The node is connected to a follower, which forwards to a leader whose answers the
+	// test determines.
 	BeforeEach(func() {
 		proposals.Store(0)
-		accepted = &breakable{Listener: listen()}
+		accepted = &breakableListener{Listener: listen()}
 		leads := listener.NewListener(accepted, messenger.Settings{Handler: messenger.HandlerFunc(
 			func(_ context.Context, _ *messenger.Conn, m messenger.Method, _ json.RawMessage) (any, error) {
 				if m != messenger.MethodPropose {
@@ -150,7 +148,7 @@
 			Control: configurer.ControlSettings{Listen: own.Addr().String(), Group: "test"},
 			Random:  rand.New(rand.NewPCG(1, 1)),
 			Open: func(replicator.Settings, *storer.Store, replicator.Transport) (controller.ReplicatedLog, error) {
-				return follower{leader: replicator.Member{ID: 2, Address: leads.Address(), Voter: true}}, nil
+				return followerLog{leader: replicator.Member{ID: 2, Address: leads.Address(), Voter: true}}, nil
 			},
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -170,11 +168,10 @@
 		return err
 	}
 
-	// Symptom: a change that was reported as not accepted is in force later.
-	// Sequence: the follower forwards it; the leader takes it in; the
-	// connection between them breaks before the answer.
-	// Cause to prevent: taking a lost answer for a refusal.
-	It("is of unknown outcome, and not sent again, where the answer was lost", func() {
+	// Guards against treating a lost answer as a refusal. The follower forwards a change,
+	// the leader accepts it, and the connection between them breaks before the answer; a
+	// change reported as not accepted would be in force later.
+	It("has an unknown outcome, and is not resent, if the answer was lost", func() {
 		answer = func() error {
 			accepted.breakAll()
 			return nil
@@ -183,7 +180,7 @@
 		Expect(proposals.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("is sent again under its idempotency key until an answer comes", func() {
+	It("is resent with its idempotency key until it is answered", func() {
 		answer = func() error {
 			if proposals.Load() < 3 {
 				accepted.breakAll()
@@ -194,12 +191,12 @@
 		Expect(proposals.Load()).To(BeEquivalentTo(3))
 	})
 
-	It("is certainly not accepted where the leader refused it for good", func() {
+	It("is certainly not accepted if the leader keeps refusing it", func() {
 		answer = func() error { return messenger.NewRefusal(messenger.ReasonNotLeader, "") }
 		Expect(put("")).To(MatchError(subscriber.ErrNotAccepted))
 	})
 
-	It("stays of unknown outcome though the last try was refused", func() {
+	It("keeps its unknown outcome although the last attempt was refused", func() {
 		answer = func() error {
 			if proposals.Load() == 1 {
 				accepted.breakAll()
--- a/internal/transport/controller/path_test.go
+++ b/internal/transport/controller/path_test.go
@@ -13,10 +13,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-const patience = 10 * time.Second
+const eventuallyTimeout = 10 * time.Second
 
 var _ = Describe("One control host", func() {
-	It("carries a change, a membership, a digest, a permit and reads over the loopback", func() {
+	It("serves a change, a membership, a digest, a permit and reads over loopback", func() {
 		g, err := newGroup(1, nil)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(g.close)
@@ -30,12 +30,12 @@
 		result, err := putWorkspace(entry, "peach", 2)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Verdict).To(Equal(storer.VerdictAccepted))
-		Eventually(entry.index.Revision, patience).Should(BeNumerically(">=", result.Revision))
-		Eventually(entry.LeaseValid, patience).Should(BeTrue())
+		Eventually(entry.index.Revision, eventuallyTimeout).Should(BeNumerically(">=", result.Revision))
+		Eventually(entry.LeaseValid, eventuallyTimeout).Should(BeTrue())
 		Eventually(func() (int, error) {
 			f, err := entry.InForce(context.Background(), result.Revision)
 			return f.Holding, err
-		}, patience).Should(Equal(2))
+		}, eventuallyTimeout).Should(Equal(2))
 
 		ctx := context.Background()
 		spec := storer.MemberSpec{
@@ -44,7 +44,7 @@
 		}
 		lease, err := backend.Join(ctx, "backend", spec)
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() int { return len(entry.index.Members().Members) }, patience).Should(Equal(1))
+		Eventually(func() int { return len(entry.index.Members().Members) }, eventuallyTimeout).Should(Equal(1))
 
 		backend.Renew(registrar.Renewal{
 			Name: "backend", Epoch: lease.Epoch, Load: registrar.Load{Running: 1, MaxBatch: 8}, Resident: []string{"peach/a@1"},
@@ -62,7 +62,7 @@
 					return nil
 				}
 			}
-		}, patience).Should(Equal([]string{"peach/a@1"}))
+		}, eventuallyTimeout).Should(Equal([]string{"peach/a@1"}))
 
 		grant, err := backend.RequestPermit(ctx, permitter.Request{
 			Companion: "backend", Workspace: "peach", Version: "peach/b@1", Waiters: 1,
@@ -76,6 +76,6 @@
 		Expect(found).To(BeTrue())
 		Expect(r.Spec).To(Equal(storer.WorkspaceSpec{Share: 2}))
 		Expect(backend.Leave(ctx, "backend", lease.Epoch, true)).To(Succeed())
-		Eventually(func() int { return len(entry.index.Members().Members) }, patience).Should(BeZero())
+		Eventually(func() int { return len(entry.index.Members().Members) }, eventuallyTimeout).Should(BeZero())
 	})
 })
--- a/internal/transport/controller/permits.go
+++ b/internal/transport/controller/permits.go
@@ -7,30 +7,29 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// requestPermit serves MethodRequestPermit: it waits for a permit, at the
-// leader.
+// requestPermit serves MethodRequestPermit: it waits at the leader for a permit.
 func (c *Control) requestPermit(ctx context.Context, a permitter.Ask) (grant permitter.Grant, err error) {
 	ctx, cancel := bounded(ctx, a.TimeoutMillis)
 	defer cancel()
-	err = c.atLeader(ctx, a.Forwarded, func(ctx context.Context) error {
+	err = c.onLeader(ctx, a.Forwarded, func(ctx context.Context) error {
 		d := c.currentDuties()
 		if d == nil {
-			return messenger.NewRefusal(messenger.ReasonUnavailable, "the leader takes up its duties")
+			return messenger.NewRefusal(messenger.ReasonUnavailable, "the leader is not ready to grant permits")
 		}
 		var err error
 		grant, err = d.requestPermit(ctx, a.Request)
 		return err
 	}, func(ctx context.Context, conn *messenger.Conn) error {
-		a.Forwarded, a.TimeoutMillis = true, remaining(ctx)
+		a.Forwarded, a.TimeoutMillis = true, remainingMillis(ctx)
 		return conn.Call(ctx, messenger.MethodRequestPermit, a, &grant)
 	})
 	return grant, err
 }
 
-// passFinish takes a permit back at the leader. It returns at once. A finish
-// that is lost costs the permit's expiry, or until its holder reports without
+// forwardFinish releases a permit at the leader, without waiting for it. If the message
+// is lost, the permit stays in use until it expires or its holder sends a report without
 // it.
-func (c *Control) passFinish(f permitter.Finish) {
+func (c *Control) forwardFinish(f permitter.Finish) {
 	if d := c.currentDuties(); d != nil {
 		d.finishPermit(f)
 		return
--- a/internal/transport/controller/permits_test.go
+++ b/internal/transport/controller/permits_test.go
@@ -14,22 +14,20 @@
 )
 
 var _ = Describe("Load permits", func() {
-	// Symptom: requests wait for permits while the store does 17 loads of the 20
-	// that it allows a second.
-	// Sequence: a permit is finished before the store's rate allows the next one;
-	// nothing else happens until it does.
-	// Cause: permits were given at requests, finishes and ticks only. Here ticks
-	// alone would take four times the patience.
-	It("are given as soon as the store's rate allows, without a tick", func() {
+	// Guards against granting permits only at requests, finishes and ticks. A permit is
+	// finished before the store's rate allows the next one, and nothing else happens
+	// until then; the store would do 17 of the 20 loads per second that its rate allows.
+	// With ticks alone, this test would take four times its timeout.
+	It("are granted as soon as the store's rate allows, without a tick", func() {
 		g, err := newGroup(1, func(s *controller.Settings) {
-			s.TickInterval = patience / 5
+			s.TickInterval = eventuallyTimeout / 5
 			s.Control.StoreRate = 100
 		})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(g.close)
 		backend := g.node("backend", "d1", distributor.ScopeCompanion, nil)
 		DeferCleanup(backend.Close)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 		defer cancel()
 		lease, err := backend.Join(ctx, "backend", member("d1", "i1"))
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/transport/controller/proposal.go
+++ b/internal/transport/controller/proposal.go
@@ -12,15 +12,15 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// The outcomes by which proposals are counted.
+// Outcome labels of the proposals metric.
 const (
 	outcomeAccepted    = "Accepted"
 	outcomeNotAccepted = "NotAccepted"
 	outcomeUnknown     = "Unknown"
 )
 
-// Propose submits a change to the replicated log, through the leader. Its errors
-// are *messenger.Refusal; all but those with ReasonOutcomeUnknown prove that the
+// Propose submits a change to the replicated log, through the leader. Its errors are of
+// type *messenger.Refusal; all except those with ReasonOutcomeUnknown prove that the
 // change has no effect.
 func (c *Control) Propose(ctx context.Context, e storer.Envelope) (storer.Result, error) {
 	data, err := storer.Encode(e)
@@ -35,22 +35,22 @@
 func (c *Control) propose(ctx context.Context, p distributor.Propose) (answer distributor.Proposed, err error) {
 	ctx, cancel := bounded(ctx, p.TimeoutMillis)
 	defer cancel()
-	err = c.atLeader(ctx, p.Forwarded, func(ctx context.Context) error {
-		result, err := c.proposeHere(ctx, p.Envelope)
+	err = c.onLeader(ctx, p.Forwarded, func(ctx context.Context) error {
+		result, err := c.proposeLocal(ctx, p.Envelope)
 		answer.Result = result
 		return err
 	}, func(ctx context.Context, conn *messenger.Conn) error {
-		p.Forwarded, p.TimeoutMillis = true, remaining(ctx)
+		p.Forwarded, p.TimeoutMillis = true, remainingMillis(ctx)
 		return conn.Call(ctx, messenger.MethodPropose, p, &answer)
 	})
 	return answer, err
 }
 
-// proposeHere proposes at this host, which must lead, and stamps the change with
-// its clock. Were it the proposers' clocks that the state's time follows, the one
-// that runs furthest ahead among all nodes would age every record: resent changes
-// would take effect twice, and nobody could tell which clock to mend.
-func (c *Control) proposeHere(ctx context.Context, data []byte) (storer.Result, error) {
+// proposeLocal proposes a change at this host, which must lead, and stamps it with this
+// host's clock. With the proposers' clocks, the fastest clock among all nodes would
+// determine the state's time and age every record: resent changes would take effect
+// twice, and the faulty clock would be hard to find.
+func (c *Control) proposeLocal(ctx context.Context, data []byte) (storer.Result, error) {
 	data, err := storer.Stamp(data, storer.InstantOf(c.settings.Now()))
 	if err != nil {
 		return storer.Result{}, messenger.NewRefusal(messenger.ReasonMalformed, err.Error())
@@ -66,7 +66,7 @@
 	}
 	result, ok := answer.(storer.Result)
 	if !ok {
-		return storer.Result{}, errors.Errorf("the store answered with %T", answer)
+		return storer.Result{}, errors.Errorf("unexpected result type %T of the store", answer)
 	}
 	c.metrics.proposals.WithLabelValues(outcomeAccepted).Inc()
 	if result.Verdict == storer.VerdictAccepted && result.Resource != nil && !result.Replayed {
--- a/internal/transport/controller/proposal_test.go
+++ b/internal/transport/controller/proposal_test.go
@@ -16,26 +16,26 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/controller"
 )
 
-// leading is a replicated log whose leader is here; it keeps what is proposed.
-type leading struct {
-	follower
+// leaderLog is a replicated log that leads, and records the proposals.
+type leaderLog struct {
+	followerLog
 	proposed chan []byte
 }
 
-func (l leading) Propose(_ context.Context, data []byte) (uint64, any, error) {
+func (l leaderLog) Propose(_ context.Context, data []byte) (uint64, any, error) {
 	l.proposed <- data
 	return 1, storer.Result{}, nil
 }
 
-func (leading) Status() replicator.Status { return replicator.Status{Role: replicator.Leader} }
+func (leaderLog) Status() replicator.Status { return replicator.Status{Role: replicator.Leader} }
 
 var _ = Describe("A proposal", func() {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	var log leading
+	var log leaderLog
 	var c *controller.Control
 
 	BeforeEach(func() {
-		log = leading{proposed: make(chan []byte, 1)}
+		log = leaderLog{proposed: make(chan []byte, 1)}
 		var err error
 		c, err = controller.NewControl(controller.Settings{
 			Node: "host", ID: 1, Listener: listen(), Log: zerolog.Nop(), Random: rand.New(rand.NewPCG(1, 1)),
@@ -49,11 +49,10 @@
 		DeferCleanup(c.Close)
 	})
 
-	// Symptom: a resent change takes effect twice within its retention.
-	// Sequence: the clock of one entry among hundreds runs days ahead; each of its
-	// changes moves the state's time on by a minute.
-	// Cause: the state's time followed the proposers' clocks.
-	It("bears the leader's clock, whatever the proposer wrote", func() {
+	// Guards against a replicated time that follows the proposers' clocks. One entry's
+	// clock runs days ahead, and each of its changes advances the state's time by a
+	// minute; a resent change would take effect twice within its retention.
+	It("has the leader's time, whatever the proposer wrote", func() {
 		command := storer.DeleteResource{Key: storer.Key{Kind: storer.KindAdapter, Workspace: "w", Name: "a"}, IfMatch: 3}
 		sent := storer.Envelope{
 			Time: storer.InstantOf(now.Add(100 * time.Hour)), IdempotencyKey: "k", Digest: []byte("d"), Command: command,
@@ -64,7 +63,7 @@
 		Expect(storer.Decode(<-log.proposed)).To(Equal(sent))
 	})
 
-	It("that can't be read is refused before it reaches the log", func() {
+	It("that can't be decoded is refused before it reaches the log", func() {
 		_, err := storer.Stamp([]byte("damaged"), 1)
 		Expect(err).To(HaveOccurred())
 		_, err = c.Propose(context.Background(), storer.Envelope{})
--- a/internal/transport/controller/pulse.go
+++ b/internal/transport/controller/pulse.go
@@ -8,11 +8,11 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// hostPulses is the number of a leader's pulses to the other hosts for each one
-// of theirs to their nodes.
-const hostPulses = 4
+// hostPulsesPerNodePulse is the number of pulses that a leader sends to the other hosts
+// for each pulse that they send to their nodes.
+const hostPulsesPerNodePulse = 4
 
-// tick runs what recurs.
+// tick runs the periodic tasks.
 func (c *Control) tick() {
 	defer c.workers.Done()
 	s := c.settings
@@ -27,23 +27,23 @@
 		case <-ticker.C:
 		}
 		now := s.Now()
-		hosts := now.Sub(lastHosts) >= s.PulseInterval/hostPulses
+		hosts := now.Sub(lastHosts) >= s.PulseInterval/hostPulsesPerNodePulse
 		if hosts {
 			lastHosts = now
 		}
-		if c.refresh(now, hosts); c.knownTerm() != lastTerm {
-			// Companions report their permits to a new leader once they have
-			// heard of its term: the sooner, the sooner loads go on.
+		if c.refreshKnowledge(now, hosts); c.knownTerm() != lastTerm {
+			// Companions report their permits to a new leader once they know its term.
+			// Pulsing at once lets loads continue earlier.
 			lastTerm, lastPulse = c.knownTerm(), time.Time{}
 		}
-		if now.Sub(lastRenew) >= time.Duration(s.Control.MemberLease)/renewParts {
+		if now.Sub(lastRenew) >= time.Duration(s.Control.MemberLease)/renewalsPerLease {
 			lastRenew = now
-			c.passRenewals()
+			c.forwardRenewals()
 		}
 		if now.Sub(lastDigest) >= s.DigestInterval {
 			lastDigest = now
-			c.digest()
-			c.count()
+			c.sendDigests()
+			c.updateTally()
 		}
 		if now.Sub(lastPulse) >= s.PulseInterval {
 			lastPulse = now
@@ -57,12 +57,12 @@
 	}
 }
 
-// refresh brings this host's knowledge of what is in force up to date, and on a
-// leader, where hosts is set, that of the other hosts.
-func (c *Control) refresh(now time.Time, hosts bool) {
+// refreshKnowledge updates the age of this host's knowledge of what is in force. A leader
+// also sends pulses to the other hosts if hosts is set.
+func (c *Control) refreshKnowledge(now time.Time, hosts bool) {
 	status := c.agreement.Status()
-	c.links.learn(status.Members)
-	if age, ok := c.freshness(); ok {
+	c.links.updateMembers(status.Members)
+	if age, ok := c.knowledgeAge(); ok {
 		c.metrics.age.Set(age.Seconds())
 	} else {
 		c.metrics.age.Set(-1)
@@ -74,66 +74,66 @@
 	if d == nil || d.term != status.Term {
 		return
 	}
-	// LeaderContact is 0 while the lease holds, so that nothing was accepted
-	// that this leader does not know of.
+	// LeaderContact is 0 while the lease is valid: nothing was accepted that this leader
+	// does not know.
 	p := distributor.Pulse{Term: status.Term, Revision: c.store.Revision()}
-	c.takePulse(now, p)
+	c.applyPulse(now, p)
 	if !hosts {
 		return
 	}
-	for _, address := range c.others() {
-		c.relay.send("pulse "+address, func() {
+	for _, address := range c.otherHosts() {
+		c.relay.sendAsync("pulse "+address, func() {
 			conn, err := c.pool.Conn(c.ctx, address)
 			if err != nil {
 				return
 			}
-			// A lost pulse is made good by the next.
+			// A lost pulse is compensated by the next one.
 			_ = conn.Notify(c.ctx, messenger.MethodPulse, p)
 		})
 	}
 }
 
-// takePulse takes in a leader's pulse.
-func (c *Control) takePulse(now time.Time, p distributor.Pulse) {
+// applyPulse applies a leader's pulse.
+func (c *Control) applyPulse(now time.Time, p distributor.Pulse) {
 	held := c.store.Revision()
-	c.freshMu.Lock()
-	defer c.freshMu.Unlock()
+	c.knowledgeMu.Lock()
+	defer c.knowledgeMu.Unlock()
 	if p.Term < c.term {
 		return
 	}
 	c.term = p.Term
-	c.fresh.Pulse(now, p, held)
-	c.fresh.Applied(held)
+	c.knowledge.Pulse(now, p, held)
+	c.knowledge.Applied(held)
 }
 
-// freshness returns how long ago this host was known to hold all that was
-// accepted, and false where it never was.
-func (c *Control) freshness() (time.Duration, bool) {
-	c.freshMu.Lock()
-	defer c.freshMu.Unlock()
-	return c.fresh.Age(c.settings.Now())
+// knowledgeAge returns the time since this host was last known to hold everything
+// accepted, and false if it never was.
+func (c *Control) knowledgeAge() (time.Duration, bool) {
+	c.knowledgeMu.Lock()
+	defer c.knowledgeMu.Unlock()
+	return c.knowledge.Age(c.settings.Now())
 }
 
 func (c *Control) knownTerm() uint64 {
-	c.freshMu.Lock()
-	defer c.freshMu.Unlock()
+	c.knowledgeMu.Lock()
+	defer c.knowledgeMu.Unlock()
 	return c.term
 }
 
 // pulse returns the pulse for a node.
 //
-// It tells the revision held now, which is no older than the one that the age
+// It contains the current revision, which is no older than the revision that the age
 // belongs to: a node that holds it knows at least as much.
 func (c *Control) pulse() distributor.Pulse {
 	p := distributor.Pulse{Term: c.knownTerm(), Revision: c.store.Revision(), AgeMillis: -1}
-	if age, ok := c.freshness(); ok {
+	if age, ok := c.knowledgeAge(); ok {
 		p.AgeMillis = age.Milliseconds()
 	}
 	return p
 }
 
-// others returns the addresses of the other members of the group.
-func (c *Control) others() []string {
+// otherHosts returns the addresses of the other members of the group.
+func (c *Control) otherHosts() []string {
 	var addresses []string
 	for _, m := range c.agreement.Status().Members {
 		if uint64(m.ID) != c.settings.ID {
--- a/internal/transport/controller/reader.go
+++ b/internal/transport/controller/reader.go
@@ -15,11 +15,11 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// tallyTimeout bounds the wait for another host's tally.
+// tallyTimeout bounds the wait for the tallies of the other hosts.
 const tallyTimeout = time.Second
 
-// read serves reads of the replicated state. Unless the reader allows less, it
-// first waits until this host holds all that was accepted before.
+// read serves reads of the replicated state. Unless the reader permits stale data, it
+// first waits until this host has applied everything accepted before the call.
 func (c *Control) read(ctx context.Context, r distributor.Read) (distributor.ReadAnswer, error) {
 	bound, cancel := bounded(ctx, r.TimeoutMillis)
 	defer cancel()
@@ -52,13 +52,13 @@
 	return a
 }
 
-// readList returns the page after the last name of the page before. By position,
-// a page would pass over a resource for each one before it that was deleted
-// meanwhile: a list read while backend servers leave would lack some that stay.
+// readList returns the page after the last name of the previous page. With positions in
+// place of names, a page would skip one resource for each earlier one deleted in the
+// meantime: a list read while backend servers leave would lack some that stay.
 func (c *Control) readList(r distributor.Read, limit int) distributor.ReadAnswer {
 	all, revision := c.store.List(r.Key.Kind, r.Key.Workspace)
 	if r.Key.Name != "" {
-		last := lastOf(r)
+		last := pageCursor(r)
 		i, found := slices.BinarySearchFunc(all, last, func(e storer.Resource, last storer.Metadata) int {
 			return cmp.Or(
 				cmp.Compare(e.Metadata.Workspace, last.Workspace),
@@ -74,8 +74,8 @@
 	return distributor.ReadAnswer{Resources: all[:n], Revision: revision, More: n < len(all)}
 }
 
-// lastOf returns the workspace and name of the last resource of the page before.
-func lastOf(r distributor.Read) storer.Metadata {
+// pageCursor returns the workspace and name of the last resource of the previous page.
+func pageCursor(r distributor.Read) storer.Metadata {
 	last := storer.Metadata{Workspace: r.Key.Workspace, Name: r.Key.Name}
 	switch {
 	case r.Key.Kind == storer.KindWorkspace:
@@ -92,7 +92,7 @@
 	if r.WaitMillis > 0 {
 		waiting, cancel := context.WithTimeout(ctx, time.Duration(r.WaitMillis)*time.Millisecond)
 		defer cancel()
-		// Nothing new within the time is an answer too.
+		// A timeout is not an error: the answer then has no changes.
 		_ = c.store.Wait(waiting, r.After)
 	}
 	changes, upTo, ok := c.store.Since(r.After, limit)
@@ -102,29 +102,29 @@
 	return distributor.ReadAnswer{Changes: changes, Revision: upTo}
 }
 
-// barrier waits until this host holds all that was accepted before.
+// barrier waits until this host has applied everything accepted before the call.
 func (c *Control) barrier(ctx context.Context) error {
 	var passed distributor.BarrierPassed
-	err := c.atLeader(ctx, false, func(ctx context.Context) error {
+	err := c.onLeader(ctx, false, func(ctx context.Context) error {
 		return c.agreement.ReadBarrier(ctx)
 	}, func(ctx context.Context, conn *messenger.Conn) error {
-		return conn.Call(ctx, messenger.MethodBarrier, distributor.Barrier{TimeoutMillis: remaining(ctx)}, &passed)
+		return conn.Call(ctx, messenger.MethodBarrier, distributor.Barrier{TimeoutMillis: remainingMillis(ctx)}, &passed)
 	})
 	if err != nil {
-		// A read has no effect, whatever became of it.
+		// A read has no effect, so its error is never an unknown outcome.
 		return messenger.NewRefusal(messenger.ReasonUnavailable, err.Error())
 	}
 	if passed.Revision == 0 {
 		return nil
 	}
 	if err := c.store.Wait(ctx, passed.Revision-1); err != nil {
-		return messenger.NewRefusal(messenger.ReasonUnavailable, "this host is behind")
+		return messenger.NewRefusal(messenger.ReasonUnavailable, "this host has not caught up with the leader")
 	}
 	return nil
 }
 
 // barrierHere serves MethodBarrier.
-func (c *Control) barrierHere(ctx context.Context, b distributor.Barrier) (distributor.BarrierPassed, error) {
+func (c *Control) serveBarrier(ctx context.Context, b distributor.Barrier) (distributor.BarrierPassed, error) {
 	ctx, cancel := bounded(ctx, b.TimeoutMillis)
 	defer cancel()
 	if err := c.agreement.ReadBarrier(ctx); err != nil {
@@ -137,11 +137,11 @@
 	return distributor.BarrierPassed{Revision: c.store.Revision()}, nil
 }
 
-// remaining returns the milliseconds that the other end may take: nine tenths of
-// the time until the context ends, or 0 where it does not. Were it all, a
-// refusal given at the end would come too late, and a change that certainly has
-// no effect would be of unknown outcome.
-func remaining(ctx context.Context) int64 {
+// remainingMillis returns the time in milliseconds that a forwarded call may take: nine
+// tenths of the time until ctx ends, or 0 if it has no deadline. With the whole time, a
+// refusal sent at the end would arrive too late, and a change that certainly has no
+// effect would be reported as an unknown outcome.
+func remainingMillis(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
@@ -149,15 +149,15 @@
 	return max((time.Until(deadline) * 9 / 10).Milliseconds(), 1)
 }
 
-// inForce asks all hosts of the group how far a revision has come.
+// inForce polls all hosts of the group for the nodes that hold a revision.
 func (c *Control) inForce(ctx context.Context, r distributor.TallyRequest) distributor.InForce {
 	ctx, cancel := context.WithTimeout(ctx, tallyTimeout)
 	defer cancel()
 	var mu sync.Mutex
-	answers := []distributor.TallyAnswer{c.tallyHere(r)}
+	answers := []distributor.TallyAnswer{c.localTally(r)}
 	var unreachable []string
 	var asked sync.WaitGroup
-	for _, address := range c.others() {
+	for _, address := range c.otherHosts() {
 		asked.Go(func() {
 			var a distributor.TallyAnswer
 			conn, err := c.pool.Conn(ctx, address)
@@ -178,9 +178,9 @@
 	return distributor.Merge(r.Revision, answers, unreachable)
 }
 
-// tallyHere serves MethodTally.
-func (c *Control) tallyHere(r distributor.TallyRequest) distributor.TallyAnswer {
-	c.count()
+// localTally serves MethodTally.
+func (c *Control) localTally(r distributor.TallyRequest) distributor.TallyAnswer {
+	c.updateTally()
 	c.sessionsMu.Lock()
 	defer c.sessionsMu.Unlock()
 	return c.tally.Answer(c.settings.Now(), c.settings.Node, r.Revision)
--- a/internal/transport/controller/reader_test.go
+++ b/internal/transport/controller/reader_test.go
@@ -41,12 +41,10 @@
 		return names
 	}
 
-	// Symptom: a list of members lacks one that has been there all along, and a
-	// back-up made of lists lacks a workspace.
-	// Sequence: a page is read; a resource of that page is deleted; the next page
-	// is read.
-	// Cause: the next page began at a position, to which everything had moved up.
-	It("pass over nothing when a resource of an earlier page goes", func() {
+	// Guards against pages that begin at a position. A page is read, one of its resources
+	// is deleted, and the next page is read; all later resources have moved up by one, so
+	// a member or, in a back-up made of lists, a workspace would be missing.
+	It("skip nothing if a resource of an earlier page is deleted", func() {
 		for i := 1; i <= 4; i++ {
 			w := fmt.Sprintf("w%d", i)
 			propose(storer.PutResource{Resource: storer.Resource{
@@ -63,7 +61,7 @@
 
 		Expect(page(storer.KindMember, storer.Metadata{Name: "m2"})).To(HaveExactElements("m3", "m4"))
 		Expect(page(storer.KindWorkspace, storer.Metadata{Name: "w2"})).To(HaveExactElements("w3", "w4"))
-		// The last one of the page before may be gone itself.
+		// The last resource of the previous page may itself be deleted.
 		Expect(page(storer.KindWorkspace, storer.Metadata{Name: "w1"})).To(HaveExactElements("w2", "w3"))
 		Expect(page(storer.KindAdapter, storer.Metadata{Workspace: "w3", Name: "forms"})).To(HaveExactElements("forms"))
 	})
--- a/internal/transport/controller/recording.go
+++ b/internal/transport/controller/recording.go
@@ -6,12 +6,12 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// record notes an event.
+// record records an event of the control host.
 func (c *Control) record(kind recorder.Kind, revision uint64, format string, args ...any) {
 	c.settings.Recorder.Record(recorder.Event{Kind: kind, Revision: revision, Detail: fmt.Sprintf(format, args...)})
 }
 
-// recordBackend notes an event of a backend server.
+// recordBackend records an event of a backend server.
 func (c *Control) recordBackend(kind recorder.Kind, backend string, format string, args ...any) {
 	c.settings.Recorder.Record(recorder.Event{Kind: kind, Backend: backend, Detail: fmt.Sprintf(format, args...)})
 }
--- a/internal/transport/controller/relay.go
+++ b/internal/transport/controller/relay.go
@@ -9,33 +9,34 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// relay gathers what this host passes on for the companions connected to it.
+// relay collects the renewals of the companions connected to this host, and tracks the
+// sends to other processes. Its methods are safe for concurrent use.
 type relay struct {
 	mu sync.Mutex
-	// renewals holds those of the present tick, by name; guarded by mu.
+	// renewals holds the renewals of the current tick by member name; guarded by mu.
 	renewals map[string]registrar.LeaseRenewal
-	// companions holds the connection from which each backend server's last
-	// renewal came; guarded by mu.
+	// companions holds the connection of each backend server's last renewal; guarded by
+	// mu.
 	companions map[string]*messenger.Conn
-	// conns holds the connection to each other host that was last used for
-	// digests; guarded by mu.
-	conns map[string]*messenger.Conn
-	// sending names the hosts to which a send is under way; guarded by mu.
-	sending map[string]struct{}
-	// senders counts the sends under way.
+	// digestConns holds the connection last used for digests to each other host; guarded
+	// by mu.
+	digestConns map[string]*messenger.Conn
+	// inProgress names the targets of sends in progress; guarded by mu.
+	inProgress map[string]struct{}
+	// senders tracks the goroutines of sends in progress.
 	senders sync.WaitGroup
 }
 
 func newRelay() *relay {
 	return &relay{
-		renewals:   make(map[string]registrar.LeaseRenewal),
-		companions: make(map[string]*messenger.Conn),
-		conns:      make(map[string]*messenger.Conn),
-		sending:    make(map[string]struct{}),
+		renewals:    make(map[string]registrar.LeaseRenewal),
+		companions:  make(map[string]*messenger.Conn),
+		digestConns: make(map[string]*messenger.Conn),
+		inProgress:  make(map[string]struct{}),
 	}
 }
 
-// renew notes a renewal for the next batch.
+// renew adds a renewal to the next batch.
 func (r *relay) renew(conn *messenger.Conn, l registrar.LeaseRenewal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,8 +46,8 @@
 	r.companions[l.Name] = conn
 }
 
-// take returns the renewals since the last call, sorted by name.
-func (r *relay) take() []registrar.LeaseRenewal {
+// takeRenewals returns the renewals since the last call, sorted by name.
+func (r *relay) takeRenewals() []registrar.LeaseRenewal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	batch := make([]registrar.LeaseRenewal, 0, len(r.renewals))
@@ -64,49 +65,50 @@
 	return r.companions[name]
 }
 
-// forget drops the companions on a connection that ended.
-func (r *relay) forget(conn *messenger.Conn) {
+// forgetConn drops the companions of a connection that has ended.
+func (r *relay) forgetConn(conn *messenger.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.companions, func(_ string, c *messenger.Conn) bool { return c == conn })
 }
 
-// names returns the backend servers whose companions are connected here.
-func (r *relay) names() []string {
+// connectedBackends returns the sorted names of the backend servers whose companions are
+// connected here.
+func (r *relay) connectedBackends() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Sorted(maps.Keys(r.companions))
 }
 
-// newConn reports whether conn is another connection to a host than the one
-// last used.
-func (r *relay) newConn(address string, conn *messenger.Conn) bool {
+// replaceConn records conn as the connection used for digests to a host, and reports
+// whether it differs from the previous one.
+func (r *relay) replaceConn(address string, conn *messenger.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.conns[address] == conn {
+	if r.digestConns[address] == conn {
 		return false
 	}
-	r.conns[address] = conn
+	r.digestConns[address] = conn
 	return true
 }
 
-// send calls f in a goroutine of its own, unless one for the same host is under
-// way: a host that does not answer must not hold up the others. What is left
-// out is made good by the next one.
-func (r *relay) send(address string, f func()) {
+// sendAsync calls f in a new goroutine, unless a send to the same target is in progress:
+// a host that does not answer must not block sends to others. A skipped send is
+// compensated by the next one.
+func (r *relay) sendAsync(address string, f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, busy := r.sending[address]; busy {
-		delete(r.conns, address)
+	if _, busy := r.inProgress[address]; busy {
+		delete(r.digestConns, address)
 		return
 	}
-	r.sending[address] = struct{}{}
+	r.inProgress[address] = struct{}{}
 	r.senders.Add(1)
 	go func() {
 		defer r.senders.Done()
 		defer func() {
 			r.mu.Lock()
-			delete(r.sending, address)
+			delete(r.inProgress, address)
 			r.mu.Unlock()
 		}()
 		f()
--- a/internal/transport/controller/reports.go
+++ b/internal/transport/controller/reports.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// reportGather is the time in which a host gathers the reports of its entries before
-	// it passes them on, so that the leader's work grows with hosts and not with entries.
-	reportGather = 20 * time.Millisecond
-	// reportTimeout bounds the wait for the leader's answer. An entry whose report fails
-	// tells it again.
+	// reportGatherInterval is the time for which a host collects its entries' reports
+	// before it forwards them as one batch, so that the leader's work grows with the
+	// number of hosts and not of entries.
+	reportGatherInterval = 20 * time.Millisecond
+	// reportTimeout bounds the wait for the leader's answer. An entry repeats a report
+	// that failed.
 	reportTimeout = 500 * time.Millisecond
 )
 
-// reports gathers the reports of the entries connected to this host.
+// reports batches the reports of the entries connected to this host.
 type reports struct {
 	control *Control
 
 	mu sync.Mutex
-	// batch takes reports until it is sent; nil while none was received. Guarded by mu.
+	// batch collects reports until it is sent; nil if there are none. Guarded by mu.
 	batch *reportBatch
 }
 
-// reportBatch is a number of reports that are passed on together. Its answer and err are
+// reportBatch is a group of reports that are forwarded together. Its answer and err are
 // set before done is closed.
 type reportBatch struct {
 	reports []bucketer.Report
@@ -44,22 +45,22 @@
 
 // report serves MethodReport: it waits for the leader's answer to the batch.
 //
-// The answer's revision was read at the leader after the report had left its entry: all
-// that was accepted before is covered, however long any message was on its way.
+// The leader reads the answer's revision after the report has left its entry, so that the
+// answer covers everything accepted before, whatever the network delays were.
 func (r *reports) report(ctx context.Context, u bucketer.Report) (bucketer.Answer, error) {
-	b := r.join(u) //nolint:contextcheck // The batch is that of other entries too.
+	b := r.add(u) //nolint:contextcheck // The batch is shared with other entries.
 	select {
 	case <-b.done:
 	case <-ctx.Done():
-		return bucketer.Answer{}, messenger.NewRefusal(messenger.ReasonUnavailable, "the report's sender has left")
+		return bucketer.Answer{}, messenger.NewRefusal(messenger.ReasonUnavailable, "the sender of the report disconnected")
 	case <-r.control.ctx.Done():
 		return bucketer.Answer{}, messenger.NewRefusal(messenger.ReasonStopping, "")
 	}
-	return b.only(u), b.err
+	return b.answerFor(u), b.err
 }
 
-// join adds a report to the batch that is sent next.
-func (r *reports) join(u bucketer.Report) *reportBatch {
+// add adds a report to the next batch.
+func (r *reports) add(u bucketer.Report) *reportBatch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.batch == nil {
@@ -71,10 +72,10 @@
 	return r.batch
 }
 
-// send passes a batch on after a while.
+// send forwards a batch after reportGatherInterval.
 func (r *reports) send(b *reportBatch) {
 	defer close(b.done)
-	if !r.control.pause(reportGather) {
+	if !r.control.pause(reportGatherInterval) {
 		b.err = messenger.NewRefusal(messenger.ReasonStopping, "")
 		return
 	}
@@ -84,17 +85,18 @@
 	ctx, cancel := context.WithTimeout(r.control.ctx, reportTimeout)
 	defer cancel()
 	batch := bucketer.Batch{Host: r.control.settings.Node, Entries: r.control.entryCount(), Reports: b.reports}
-	b.err = r.control.atLeader(ctx, false, func(ctx context.Context) error {
+	b.err = r.control.onLeader(ctx, false, func(ctx context.Context) error {
 		var err error
-		b.answer, err = r.control.reportHere(ctx, batch)
+		b.answer, err = r.control.serveReportBatch(ctx, batch)
 		return err
 	}, func(ctx context.Context, conn *messenger.Conn) error {
 		return conn.Call(ctx, messenger.MethodReportBatch, batch, &b.answer)
 	})
 }
 
-// only returns the part of the batch's answer that an entry asked for.
-func (b *reportBatch) only(u bucketer.Report) bucketer.Answer {
+// answerFor returns the part of the batch's answer that concerns the workspaces in an
+// entry's report.
+func (b *reportBatch) answerFor(u bucketer.Report) bucketer.Answer {
 	a := b.answer
 	a.Levels = nil
 	wanted := make(map[string]struct{}, len(u.Uses))
@@ -109,9 +111,9 @@
 	return a
 }
 
-// reportHere serves MethodReportBatch, and the reports of this host's own entries where
-// it leads.
-func (c *Control) reportHere(ctx context.Context, b bucketer.Batch) (bucketer.Answer, error) {
+// serveReportBatch serves MethodReportBatch, and handles this host's own batches if it
+// leads.
+func (c *Control) serveReportBatch(ctx context.Context, b bucketer.Batch) (bucketer.Answer, error) {
 	d := c.currentDuties()
 	if d == nil {
 		return bucketer.Answer{}, c.notLeader()
@@ -126,7 +128,7 @@
 	return d.report(b, c.store.Revision()), nil
 }
 
-// report takes what entries admitted into the buckets.
+// report applies the usage that entries reported to the ledger.
 func (d *duties) report(b bucketer.Batch, revision uint64) bucketer.Answer {
 	now := d.control.settings.Now()
 	d.ledgerMu.Lock()
--- a/internal/transport/controller/restart_benchmark_test.go
+++ b/internal/transport/controller/restart_benchmark_test.go
@@ -19,9 +19,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/subscriber"
 )
 
-// stocked starts one control host whose state holds adapters with one version
-// each, and whose history does not reach back to all of them.
-func stocked(b *testing.B, adapters int) *crowd {
+// newStockedHost starts one control host whose state holds the given number of adapters
+// with one version each, and whose history does not reach back to all of them.
+func newStockedHost(b *testing.B, adapters int) *watcherFleet {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 		Node: "host", ID: 1, Hosts: g.hosts, Listener: l, Log: zerolog.Nop(), Random: rand.New(rand.NewPCG(1, 1)),
 		Control: configurer.ControlSettings{Listen: l.Addr().String(), Group: "test"},
 		Open: func(replicator.Settings, *storer.Store, replicator.Transport) (controller.ReplicatedLog, error) {
-			return follower{}, nil
+			return followerLog{}, nil
 		},
 	})
 	if err != nil {
@@ -60,16 +60,16 @@
 	}
 	c.Start()
 	g.controls = []*controller.Control{c}
-	return &crowd{group: g}
+	return &watcherFleet{group: g}
 }
 
-// BenchmarkRestart measures the time until nodes that come back at once, with
-// nothing, all hold the whole state of one control host.
+// BenchmarkRestart measures the time until nodes that start at once, without any state,
+// all hold the whole state of one control host.
 func BenchmarkRestart(b *testing.B) {
 	for _, adapters := range []int{3000, 15000, 61000} {
 		for _, nodes := range []int{1, 10, 50} {
 			b.Run(fmt.Sprintf("Adapters=%d/Nodes=%d", adapters, nodes), func(b *testing.B) {
-				c := stocked(b, adapters)
+				c := newStockedHost(b, adapters)
 				defer c.group.close()
 				head := c.controls[0].Store().Revision()
 				before := c.cost()
@@ -84,12 +84,12 @@
 							dial := s.Dial
 							s.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 								conn, err := dial(ctx, address)
-								return counting{Conn: conn, read: &c.read}, err
+								return countingConn{Conn: conn, read: &c.read}, err
 							}
 						})
 						c.watchers, c.clients = append(c.watchers, w), append(c.clients, n.Client)
 					}
-					c.await(head)
+					c.waitHeld(head)
 					runtime.ReadMemStats(&memory)
 					peak = max(peak, memory.HeapAlloc)
 					for _, n := range c.clients {
--- a/internal/transport/controller/routing.go
+++ b/internal/transport/controller/routing.go
@@ -9,23 +9,23 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// PutRouting accepts a routing configuration, which the caller has checked. One
-// whose number is not above that in force is accepted and changes nothing. Its
-// errors are those of Propose.
+// PutRouting commits a routing configuration that the caller has validated. A
+// configuration whose number is not above the one in force is accepted and changes
+// nothing. Its errors are those of Propose.
 func (c *Control) PutRouting(ctx context.Context, number uint64, document []byte) error {
 	packed, err := packer.Pack(document)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	return c.accept(ctx, storer.PutRouting{Number: number, Document: packed})
+	return c.proposeCommand(ctx, storer.PutRouting{Number: number, Document: packed})
 }
 
-// SetNewestVersion accepts the newest version of an adapter or model.
-func (c *Control) SetNewestVersion(ctx context.Context, name string, version uint64) error {
-	return c.accept(ctx, storer.NameNewest{Name: name, Version: version})
+// NameNewest commits the newest version of an adapter or model.
+func (c *Control) NameNewest(ctx context.Context, name string, version uint64) error {
+	return c.proposeCommand(ctx, storer.NameNewest{Name: name, Version: version})
 }
 
-func (c *Control) accept(ctx context.Context, command storer.Command) error {
+func (c *Control) proposeCommand(ctx context.Context, command storer.Command) error {
 	result, err := c.Propose(ctx, storer.Envelope{Command: command})
 	if err != nil {
 		return err
@@ -33,13 +33,12 @@
 	if result.Verdict != storer.VerdictAccepted {
 		return errors.NotValidf("%T: %s", command, result.Reason)
 	}
-	c.settings.Log.Info().Type("Command", command).Uint64("Revision", result.Revision).Msg("accepted")
+	c.settings.Log.Info().Type("Command", command).Uint64("Revision", result.Revision).Msg("routing command accepted")
 	return nil
 }
 
-// Routing returns the routing configuration that holds after all that was
-// accepted before the call, its document as the operator sent it, and false where
-// there is none.
+// Routing returns the routing configuration in force after everything accepted before the
+// call, with its document as the operator sent it. It returns false if there is none.
 func (c *Control) Routing(ctx context.Context) (storer.RoutingSpec, bool, error) {
 	if err := c.barrier(ctx); err != nil {
 		return storer.RoutingSpec{}, false, err
--- a/internal/transport/controller/session.go
+++ b/internal/transport/controller/session.go
@@ -12,29 +12,30 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// digestQueue is the number of digests that wait for one entry. Beyond it they
-// are dropped, and the entry gets the whole instead.
-const digestQueue = 16
+// maxQueuedDigests bounds the digests queued for one entry. If it is exceeded, the queue
+// is dropped and the entry receives the full states instead.
+const maxQueuedDigests = 16
 
 // session serves one node over one connection.
 type session struct {
 	conn      *messenger.Conn
 	subscribe distributor.Subscribe
-	// signal wakes the sending goroutine.
+	// signal wakes the session's sending goroutine.
 	signal chan struct{}
 
 	mu sync.Mutex
-	// feed is the cursor over the configuration; guarded by mu.
+	// feed is the node's position in the configuration; guarded by mu.
 	feed *distributor.Feed
-	// digests wait to be sent; guarded by mu.
+	// digests holds the digests to send; guarded by mu.
 	digests []json.RawMessage
-	// needsWhole asks for the whole board before further digests; guarded by mu.
-	needsWhole bool
-	// pulseDue asks for a pulse; guarded by mu.
+	// needsFull means that the full states of all backend servers must be sent before
+	// further digests; guarded by mu.
+	needsFull bool
+	// pulseDue means that a pulse must be sent; guarded by mu.
 	pulseDue bool
-	// goodbye tells that the node said it leaves; guarded by mu.
+	// goodbye means that the node has announced its permanent departure; guarded by mu.
 	goodbye bool
-	// resetting tells that pages of the whole state are under way; guarded by
+	// resetting means that the node is being sent pages of the whole state; guarded by
 	// mu.
 	resetting bool
 }
@@ -46,15 +47,15 @@
 	}
 }
 
-// startSession serves Subscribe.
+// startSession serves MethodSubscribe.
 func (c *Control) startSession(conn *messenger.Conn, sub distributor.Subscribe) (distributor.Subscribed, error) {
 	if sub.Group != "" && sub.Group != c.settings.Control.Group {
 		return distributor.Subscribed{}, messenger.NewRefusal(messenger.ReasonMalformed, "another control group")
 	}
 	formation := c.agreement.Status().Formation
 	if sub.Formation != 0 && formation != 0 && sub.Formation != formation {
-		// The group was formed anew, and its revisions begin anew: the node would
-		// wait for ever for one above its own.
+		// The group was formed again, and its revisions restarted: the node would wait
+		// forever for a revision above its own.
 		return distributor.Subscribed{}, messenger.NewRefusal(messenger.ReasonMalformed, "the control group was formed anew: restart the node")
 	}
 	s := &session{
@@ -64,8 +65,8 @@
 		feed: distributor.NewFeed(distributor.FeedSettings{
 			Scope: sub.Scope, Backend: sub.Backend, After: sub.After,
 		}),
-		needsWhole: sub.Scope == distributor.ScopeEntry,
-		pulseDue:   true,
+		needsFull: sub.Scope == distributor.ScopeEntry,
+		pulseDue:  true,
 	}
 	c.sessionsMu.Lock()
 	defer c.sessionsMu.Unlock()
@@ -84,8 +85,8 @@
 	return distributor.Subscribed{Host: c.settings.Node, Formation: formation, Revision: c.store.Revision()}, nil
 }
 
-// runSession sends to one node until its connection ends, or until another
-// subscription on the same connection replaces this one.
+// runSession sends to one node until its connection ends, or until another subscription
+// on the same connection replaces this one.
 func (c *Control) runSession(s *session) {
 	defer c.workers.Done()
 	defer c.endSession(s)
@@ -118,7 +119,7 @@
 		return
 	}
 	delete(c.sessions, s.conn)
-	c.relay.forget(s.conn)
+	c.relay.forgetConn(s.conn)
 	c.metrics.sessions.WithLabelValues(s.subscribe.Scope.String()).Dec()
 	for _, other := range c.sessions {
 		if other.subscribe.Node == s.subscribe.Node {
@@ -126,10 +127,10 @@
 			return
 		}
 	}
-	c.tally.Disconnect(c.settings.Now(), s.subscribe.Node, s.saidGoodbye())
+	c.tally.Disconnect(c.settings.Now(), s.subscribe.Node, s.receivedGoodbye())
 }
 
-func (s *session) saidGoodbye() bool {
+func (s *session) receivedGoodbye() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.goodbye
@@ -141,7 +142,7 @@
 	return c.sessions[conn]
 }
 
-// eachSession calls f for every session, without a lock held.
+// eachSession calls f for every session, without holding a lock.
 func (c *Control) eachSession(f func(*session)) {
 	c.sessionsMu.Lock()
 	all := make([]*session, 0, len(c.sessions))
@@ -154,10 +155,10 @@
 	}
 }
 
-// sendNext sends one message, if there is any: deltas first, so that a pulse
-// never tells of a revision before the delta that brings it.
+// sendNext sends one message if one is due, and reports whether it did. Deltas go first,
+// so that a pulse never names a revision before the delta that contains it.
 func (c *Control) sendNext(s *session) (bool, error) {
-	// The pulse is made first: what the feed gives out after it covers it.
+	// Create the pulse before reading the feed, so that the feed covers its revision.
 	pulse := c.pulse()
 	s.mu.Lock()
 	delta, ok := s.feed.Next(c.source)
@@ -175,8 +176,8 @@
 	due := s.pulseDue
 	s.pulseDue = false
 	if s.subscribe.Scope != distributor.ScopeEntry && s.feed.Acknowledged() < pulse.Revision {
-		// The node can't tell by its own revision, since it is spared most
-		// changes: the pulse is a sign of life only.
+		// The node receives only some of the changes, so its own revision does not show
+		// whether it is up to date. The pulse then only shows that the host is alive.
 		pulse.AgeMillis = -1
 	}
 	s.mu.Unlock()
@@ -201,50 +202,50 @@
 	return errors.Trace(s.conn.Notify(c.ctx, messenger.MethodDelta, data))
 }
 
-// nextDigest returns the digest to send to a session.
+// nextDigest returns the next digest to send to a session, and false if there is none.
 func (c *Control) nextDigest(s *session) (json.RawMessage, bool) {
 	s.mu.Lock()
-	whole := s.needsWhole
-	s.needsWhole = false
-	if !whole && len(s.digests) > 0 {
+	full := s.needsFull
+	s.needsFull = false
+	if !full && len(s.digests) > 0 {
 		next := s.digests[0]
 		s.digests = s.digests[1:]
 		s.mu.Unlock()
 		return next, true
 	}
 	s.mu.Unlock()
-	if !whole {
+	if !full {
 		return nil, false
 	}
-	data, err := c.board.whole(func() {
+	data, err := c.board.full(func() {
 		s.mu.Lock()
 		s.digests = nil
 		s.mu.Unlock()
 	})
 	if err != nil {
-		c.settings.Log.Error().Err(err).Msg("encoding the digest of all backend servers")
+		c.settings.Log.Error().Err(err).Msg("failed to encode the digest of all backend servers")
 		return nil, false
 	}
 	return data, true
 }
 
-// queueDigest gives a digest to a session. The caller holds the board's lock,
-// so that no whole is taken between two digests.
+// queueDigest queues a digest for a session. The caller holds the board's lock, so that
+// full states are ordered relative to digests.
 func (s *session) queueDigest(data json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.subscribe.Scope != distributor.ScopeEntry || s.needsWhole {
+	if s.subscribe.Scope != distributor.ScopeEntry || s.needsFull {
 		return
 	}
-	if len(s.digests) >= digestQueue {
-		s.digests, s.needsWhole = nil, true
+	if len(s.digests) >= maxQueuedDigests {
+		s.digests, s.needsFull = nil, true
 		return
 	}
 	s.digests = append(s.digests, data)
 }
 
-// applied takes a node's acknowledgement.
-func (c *Control) applied(conn *messenger.Conn, a distributor.AcknowledgeRevision) {
+// acknowledge processes a node's acknowledgement of a revision.
+func (c *Control) acknowledge(conn *messenger.Conn, a distributor.AcknowledgeRevision) {
 	s := c.session(conn)
 	if s == nil {
 		return
@@ -258,7 +259,7 @@
 	}
 }
 
-// revision returns what the session's node holds.
+// revision returns the revision that the session's node holds.
 func (s *session) revision() distributor.NodeRevision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,8 +271,9 @@
 	}
 }
 
-// count brings the tally up to date.
-func (c *Control) count() {
+// updateTally updates the tally with all sessions. It drops the snapshot of the whole
+// state if no node is being sent its pages.
+func (c *Control) updateTally() {
 	now, head := c.settings.Now(), c.store.Revision()
 	resetting := false
 	c.sessionsMu.Lock()
@@ -283,7 +285,7 @@
 	}
 	c.sessionsMu.Unlock()
 	if !resetting {
-		c.source.forgetAll()
+		c.source.dropSnapshot()
 	}
 }
 
@@ -297,10 +299,10 @@
 		}
 		held = c.store.Revision()
 		c.metrics.revision.Set(float64(held))
-		c.freshMu.Lock()
-		c.fresh.Applied(held)
-		c.freshMu.Unlock()
-		c.dropEnded()
+		c.knowledgeMu.Lock()
+		c.knowledge.Applied(held)
+		c.knowledgeMu.Unlock()
+		c.dropEndedMembers()
 		c.eachSession((*session).wake)
 		if !c.pause(c.settings.FanoutInterval) {
 			return
@@ -308,7 +310,7 @@
 	}
 }
 
-// pause waits, and returns false when the host closes.
+// pause waits for d. It returns false if the host is closed meanwhile.
 func (c *Control) pause(d time.Duration) bool {
 	ctx, cancel := context.WithTimeout(c.ctx, d)
 	defer cancel()
--- a/internal/transport/controller/settings.go
+++ b/internal/transport/controller/settings.go
@@ -26,25 +26,25 @@
 	DefaultCallTimeout    = 5 * time.Second
 )
 
-// linkBackOffMax bounds the pause before a control host that is down is dialled
-// again. Control hosts are few, and one that has returned stays behind, with the
-// nodes that rely on it, until the leader dials it: with the pool's default that
-// took up to 3 s of the time in which a change is to be in force.
+// linkBackOffMax bounds the pause before an unreachable control host is dialled again.
+// There are few control hosts, and one that has restarted lags behind, together with its
+// nodes, until the leader dials it. The pool's default delayed this by up to 3 s, out of
+// the time within which a change should be in force.
 const linkBackOffMax = 250 * time.Millisecond
 
 // linkDialTimeout bounds one dial of a control host: some twenty round trips between
-// failure domains, a few between regions. A host without power does not answer at all,
-// nor does a dial that has begun before it is back; all that is to be said to the host
-// waits for its end. With the usual second, no leader was found after a loss of power
-// until a second after the first host was back.
+// failure domains, or a few between regions. A host without power does not answer, and a
+// dial begun before it is back gets no answer either, while all messages to the host wait
+// for that dial. With the usual timeout of a second, no leader was elected after a power
+// failure until a second after the first host was back.
 const linkDialTimeout = 300 * time.Millisecond
 
-// renewParts is the part of a lease, as its divisor, for which a control host
-// gathers renewals before it passes them on.
-const renewParts = 10
+// renewalsPerLease is the number of renewal batches per member lease: a control host
+// collects renewals for this fraction of a lease before it forwards them.
+const renewalsPerLease = 10
 
-// ReplicatedLog is the replicated log as a Control uses it. *replicator.Replicator
-// is one.
+// ReplicatedLog is the replicated log used by a Control. *replicator.Replicator
+// implements it.
 type ReplicatedLog interface {
 	Propose(ctx context.Context, data []byte) (index uint64, result any, err error)
 	Deliver(m replicator.Message)
@@ -59,43 +59,41 @@
 	Close() error
 }
 
-// Settings are the options of a Control.
+// Settings configures a Control.
 type Settings struct {
-	// Node, Region and FailureDomain are this process's.
+	// Node, Region and FailureDomain identify this process and its location.
 	Node          string
 	Region        string
 	FailureDomain string
-	// ID is this host's number in the group.
+	// ID is this host's ID in the group.
 	ID uint64
-	// Hosts are the control hosts of the settings, by which those that are not
-	// members yet are reached.
+	// Hosts are the configured control hosts, used to reach hosts that are not members
+	// yet.
 	Hosts []configurer.ControlHost
-	// Control holds the settings of the role; its zero fields mean their
-	// defaults.
+	// Control holds the settings of the role. Zero fields mean their defaults.
 	Control configurer.ControlSettings
-	// DataFolder holds all durable state.
+	// DataFolder is the folder of all durable state.
 	DataFolder string
 
-	// Listener takes the messenger connections. Control closes it.
+	// Listener accepts the messenger connections. Control closes it.
 	Listener net.Listener
 	// Dial opens a connection to another host; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Messenger holds the intervals of connections; the rest is set here.
+	// Messenger holds the connection intervals; NewControl sets the other fields.
 	Messenger messenger.Settings
-	// Open makes the replicated log; nil means replicator.NewReplicator.
+	// Open opens the replicated log; nil means replicator.NewReplicator.
 	Open func(replicator.Settings, *storer.Store, replicator.Transport) (ReplicatedLog, error)
 
-	// TickInterval is the resolution of the duties; 0 means
-	// DefaultTickInterval.
+	// TickInterval is the resolution of the periodic tasks; 0 means DefaultTickInterval.
 	TickInterval time.Duration
-	// DigestInterval is the time between two digests of the backend servers; 0
-	// means DefaultDigestInterval.
+	// DigestInterval is the time between two digests of the backend servers; 0 means
+	// DefaultDigestInterval.
 	DigestInterval time.Duration
 	// PulseInterval is the time between two pulses to a node; 0 means
 	// DefaultPulseInterval.
 	PulseInterval time.Duration
-	// FanoutInterval is the least time between two deltas to a node: a change
-	// after a pause leaves at once, those of a burst leave together; 0 means
+	// FanoutInterval is the minimum time between two deltas to a node: a change after a
+	// pause is sent at once, and those of a burst are sent together; 0 means
 	// DefaultFanoutInterval.
 	FanoutInterval time.Duration
 
@@ -127,7 +125,7 @@
 	return s
 }
 
-// replicator returns the options of the replicated log.
+// replicator returns the settings of the replicated log.
 func (s Settings) replicator() replicator.Settings {
 	self := replicator.Member{ID: replicator.HostID(s.ID), Address: s.Control.Listen, FailureDomain: s.FailureDomain, Voter: true}
 	rs := replicator.Settings{
@@ -142,10 +140,9 @@
 		Now:               s.Now,
 		Log:               s.Log,
 	}
-	if s.Control.Join || !s.Control.Bootstrap && s.lowest() {
-		// The host with the lowest number forms the group; without Bootstrap it
-		// waits, so that hosts which all lost their disks form no other one by
-		// themselves.
+	if s.Control.Join || !s.Control.Bootstrap && s.hasLowestID() {
+		// The host with the lowest ID forms the group. Without Bootstrap it waits, so
+		// that hosts that have all lost their disks do not form a new group on their own.
 		return rs
 	}
 	for _, h := range s.Hosts {
@@ -156,8 +153,8 @@
 	return rs
 }
 
-// lowest reports whether this host has the lowest number of all in the settings.
-func (s Settings) lowest() bool {
+// hasLowestID reports whether this host has the lowest ID of all configured hosts.
+func (s Settings) hasLowestID() bool {
 	for _, h := range s.Hosts {
 		if h.ID < s.ID {
 			return false
@@ -166,7 +163,7 @@
 	return true
 }
 
-// retention returns what the replicated state is to remember.
+// retention returns how long the replicated state keeps idempotency keys and claims.
 func (s Settings) retention() storer.Retention {
 	return storer.Retention{
 		IdempotencyAge: time.Duration(s.Control.IdempotencyRetention),
