--- a/internal/transport/starter/announce.go
+++ b/internal/transport/starter/announce.go
@@ -10,25 +10,25 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// announced takes the announcement of a backend server. The first one that fits
-// the settings starts the companion; later ones of the same backend server change
-// nothing, but a new incarnation makes the companion look at the engine at once.
-// Refusals are *announcer.Answer.
-func (p *Process) announced(a announcer.Announcement) error {
-	p.standing.Lock()
-	defer p.standing.Unlock()
-	// Close ends what it finds started. A companion begun after that would hold its
-	// address and its membership for good.
-	if p.stopping.Load() || p.starting.Err() != nil {
-		return &announcer.Answer{Reason: announcer.ReasonUnavailable, Detail: "the process is ending"}
+// handleAnnouncement processes the announcement of a backend server. The first one that
+// is compatible with the settings starts the companion. Later ones of the same backend
+// server change nothing, except that a new incarnation makes the companion read the
+// engine's state at once. Refusals are of type *announcer.Answer.
+func (p *Process) handleAnnouncement(a announcer.Announcement) error {
+	p.companionMu.Lock()
+	defer p.companionMu.Unlock()
+	// Close stops what is running. A companion started afterwards would hold its address
+	// and its membership permanently.
+	if p.stopping.Load() || p.runCtx.Err() != nil {
+		return &announcer.Answer{Reason: announcer.ReasonUnavailable, Detail: "the process is shutting down"}
 	}
-	m, err := settle(p.beside, a)
+	m, err := mergeAnnouncement(p.companionSettings, a)
 	if err != nil {
 		return err
 	}
 	switch {
 	case p.companion == nil:
-		if err := p.standBeside(m); err != nil {
+		if err := p.runCompanion(m); err != nil {
 			p.fail(errors.Annotate(err, "starting the announced companion"))
 			return errors.Annotate(err, "starting the companion")
 		}
@@ -41,21 +41,21 @@
 	return nil
 }
 
-// settle returns the companion's settings completed by an announcement, or an
-// *announcer.Answer where the two contradict each other. What the settings say
-// wins. Of fencing both must say that the engine checks it: the operator answers
-// for it that no order in flight can still take effect.
-func settle(m configurer.CompanionSettings, a announcer.Announcement) (configurer.CompanionSettings, error) {
+// mergeAnnouncement returns the companion's settings completed by an announcement, or an
+// *announcer.Answer if the two contradict each other. Settings take precedence. Fencing
+// is enabled only if both state that the engine checks it: the operator is responsible
+// for the guarantee that no order in flight can still take effect.
+func mergeAnnouncement(m configurer.CompanionSettings, a announcer.Announcement) (configurer.CompanionSettings, error) {
 	address := m.BackendAddress()
 	switch {
 	case m.Kind != a.Kind:
-		return m, announcer.Conflict(announcer.FieldKind, "the companion stands beside a backend server of kind "+m.Kind.String())
+		return m, announcer.Conflict(announcer.FieldKind, "the companion is configured for a backend server of kind "+m.Kind.String())
 	case address != "" && address != a.Address:
-		return m, announcer.Conflict(announcer.FieldAddress, "the companion stands beside the backend server at "+address)
+		return m, announcer.Conflict(announcer.FieldAddress, "the companion is configured for the backend server at "+address)
 	case m.BaseModel != "" && a.Kind == configurer.BackendKindEngine && m.BaseModel != a.BaseModel:
-		return m, announcer.Conflict(announcer.FieldBaseModel, "the companion stands beside an engine with "+m.BaseModel)
+		return m, announcer.Conflict(announcer.FieldBaseModel, "the companion is configured for an engine with base model "+m.BaseModel)
 	case m.ServiceName != "" && a.Kind == configurer.BackendKindService && m.ServiceName != a.Service:
-		return m, announcer.Conflict(announcer.FieldService, "the companion stands beside the service "+m.ServiceName)
+		return m, announcer.Conflict(announcer.FieldService, "the companion is configured for the service "+m.ServiceName)
 	case address != "":
 		return m, nil
 	}
@@ -66,7 +66,7 @@
 	}
 	ip, err := netip.ParseAddrPort(a.Address)
 	if err != nil || !m.ChecksFencing && !ip.Addr().IsLoopback() {
-		return m, announcer.Conflict(announcer.FieldAddress, "not on the loopback, which an engine needs unless Companion.ChecksFencing is set")
+		return m, announcer.Conflict(announcer.FieldAddress, "not a loopback address, which is required for an engine unless Companion.ChecksFencing is set")
 	}
 	m.ChecksFencing = m.ChecksFencing && a.ChecksFencing
 	m.EngineAddress, m.BaseModel = a.Address, a.BaseModel
--- a/internal/transport/starter/announce_test.go
+++ b/internal/transport/starter/announce_test.go
@@ -20,7 +20,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/starter"
 )
 
-// network hands out reserved listeners on the loopback, each of them once.
+// network hands out reserved loopback listeners, each of them once.
 type network struct {
 	mu       sync.Mutex
 	reserved map[string]net.Listener
@@ -87,10 +87,10 @@
 		hosts = []configurer.ControlHost{{ID: 1, Address: n.reserve(), FailureDomain: "d", Region: "r"}}
 	})
 
-	It("joins with the engine that announced itself, and with no other", func(ctx SpecContext) {
+	It("joins with the engine that announced itself, and refuses any other", func(ctx SpecContext) {
 		control()
-		// With a heartbeat longer than any that the settings allow, nothing but the
-		// hint shows the restart below.
+		// The heartbeat interval exceeds all that the settings allow, so only the
+		// announcement can make the companion notice the restart below.
 		p, client := companion(configurer.CompanionSettings{
 			ChecksFencing: true, HeartbeatInterval: configurer.Duration(time.Hour),
 		})
@@ -109,12 +109,12 @@
 		}
 
 		repeating, stop := context.WithCancel(ctx)
-		told := make(chan error, 1)
+		announced := make(chan error, 1)
 		client.Repeat(repeating, time.Minute, current, func(err error) {
-			told <- err
+			announced <- err
 			stop()
 		})
-		Expect(<-told).To(Succeed())
+		Expect(<-announced).To(Succeed())
 		Eventually(ctx, p.Ready).Should(BeTrue())
 
 		a, err := current(ctx)
@@ -133,7 +133,7 @@
 		Expect(client.Announce(ctx, a)).To(Succeed())
 		Eventually(ctx, func() []recorder.Event { return p.Recorder().Events("").Events }).Should(ContainElement(
 			HaveField("Kind", recorder.KindEngineRestarted)))
-	}, NodeTimeout(testLimit))
+	}, NodeTimeout(testTimeout))
 
 	It("joins with the plain service that announced itself", func(ctx SpecContext) {
 		control()
@@ -148,11 +148,12 @@
 		a.Service = "s"
 		Expect(client.Announce(ctx, a)).To(Succeed())
 		Eventually(ctx, p.Ready).Should(BeTrue())
-	}, NodeTimeout(testLimit))
+	}, NodeTimeout(testTimeout))
 
-	// Symptom: two companions load and unload at one engine. An engine off the
-	// loopback says that it checks fencing numbers; nobody had made sure that it does.
-	It("refuses what the settings don't allow and goes on waiting", func(ctx SpecContext) {
+	// Guards against two companions that load and unload at one engine: an engine that is
+	// not on loopback claims to check fencing numbers, and nobody has verified that it
+	// does.
+	It("refuses what the settings don't allow and keeps waiting", func(ctx SpecContext) {
 		_, client := companion(configurer.CompanionSettings{BaseModel: "m"})
 		a := announcer.Announcement{Address: "10.0.0.1:8000", BaseModel: "m", ChecksFencing: true, Incarnation: "i"}
 		Expect(client.Announce(ctx, a)).To(conflict(announcer.FieldAddress))
@@ -160,13 +161,13 @@
 		Expect(client.Announce(ctx, a)).To(conflict(announcer.FieldBaseModel))
 		a.BaseModel = "m"
 		Expect(client.Announce(ctx, a)).To(Succeed())
-	}, NodeTimeout(testLimit))
+	}, NodeTimeout(testTimeout))
 
-	It("lets an address in the settings win", func(ctx SpecContext) {
+	It("prefers an address in the settings", func(ctx SpecContext) {
 		_, client := companion(configurer.CompanionSettings{EngineAddress: "127.0.0.1:1", BaseModel: "m"})
 		a := announcer.Announcement{Address: "127.0.0.1:2", BaseModel: "m", Incarnation: "i"}
 		Expect(client.Announce(ctx, a)).To(conflict(announcer.FieldAddress))
 		a.Address = "127.0.0.1:1"
 		Expect(client.Announce(ctx, a)).To(Succeed())
-	}, NodeTimeout(testLimit))
+	}, NodeTimeout(testTimeout))
 })
--- a/internal/transport/starter/doc.go
+++ b/internal/transport/starter/doc.go
@@ -1,8 +1,8 @@
-// Package starter makes a running process out of its settings: it listens,
-// builds the roles that the settings name, and stops them in good order.
+// Package starter runs a process according to its settings: it opens the listeners,
+// starts the configured roles, and shuts them down gracefully.
 //
-// A planned stop turns the process unready, waits for the balancer, finishes
-// the requests in progress of the entry, then of the companion, and last lets
-// control hand over its leadership. Close is the opposite: it ends all at once,
-// as a crash would.
+// A planned stop makes the process unready, waits for the load balancer, completes the
+// requests in progress of the entry and then of the companion, and finally lets control
+// transfer its leadership. Close, in contrast, stops everything at once, as a crash
+// would.
 package starter
--- a/internal/transport/starter/operators.go
+++ b/internal/transport/starter/operators.go
@@ -16,7 +16,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/subscriber"
 )
 
-// The limits of the operators' listener.
+// Limits of the operators' listener.
 const (
 	operatorsMaxHeaderBytes = 32 << 10
 	operatorsHeaderTimeout  = 5 * time.Second
@@ -36,7 +36,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	p.operators = listener.NewHTTP(network, p.operatorsHandler(key), listener.Limits{
+	p.operatorsListener = listener.NewHTTP(network, p.operatorsHandler(key), listener.Limits{
 		MaxHeaderBytes: operatorsMaxHeaderBytes,
 		HeaderTimeout:  operatorsHeaderTimeout,
 		IdleTimeout:    operatorsIdleTimeout,
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// operatorsHandler serves health to anyone who reaches the listener, and the
-// rest to operators.
+// operatorsHandler serves health, readiness and metrics without authorization, and
+// everything else to operators only.
 func (p *Process) operatorsHandler(key configurer.Secret) http.Handler {
 	notAccepted := func(err error) bool { return errors.Is(err, subscriber.ErrNotAccepted) }
 	api := operator.NewAPI(operator.Settings{
@@ -64,7 +64,7 @@
 	mux.Handle(controller.AdministrationPath+"/", group)
 	mux.Handle("GET "+inspector.EventsPath, api.Guard(inspector.Handler(p.recorder)))
 	if p.settings.Configuration.HasRole(configurer.RoleCompanion) {
-		mux.Handle("POST "+announcer.Path, api.Guard(announcer.NewHandler(p.announced)))
+		mux.Handle("POST "+announcer.Path, api.Guard(announcer.NewHandler(p.handleAnnouncement)))
 	}
 	mux.Handle("GET /metrics", promhttp.HandlerFor(p.settings.Registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
--- a/internal/transport/starter/peers.go
+++ b/internal/transport/starter/peers.go
@@ -12,12 +12,12 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/sealer"
 )
 
-// startSealer reads the process's certificate, where the settings name one.
+// startSealer reads the process's certificate, if the settings name one.
 func (p *Process) startSealer() error {
 	c := p.settings.Configuration
 	if !c.Peers.Given() {
-		p.warnOpen(c.Control.Listen, configurer.RoleControl)
-		p.warnOpen(c.Companion.Listen, configurer.RoleCompanion)
+		p.warnUnauthenticated(c.Control.Listen, configurer.RoleControl)
+		p.warnUnauthenticated(c.Companion.Listen, configurer.RoleCompanion)
 		return nil
 	}
 	var err error
@@ -32,18 +32,18 @@
 	return errors.Trace(err)
 }
 
-// warnOpen warns of a listener that serves whoever reaches it: anybody there can
-// have requests run, change what operators declared, or end a membership.
-func (p *Process) warnOpen(address string, r configurer.Role) {
+// warnUnauthenticated warns of a listener without authentication: anybody who reaches it
+// can have requests run, change what operators declared, or end a membership.
+func (p *Process) warnUnauthenticated(address string, r configurer.Role) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Addr().IsLoopback() || !p.settings.Configuration.HasRole(r) {
 		return
 	}
 	p.settings.Log.Warn().Str("Address", address).Stringer("Role", r).
-		Msg("without Peers in the settings, whoever reaches this address may act as a process of the system")
+		Msg("without Peers in the settings, any client that reaches this address can act as a process of the system")
 }
 
-// messenger returns the settings of connections.
+// messenger returns the settings of connections between processes, with handler h.
 func (p *Process) messenger(h messenger.Handler) messenger.Settings {
 	s := messenger.Settings{Recorder: p.recorder, Log: p.settings.Log, Handler: h}
 	if p.sealer != nil {
@@ -52,7 +52,7 @@
 	return s
 }
 
-// listenPeers opens a listener for other processes.
+// listenPeers opens a listener for connections from other processes.
 func (p *Process) listenPeers(address string) (net.Listener, error) {
 	network, err := p.settings.Listen(address)
 	if err != nil || p.sealer == nil {
@@ -61,7 +61,7 @@
 	return p.sealer.Listen(network), nil
 }
 
-// dialPeers returns the dialler of processes with a role; nil means TCP.
+// dialPeers returns the dial function for processes with role r; nil means TCP.
 func (p *Process) dialPeers(r configurer.Role) func(ctx context.Context, address string) (net.Conn, error) {
 	if p.sealer == nil {
 		return p.settings.Dial
--- a/internal/transport/starter/process.go
+++ b/internal/transport/starter/process.go
@@ -26,13 +26,13 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/subscriber"
 )
 
-// Settings are what a process is made of.
+// Settings configures a Process.
 type Settings struct {
 	// Configuration must have its defaults filled in.
 	Configuration configurer.Settings
-	// Eviction chooses how the companion's slots are freed.
+	// Eviction is the eviction policy of the companion's slots.
 	Eviction loader.Policy
-	// Registry takes the metrics; nil means a new one.
+	// Registry registers the metrics; nil means a new one.
 	Registry *prometheus.Registry
 	Log      zerolog.Logger
 	// Listen opens a listener; nil means net.Listen over TCP.
@@ -41,7 +41,7 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// Seed seeds the random sources; 0 means a seed of the process's own.
+	// Seed seeds the random sources; 0 means a random seed.
 	Seed uint64
 }
 
@@ -61,50 +61,51 @@
 	return s
 }
 
-// Process is a running process. It may be used by several goroutines.
+// Process is a running process. Its methods are safe for concurrent use.
 type Process struct {
 	settings Settings
 	recorder *recorder.Recorder
 	random   *rand.Rand
 
-	index     *indexer.Index
-	client    *subscriber.Client
-	control   *controller.Control
-	entry     *gatekeeper.Entry
-	pool      *dialer.Pool
-	callers   *listener.HTTP
-	operators *listener.HTTP
+	index             *indexer.Index
+	client            *subscriber.Client
+	control           *controller.Control
+	entry             *gatekeeper.Entry
+	pool              *dialer.Pool
+	entryListener     *listener.HTTP
+	operatorsListener *listener.HTTP
 
-	// companionRandom is the companion's random source, taken at the start since
-	// random belongs to the goroutine that starts the process.
+	// companionRandom is the companion's random source. It is created at the start, since
+	// random may be used only by the goroutine that starts the process.
 	companionRandom *rand.Rand
 
-	// standing guards the companion, which an announcement may start at any time
-	// before Close.
-	standing sync.Mutex
-	// beside are the companion's settings, completed by the announcement that it
-	// began with; guarded by standing, as the rest.
-	beside configurer.CompanionSettings
-	// incarnation is that of the backend server's last announcement.
+	// companionMu guards the four fields below: an announcement may start the companion
+	// at any time before Close.
+	companionMu sync.Mutex
+	// companionSettings are the companion's settings, completed by the announcement that
+	// started it.
+	companionSettings configurer.CompanionSettings
+	// incarnation is the one in the backend server's last announcement.
 	incarnation string
 	// companion is nil while the process waits for an announcement.
 	companion *companion.Companion
-	// dispatches serves the entries' connections to the companion.
-	dispatches *listener.Listener
+	// companionListener accepts the entries' connections to the companion.
+	companionListener *listener.Listener
 
 	// sealer authenticates the connections between processes; nil without Peers.
 	sealer *sealer.Sealer
 
-	// starting ends with Close; the companion joins under it.
-	starting context.Context
-	abandon  context.CancelFunc
-	tasks    sync.WaitGroup
-	stopping atomic.Bool
-	// failed takes the first error that the process can't go on after.
+	// runCtx ends with Close; the companion starts with it.
+	runCtx    context.Context
+	cancelRun context.CancelFunc
+	tasks     sync.WaitGroup
+	stopping  atomic.Bool
+	// failed receives the first error that requires the process to stop.
 	failed chan error
 }
 
-// NewProcess starts all roles and returns once their listeners are open.
+// NewProcess starts all roles and returns once their listeners are open. If it fails, it
+// closes what it has opened.
 func NewProcess(s Settings) (*Process, error) {
 	s = s.withDefaults()
 	c := s.Configuration
@@ -114,7 +115,7 @@
 		random:   rand.New(rand.NewPCG(s.Seed, 1)),
 		failed:   make(chan error, 1),
 	}
-	p.starting, p.abandon = context.WithCancel(context.Background())
+	p.runCtx, p.cancelRun = context.WithCancel(context.Background())
 	p.recorder.Record(recorder.Event{Kind: recorder.KindStarted, Detail: "process"})
 	if err := p.start(); err != nil {
 		return nil, errors.Annotate(stderrors.Join(err, p.Close()), c.Node)
@@ -122,7 +123,7 @@
 	return p, nil
 }
 
-// start opens the roles in the order in which they rely on each other.
+// start starts the roles in the order of their dependencies.
 func (p *Process) start() error {
 	c := p.settings.Configuration
 	if err := p.startSealer(); err != nil {
@@ -147,8 +148,8 @@
 	return errors.Annotate(p.startOperators(), "starting the operators' listener")
 }
 
-// fork returns a random source of its own for one part.
-func (p *Process) fork() *rand.Rand {
+// forkRandom returns a separate random source for one component.
+func (p *Process) forkRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(p.random.Uint64(), p.random.Uint64()))
 }
 
@@ -158,16 +159,16 @@
 // Registry returns the process's metrics.
 func (p *Process) Registry() *prometheus.Registry { return p.settings.Registry }
 
-// Failed gives the error after which the process must stop.
+// Failed returns a channel that receives the error after which the process must stop.
 func (p *Process) Failed() <-chan error { return p.failed }
 
-// Revision returns the newest configuration revision applied here.
+// Revision returns the newest configuration revision applied by this process.
 func (p *Process) Revision() uint64 { return p.index.Revision() }
 
 // Leading reports whether this process's control host leads.
 func (p *Process) Leading() bool { return p.control != nil && p.control.Leading() }
 
-// Ready reports whether all roles take new work.
+// Ready reports whether all roles accept new work.
 func (p *Process) Ready() bool {
 	switch {
 	case p.stopping.Load(),
@@ -180,22 +181,22 @@
 	}
 }
 
-// companionReady reports whether the companion takes requests; it does not while
-// it waits for an announcement.
+// companionReady reports whether the companion accepts requests. It does not while it
+// waits for an announcement.
 func (p *Process) companionReady() bool {
 	c := p.currentCompanion()
 	return c != nil && c.Ready()
 }
 
-// currentCompanion returns the companion; nil while the process waits for an
-// announcement, or has no such role.
+// currentCompanion returns the companion. It is nil while the process waits for an
+// announcement, and if the process has no such role.
 func (p *Process) currentCompanion() *companion.Companion {
-	p.standing.Lock()
-	defer p.standing.Unlock()
+	p.companionMu.Lock()
+	defer p.companionMu.Unlock()
 	return p.companion
 }
 
-// fail notes an error that ends the process.
+// fail reports an error that ends the process.
 func (p *Process) fail(err error) {
 	select {
 	case p.failed <- err:
--- a/internal/transport/starter/roles.go
+++ b/internal/transport/starter/roles.go
@@ -39,7 +39,7 @@
 		Registerer:    p.settings.Registry,
 		Log:           p.settings.Log,
 		Now:           p.settings.Now,
-		Random:        p.fork(),
+		Random:        p.forkRandom(),
 	})
 	if err != nil {
 		return errors.Trace(stderrors.Join(err, network.Close()))
@@ -50,15 +50,15 @@
 	return nil
 }
 
-// watchDisk ends the process when its disk can't be trusted any more: going on
-// would acknowledge changes that are lost at the next restart.
+// watchDisk fails the process when its disk can't be trusted any more: otherwise it would
+// acknowledge changes that are lost at the next restart.
 func (p *Process) watchDisk() {
 	select {
 	case <-p.control.Failed():
-		if !p.stopping.Load() && p.starting.Err() == nil {
-			p.fail(errors.New("the replicated log stopped for a failure of its disk"))
+		if !p.stopping.Load() && p.runCtx.Err() == nil {
+			p.fail(errors.New("the replicated log stopped after a disk failure"))
 		}
-	case <-p.starting.Done():
+	case <-p.runCtx.Done():
 	}
 }
 
@@ -83,7 +83,7 @@
 		Recorder:           p.recorder,
 		Log:                p.settings.Log,
 		Now:                p.settings.Now,
-		Random:             p.fork(),
+		Random:             p.forkRandom(),
 		Dial:               p.dialPeers(configurer.RoleControl),
 	})
 }
@@ -96,7 +96,7 @@
 	}
 	pieces := gatekeeper.NewPieces()
 	p.pool = dialer.NewPool(dialer.Settings{
-		Messenger: p.messenger(pieces), Random: p.fork(), Dial: p.dialPeers(configurer.RoleCompanion),
+		Messenger: p.messenger(pieces), Random: p.forkRandom(), Dial: p.dialPeers(configurer.RoleCompanion),
 	})
 	p.entry = gatekeeper.NewEntry(gatekeeper.Settings{
 		Node:          c.Node,
@@ -111,28 +111,29 @@
 		Registerer:    p.settings.Registry,
 		Log:           p.settings.Log,
 		Now:           p.settings.Now,
-		Random:        p.fork(),
+		Random:        p.forkRandom(),
 	})
-	p.callers = listener.NewHTTP(network, p.entry.Handler(), gatekeeper.Limits(c.Entry), p.settings.Log)
+	p.entryListener = listener.NewHTTP(network, p.entry.Handler(), gatekeeper.Limits(c.Entry), p.settings.Log)
 	return nil
 }
 
-// startCompanion starts the companion, or leaves that to an announcement.
+// startCompanion starts the companion, or defers this to an announcement if the settings
+// name no backend server.
 func (p *Process) startCompanion() error {
-	p.standing.Lock()
-	defer p.standing.Unlock()
-	p.companionRandom = p.fork()
-	p.beside = p.settings.Configuration.Companion
-	if p.beside.BackendAddress() == "" {
+	p.companionMu.Lock()
+	defer p.companionMu.Unlock()
+	p.companionRandom = p.forkRandom()
+	p.companionSettings = p.settings.Configuration.Companion
+	if p.companionSettings.BackendAddress() == "" {
 		p.settings.Log.Info().Msg("waiting for the backend server to announce itself")
 		return nil
 	}
-	return p.standBeside(p.beside)
+	return p.runCompanion(p.companionSettings)
 }
 
-// standBeside starts the companion of the backend server that m names. The caller
-// holds standing.
-func (p *Process) standBeside(m configurer.CompanionSettings) error {
+// runCompanion starts the companion of the backend server named in m. The caller holds
+// companionMu.
+func (p *Process) runCompanion(m configurer.CompanionSettings) error {
 	c := p.settings.Configuration
 	network, err := p.listenPeers(m.Listen)
 	if err != nil {
@@ -159,19 +160,18 @@
 	default:
 		s.Engine = orderer.NewEngine(orderer.Settings{Address: m.EngineAddress})
 	}
-	p.beside = m
+	p.companionSettings = m
 	p.companion = companion.NewCompanion(s)
-	p.dispatches = listener.NewListener(network, p.messenger(p.companion))
-	begun := p.companion
-	p.tasks.Go(func() { p.joinCompanion(begun) })
+	p.companionListener = listener.NewListener(network, p.messenger(p.companion))
+	started := p.companion
+	p.tasks.Go(func() { p.joinCompanion(started) })
 	return nil
 }
 
-// joinCompanion begins the membership apart from the start of the process: an
-// engine or control host that is not up yet must not keep the operators'
-// listener closed.
+// joinCompanion starts the membership independently of the start of the process: an
+// unavailable engine or control host must not delay the operators' listener.
 func (p *Process) joinCompanion(c *companion.Companion) {
-	if err := c.Start(p.starting); err != nil && p.starting.Err() == nil {
+	if err := c.Start(p.runCtx); err != nil && p.runCtx.Err() == nil {
 		p.fail(errors.Annotate(err, "starting the companion"))
 	}
 }
--- a/internal/transport/starter/stop.go
+++ b/internal/transport/starter/stop.go
@@ -12,17 +12,17 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// handOverLimit bounds the transfer of leadership at a planned stop.
-const handOverLimit = 5 * time.Second
+// handOverTimeout bounds the transfer of leadership at a planned stop.
+const handOverTimeout = 5 * time.Second
 
-// Stop ends the process as planned: it cuts off no request in progress unless
-// the grace period or ctx ends first, which its error tells. Close must follow.
+// Stop shuts the process down as planned: it interrupts no request in progress unless the
+// grace period or ctx ends first, which its error reports. Close must follow.
 func (p *Process) Stop(ctx context.Context) error {
 	p.stopping.Store(true)
 	p.recorder.Record(recorder.Event{Kind: recorder.KindStopping, Detail: "process"})
 	stop := p.settings.Configuration.Stop
 	if p.entry != nil && !pauser.Pause(ctx, time.Duration(stop.BalancerDelay)) {
-		return errors.Annotate(ctx.Err(), "waiting for the balancer")
+		return errors.Annotate(ctx.Err(), "waiting for the load balancer")
 	}
 	grace, cancel := context.WithTimeout(ctx, time.Duration(stop.GracePeriod))
 	defer cancel()
@@ -35,7 +35,7 @@
 	if p.entry == nil {
 		return nil
 	}
-	return stderrors.Join(p.callers.Shutdown(ctx), p.entry.Drain(ctx))
+	return stderrors.Join(p.entryListener.Shutdown(ctx), p.entry.Drain(ctx))
 }
 
 func (p *Process) stopCompanion(ctx context.Context) error {
@@ -50,51 +50,50 @@
 	if p.control == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, handOverLimit)
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	return p.control.Stop(ctx)
 }
 
-// Close ends all roles at once and waits for them. What was in progress is cut
-// off.
+// Close stops all roles at once and waits for them. Requests in progress are interrupted.
 func (p *Process) Close() error {
-	p.abandon()
+	p.cancelRun()
 	var errs []error
-	for _, c := range p.parts() {
+	for _, c := range p.closers() {
 		errs = append(errs, c.Close())
 	}
 	p.tasks.Wait()
 	return stderrors.Join(errs...)
 }
 
-// parts returns what was started, in the order of closing.
-func (p *Process) parts() []io.Closer {
-	var parts []io.Closer
-	if p.operators != nil {
-		parts = append(parts, p.operators)
+// closers returns the started components in closing order.
+func (p *Process) closers() []io.Closer {
+	var closers []io.Closer
+	if p.operatorsListener != nil {
+		closers = append(closers, p.operatorsListener)
 	}
-	if p.callers != nil {
-		parts = append(parts, p.callers)
+	if p.entryListener != nil {
+		closers = append(closers, p.entryListener)
 	}
 	if p.entry != nil {
-		parts = append(parts, p.entry)
+		closers = append(closers, p.entry)
 	}
 	if p.pool != nil {
-		parts = append(parts, p.pool)
+		closers = append(closers, p.pool)
 	}
-	p.standing.Lock()
-	defer p.standing.Unlock()
-	if p.dispatches != nil {
-		parts = append(parts, p.dispatches)
+	p.companionMu.Lock()
+	defer p.companionMu.Unlock()
+	if p.companionListener != nil {
+		closers = append(closers, p.companionListener)
 	}
 	if p.companion != nil {
-		parts = append(parts, p.companion)
+		closers = append(closers, p.companion)
 	}
 	if p.client != nil {
-		parts = append(parts, p.client)
+		closers = append(closers, p.client)
 	}
 	if p.control != nil {
-		parts = append(parts, p.control)
+		closers = append(closers, p.control)
 	}
-	return parts
+	return closers
 }
--- a/internal/transport/starter/stop_test.go
+++ b/internal/transport/starter/stop_test.go
@@ -14,13 +14,13 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/starter"
 )
 
-// testLimit bounds what a test waits for; it is no measure of speed.
-const testLimit = 100 * time.Second
+// testTimeout bounds the waits of a test; it is not a performance bound.
+const testTimeout = 100 * time.Second
 
-// Symptom: callers lose answers at every deployment of a new version, although
-// each host was stopped as planned. A process gets SIGTERM while it carries
-// streams: an entry to its callers, a companion from its engine, a leader's host
-// both those and the acceptance of changes. It ends before they do.
+// Guards against answers that are lost at a deployment of a new version, although each
+// host is stopped as planned. A process gets SIGTERM while it carries streams (an entry
+// to its callers, a companion from its engine, a leader's host both of these and accepted
+// changes) and must not exit before they end.
 var _ = Describe("a planned stop under streaming load", Ordered, func() {
 	stopped := []demonstrator.Fault{demonstrator.CompanionStop, demonstrator.LeaderStop, demonstrator.EntryStop}
 	var report *demonstrator.FaultReport
@@ -38,7 +38,7 @@
 			Out:    GinkgoWriter,
 		}.Do(ctx)
 		Expect(err).NotTo(HaveOccurred())
-	}, NodeTimeout(testLimit))
+	}, NodeTimeout(testTimeout))
 
 	figures := func(fault demonstrator.Fault) demonstrator.FaultFigures {
 		GinkgoHelper()
@@ -51,7 +51,7 @@
 		return demonstrator.FaultFigures{}
 	}
 
-	DescribeTable("cuts off no request",
+	DescribeTable("interrupts no request",
 		func(fault demonstrator.Fault) {
 			f := figures(fault)
 			Expect(f.Streams).To(BeNumerically(">", 0))
@@ -76,9 +76,9 @@
 })
 
 var _ = Describe("a process that can't start", func() {
-	// Symptom: a host that was started with a taken address holds its other
-	// addresses for good, so that no second start works either.
-	It("frees what it had opened", func() {
+	// Guards against a failed start with an address in use that leaves the other
+	// addresses occupied, so that the next start fails too.
+	It("closes the listeners it had opened", func() {
 		taken, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer taken.Close()
