--- a/internal/transport/inspector/doc.go
+++ b/internal/transport/inspector/doc.go
@@ -1,3 +1,3 @@
-// Package inspector gathers the events of several processes over their
-// operators' listeners and writes them as one time line.
+// Package inspector collects the events of several processes through their operators'
+// listeners, and writes them as one timeline.
 package inspector
--- a/internal/transport/inspector/format.go
+++ b/internal/transport/inspector/format.go
@@ -11,13 +11,13 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// clockLayout shows microseconds, the least that tells two hops apart.
+// clockLayout has microseconds, the resolution needed to distinguish two hops.
 const clockLayout = "15:04:05.000000"
 
-// WriteText writes one line per event for people.
+// WriteText writes one line per event, for human readers.
 func (t Timeline) WriteText(w io.Writer) error {
 	for i := range t.Events {
-		if _, err := fmt.Fprintln(w, line(&t.Events[i])); err != nil {
+		if _, err := fmt.Fprintln(w, formatEvent(&t.Events[i])); err != nil {
 			return errors.Trace(err)
 		}
 	}
@@ -29,20 +29,20 @@
 	return nil
 }
 
-// WriteJSON writes the time line as one JSON document.
+// WriteJSON writes the timeline as one JSON document.
 func (t Timeline) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return errors.Trace(encoder.Encode(t))
 }
 
-func line(e *recorder.Event) string {
+func formatEvent(e *recorder.Event) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s.%03d %-20s %-26s", e.Time.Time().Format(clockLayout), e.Time.Logical, e.Node, e.Kind)
-	field(&b, "request", e.Request)
-	field(&b, "workspace", e.Workspace)
-	field(&b, "version", e.Version)
-	field(&b, "backend", e.Backend)
+	writeField(&b, "request", e.Request)
+	writeField(&b, "workspace", e.Workspace)
+	writeField(&b, "version", e.Version)
+	writeField(&b, "backend", e.Backend)
 	if e.Revision != 0 {
 		fmt.Fprintf(&b, " revision=%d", e.Revision)
 	}
@@ -59,7 +59,7 @@
 	return b.String()
 }
 
-func field(b *strings.Builder, name, value string) {
+func writeField(b *strings.Builder, name, value string) {
 	if value != "" {
 		fmt.Fprintf(b, " %s=%s", name, value)
 	}
--- a/internal/transport/inspector/gather.go
+++ b/internal/transport/inspector/gather.go
@@ -14,56 +14,56 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// EventsPath is where a process shows its events.
+// EventsPath is the path at which a process serves its events.
 const EventsPath = "/debug/events"
 
-// RequestParameter limits the events to one request.
+// RequestParameter is the query parameter that restricts the events to one request.
 const RequestParameter = "Request"
 
-// fetchTimeout bounds the time that one process has to give its events.
+// fetchTimeout bounds the time to fetch the events of one process.
 const fetchTimeout = 10 * time.Second
 
-// Settings are the options of a gathering.
+// Settings configures Gather.
 type Settings struct {
-	// Addresses are the operators' listeners, IP:port.
+	// Addresses are the addresses of the operators' listeners, as IP:port.
 	Addresses []string
-	// Request limits the time line to one request; empty means all.
+	// Request restricts the timeline to one request; empty means all requests.
 	Request string
 	// Key is the operators' bearer key; empty means none.
 	Key string
-	// Client fetches; nil means one that waits 10 s at most.
+	// Client sends the requests; nil means a client with a timeout of 10 s.
 	Client *http.Client
 }
 
-// Timeline is the merged view of several processes.
+// Timeline contains the merged events of several processes.
 type Timeline struct {
 	Events []recorder.Event
-	// Missing names the processes that gave no events, and why.
+	// Missing lists the processes that returned no events.
 	Missing []MissingProcess
 }
 
-// MissingProcess is a process that gave no events.
+// MissingProcess is a process that returned no events, with the cause.
 type MissingProcess struct {
 	Address string
 	Cause   string
 }
 
-// Gather fetches the events of all processes and merges them. A process that
-// does not answer is named in the time line and does not fail the rest: it is
-// most wanted when some hosts are down.
+// Gather fetches the events of all processes and merges them. A process that does not
+// answer is listed in Timeline.Missing and is not an error, since timelines are needed
+// most when some hosts are down.
 func Gather(ctx context.Context, s Settings) Timeline {
 	if s.Client == nil {
 		s.Client = &http.Client{Timeout: fetchTimeout}
 	}
 	pages := make([]recorder.Page, len(s.Addresses))
-	causes := make([]error, len(s.Addresses))
-	var fetching sync.WaitGroup
+	errs := make([]error, len(s.Addresses))
+	var fetches sync.WaitGroup
 	for i, a := range s.Addresses {
-		fetching.Go(func() { pages[i], causes[i] = fetch(ctx, s, a) })
+		fetches.Go(func() { pages[i], errs[i] = fetch(ctx, s, a) })
 	}
-	fetching.Wait()
+	fetches.Wait()
 	t := Timeline{Events: recorder.Merge(pages)}
-	for i, err := range causes {
+	for i, err := range errs {
 		if err != nil {
 			t.Missing = append(t.Missing, MissingProcess{Address: s.Addresses[i], Cause: err.Error()})
 		}
@@ -98,7 +98,7 @@
 	return page, nil
 }
 
-// Handler shows the events of one process.
+// Handler serves the events of one process.
 func Handler(r *recorder.Recorder) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/transport/inspector/timeline_test.go
+++ b/internal/transport/inspector/timeline_test.go
@@ -25,10 +25,10 @@
 		companion = recorder.NewRecorder(recorder.Settings{Node: "engine-1", RingSize: 2, Now: func() time.Time { return late }})
 	})
 
-	// Symptom: a time line shows an answer before its request. Sequence: the entry
-	// dispatches; the companion, whose wall clock is a second behind, records what
-	// it did. Cause: sorting by wall clocks.
-	It("puts effects behind their causes though clocks differ", func() {
+	// Guards against sorting by wall clocks. The entry dispatches, and the companion,
+	// whose wall clock is a second behind, records its events; an answer would precede
+	// its request.
+	It("orders effects after their causes although the clocks differ", func() {
 		entry.Record(recorder.Event{
 			Kind: recorder.KindRouted, Request: "r-1", Version: "portal/lookup@v1",
 			Choices: []recorder.Choice{{Backend: "engine-1", Reason: "Resident", Score: 0.25, Taken: true}, {Backend: "engine-2", Reason: "Full", Score: 1.5}},
