--- a/internal/coordination/claimer/kept.go
+++ b/internal/coordination/claimer/kept.go
@@ -7,26 +7,26 @@
 	"github.com/juju/errors"
 )
 
-// RetainedAnswer names an answer which a companion keeps.
+// RetainedAnswer identifies an answer that a companion retains.
 type RetainedAnswer struct {
 	Request string
 	Attempt int
 }
 
-const keptSeparator = "#"
+const answerSeparator = "#"
 
-// String returns the form that a claim stores.
-func (k RetainedAnswer) String() string { return k.Request + keptSeparator + strconv.Itoa(k.Attempt) }
+// String returns the form in which a claim stores the reference.
+func (a RetainedAnswer) String() string { return a.Request + answerSeparator + strconv.Itoa(a.Attempt) }
 
-// ParseRetainedAnswer reads what String wrote.
+// ParseRetainedAnswer parses the result of RetainedAnswer.String.
 func ParseRetainedAnswer(text string) (RetainedAnswer, error) {
-	request, number, ok := strings.Cut(text, keptSeparator)
+	request, number, ok := strings.Cut(text, answerSeparator)
 	if !ok || request == "" {
-		return RetainedAnswer{}, errors.NotValidf("kept answer %q", text)
+		return RetainedAnswer{}, errors.NotValidf("retained answer %q", text)
 	}
 	attempt, err := strconv.Atoi(number)
 	if err != nil || attempt < 1 {
-		return RetainedAnswer{}, errors.NotValidf("attempt of kept answer %q", text)
+		return RetainedAnswer{}, errors.NotValidf("attempt of retained answer %q", text)
 	}
 	return RetainedAnswer{Request: request, Attempt: attempt}, nil
 }
--- a/internal/coordination/claimer/machine_test.go
+++ b/internal/coordination/claimer/machine_test.go
@@ -32,11 +32,11 @@
 			Expect(m.ProposalAnswered(start, r)).To(Equal(want))
 		},
 		Entry("in progress", held(storer.ClaimStateClaimed, time.Second, ""), claimer.Refuse{Reason: claimer.ReasonInProgress}),
-		Entry("held longer than any call lives", held(storer.ClaimStateClaimed, time.Hour, ""), claimer.Refuse{Reason: claimer.ReasonOutcomeUnknown}),
+		Entry("held for longer than MaxLife", held(storer.ClaimStateClaimed, time.Hour, ""), claimer.Refuse{Reason: claimer.ReasonOutcomeUnknown}),
 		Entry("unknown", held(storer.ClaimStateUnknown, 0, ""), claimer.Refuse{Reason: claimer.ReasonOutcomeUnknown}),
 		Entry("done", held(storer.ClaimStateDone, 0, "r#2"), claimer.FetchRetained{Backend: "b", RetainedAnswer: claimer.RetainedAnswer{Request: "r", Attempt: 2}}),
-		Entry("done, kept nowhere", held(storer.ClaimStateDone, 0, ""), claimer.Refuse{Reason: claimer.ReasonOutcomeUnknown}),
-		Entry("another body", storer.Result{Verdict: storer.VerdictKeyReused}, claimer.Refuse{Reason: claimer.ReasonKeyReused}),
+		Entry("done without a retained answer", held(storer.ClaimStateDone, 0, ""), claimer.Refuse{Reason: claimer.ReasonOutcomeUnknown}),
+		Entry("different body", storer.Result{Verdict: storer.VerdictKeyReused}, claimer.Refuse{Reason: claimer.ReasonKeyReused}),
 	)
 
 	It("panics when a call is dispatched without the claim", func() {
@@ -48,16 +48,16 @@
 	})
 })
 
-// runner is one holder in the property below.
-type runner struct {
+// testHolder is one holder in the property test below.
+type testHolder struct {
 	machine *claimer.Machine
 	ran     bool
 }
 
-// For any schedule of holders with the same key whose proposals and answers are
-// lost, delayed or doubled, against the real state machine: the call runs at most
-// once, nobody runs it without the claim, and a claim is given back only by a
-// holder that did not run it.
+// TestPropertyAtMostOnce runs random schedules of holders with the same key, whose proposals and
+// answers are lost, delayed or duplicated, against the real state machine. The call must run at
+// most once and never without the claim, and only a holder that did not run it may release the
+// claim.
 func TestPropertyAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := storer.NewStore(storer.Settings{})
@@ -71,13 +71,13 @@
 			index++
 			return store.Apply(index, data).(storer.Result)
 		}
-		holders := make([]*runner, 3)
+		holders := make([]*testHolder, 3)
 		for i := range holders {
-			holders[i] = &runner{machine: claimer.NewMachine(claimer.Settings{}, identity(fmt.Sprint("h", i)), start.Add(2*time.Second))}
+			holders[i] = &testHolder{machine: claimer.NewMachine(claimer.Settings{}, identity(fmt.Sprint("h", i)), start.Add(2*time.Second))}
 		}
-		settle := func(h *runner, c storer.SettleClaim) {
+		settle := func(h *testHolder, c storer.SettleClaim) {
 			if c.State == storer.ClaimStateReleased && h.ran {
-				t.Fatalf("released after it ran")
+				t.Fatalf("claim released after the call ran")
 			}
 			late = append(late, c)
 		}
@@ -97,7 +97,7 @@
 			case claimer.PhaseProposing:
 				c := h.machine.Identity().Command()
 				switch rapid.IntRange(0, 3).Draw(t, "proposal") {
-				case 0: // Lost on the way; it may arrive later.
+				case 0: // The proposal is lost or arrives later.
 					late = append(late, c)
 					step = h.machine.ProposalFailed(now, false)
 				case 1: // The answer is lost.
@@ -115,7 +115,8 @@
 				}
 				settle(h, h.machine.SettleCommand(true, false, "", claimer.RetainedAnswer{}))
 			case claimer.PhaseDispatched:
-				// What a companion may tell: not run, ran whole, or in doubt.
+				// A companion may report that the call did not run, completed, or has an unknown
+				// outcome.
 				switch rapid.IntRange(0, 2).Draw(t, "ending") {
 				case 0:
 					settle(h, h.machine.SettleCommand(true, false, "", claimer.RetainedAnswer{}))
@@ -134,7 +135,7 @@
 				settle(h, h.machine.ReleaseCommand())
 			}
 			if runs > 1 {
-				t.Fatalf("ran %d times", runs)
+				t.Fatalf("call ran %d times", runs)
 			}
 		}
 	})
--- a/internal/coordination/claimer/step.go
+++ b/internal/coordination/claimer/step.go
@@ -6,27 +6,27 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Step is what to do next: one of Dispatch, FetchRetained, Refuse and ProposeAgain.
+// Step is the next step of a call: Dispatch, FetchRetained, Refuse or ProposeAgain.
 type Step interface{ step() }
 
-// Dispatch runs the call: the claim is held.
+// Dispatch means that the claim is held and the call must be run.
 type Dispatch struct{}
 
-// FetchRetained gives the answer of the first run, which is kept at Backend.
+// FetchRetained means that the call is answered with the first run's answer, which Backend retains.
 type FetchRetained struct {
 	Backend        string
 	RetainedAnswer RetainedAnswer
 }
 
-// Refuse ends the call without running it.
+// Refuse means that the call ends without running.
 type Refuse struct {
 	Reason Reason
-	// Release has the claim settled as Released: it may have been, or may yet
-	// be, committed for this holder, who never dispatched.
+	// Release is set if the claim must be settled as Released: it may have been, or may still be,
+	// committed for this holder, which never dispatched the call.
 	Release bool
 }
 
-// ProposeAgain proposes the same claim by the same holder after the wait.
+// ProposeAgain means that the same claim must be proposed again by the same holder after Wait.
 type ProposeAgain struct{ Wait time.Duration }
 
 func (Dispatch) step()      {}
@@ -36,35 +36,33 @@
 
 //go:generate stringer -type=Reason -trimprefix=Reason
 
-// Reason tells why a call was refused.
+// Reason is the reason for which a call was refused.
 type Reason int
 
 // The reasons.
 const (
-	// ReasonInProgress means that another holder has the claim, and that its
-	// call may be running.
+	// ReasonInProgress means that another holder has the claim and its call may be running.
 	ReasonInProgress Reason = iota
-	// ReasonOutcomeUnknown means that the first run's outcome is not known.
+	// ReasonOutcomeUnknown means that the outcome of the first run is not known.
 	ReasonOutcomeUnknown
-	// ReasonKeyReused means that the key belongs to a call with another body.
+	// ReasonKeyReused means that the key belongs to a call with a different body.
 	ReasonKeyReused
-	// ReasonNoClaim means that no claim could be had in time; the call was not
-	// dispatched.
+	// ReasonNoClaim means that the claim was not obtained in time. The call was not dispatched.
 	ReasonNoClaim
-	// ReasonInvalid means that the state machine refused the claim's form.
+	// ReasonInvalid means that the replicated state machine rejected the claim as invalid.
 	ReasonInvalid
 )
 
-// Identity names one claim.
+// Identity identifies a claim.
 type Identity struct {
 	Workspace string
 	Key       string
 	Digest    []byte
-	// Holder names the entry and the request.
+	// Holder identifies the entry and the request.
 	Holder string
 }
 
-// Command returns the command which makes the claim.
+// Command returns the command that creates the claim.
 func (i Identity) Command() storer.ClaimCall {
 	return storer.ClaimCall{Workspace: i.Workspace, Key: i.Key, Digest: i.Digest, Holder: i.Holder}
 }
