--- a/internal/coordination/drainer/drain.go
+++ b/internal/coordination/drainer/drain.go
@@ -5,9 +5,8 @@
 // Settings are the options of a Drain.
 type Settings struct {
 	Role Role
-	// BalancerDelay is the time between unready and closing. Only an entry stands
-	// behind a balancer; for the other roles it is the time that entries get to
-	// notice.
+	// BalancerDelay is the time between PhaseUnready and PhaseClosing. Only an entry is behind a
+	// balancer; for the other roles it is the time that entries need to notice.
 	BalancerDelay time.Duration
 	// GracePeriod bounds PhaseFinishing; 0 means no bound.
 	GracePeriod time.Duration
@@ -15,68 +14,67 @@
 	HandOverLimit time.Duration
 }
 
-// Drain is the planned stop of one role.
+// Drain is the planned stop of one role. It is not safe for concurrent use.
 type Drain struct {
 	settings Settings
 	phase    Phase
-	// since is the time at which phase began.
-	since time.Time
-	// cut tells that the stop did not wait for all work to end.
-	cut bool
+	// phaseStart is the time at which the current phase started.
+	phaseStart time.Time
+	// interrupted is set if the stop did not wait for all work to end.
+	interrupted bool
 }
 
-// Facts are what the owner of a Drain knows at one moment.
+// Facts are the conditions on which the phases of a Drain depend.
 type Facts struct {
-	// Announced tells that readiness is down and, for a backend server, that its
-	// leaving is accepted or could not be announced.
+	// Announced is set if readiness has been withdrawn and, for a backend server, its leaving has
+	// been accepted or could not be announced.
 	Announced bool
-	// Before tells that the roles of the process which stop earlier have stopped.
+	// PrecedingStopped is set if all roles of the process that stop earlier have stopped.
 	PrecedingStopped bool
-	// InProgress counts requests in progress, and answers that are not yet
-	// acknowledged.
+	// InProgress is the number of requests in progress and of answers not yet acknowledged.
 	InProgress int
-	// HandedOver tells that nothing is left that others rely on.
+	// HandedOver is set if nothing is left that other processes depend on.
 	HandedOver bool
 }
 
-// NewDrain returns a Drain that serves.
+// NewDrain returns a Drain in PhaseServing.
 func NewDrain(s Settings) *Drain { return &Drain{settings: s} }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (d *Drain) Phase() Phase { return d.phase }
 
-// Interrupted tells whether the stop gave up waiting for work in progress.
-func (d *Drain) Interrupted() bool { return d.cut }
+// Interrupted reports whether the stop did not wait for all work in progress to end.
+func (d *Drain) Interrupted() bool { return d.interrupted }
 
-// Signal begins the stop. A second signal ends it at once.
+// Signal starts the stop and returns the phase. A second signal ends the stop at once.
 func (d *Drain) Signal(now time.Time) Phase {
 	if d.phase == PhaseServing {
-		return d.enter(now, PhaseUnready)
+		return d.enterPhase(now, PhaseUnready)
 	}
-	d.cut = d.cut || d.phase < PhaseHandingOver
-	return d.enter(now, PhaseStopped)
+	d.interrupted = d.interrupted || d.phase < PhaseHandingOver
+	return d.enterPhase(now, PhaseStopped)
 }
 
-// Advance moves to the phase that the facts allow and returns it.
+// Advance enters the phase that the facts permit and returns it.
 func (d *Drain) Advance(now time.Time, f Facts) Phase {
 	for {
-		next, ok := d.next(now, f)
+		nextPhase, ok := d.nextPhase(now, f)
 		if !ok {
 			return d.phase
 		}
-		d.enter(now, next)
+		d.enterPhase(now, nextPhase)
 	}
 }
 
-func (d *Drain) enter(now time.Time, p Phase) Phase {
+func (d *Drain) enterPhase(now time.Time, p Phase) Phase {
 	d.phase = p
-	d.since = now
+	d.phaseStart = now
 	return p
 }
 
-// next returns the phase that follows where the facts allow it.
-func (d *Drain) next(now time.Time, f Facts) (Phase, bool) {
-	passed := now.Sub(d.since)
+// nextPhase returns the phase after the current one, and whether the facts permit it.
+func (d *Drain) nextPhase(now time.Time, f Facts) (Phase, bool) {
+	passed := now.Sub(d.phaseStart)
 	switch d.phase {
 	case PhaseUnready:
 		return PhaseBalancerDelay, f.Announced
@@ -89,7 +87,7 @@
 			return PhaseHandingOver, true
 		}
 		expired := d.settings.GracePeriod > 0 && passed >= d.settings.GracePeriod
-		d.cut = d.cut || expired
+		d.interrupted = d.interrupted || expired
 		return PhaseHandingOver, expired
 	case PhaseHandingOver:
 		expired := d.settings.HandOverLimit > 0 && passed >= d.settings.HandOverLimit
--- a/internal/coordination/drainer/drain_test.go
+++ b/internal/coordination/drainer/drain_test.go
@@ -18,14 +18,14 @@
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	settings := Settings{Role: RoleEntry, BalancerDelay: 5 * time.Second, GracePeriod: time.Minute, HandOverLimit: 10 * time.Second}
 
-	It("goes through its phases in order, and waits in each for what it must", func() {
+	It("enters its phases in order, each under its conditions", func() {
 		d := NewDrain(settings)
 		Expect(d.Advance(at(0), Facts{Announced: true})).To(Equal(PhaseServing))
 		Expect(d.Signal(at(0))).To(Equal(PhaseUnready))
 		Expect(d.Advance(at(1), Facts{})).To(Equal(PhaseUnready))
 		f := Facts{Announced: true, InProgress: 2}
 		Expect(d.Advance(at(2), f)).To(Equal(PhaseBalancerDelay))
-		Expect(d.Advance(at(8), f)).To(Equal(PhaseBalancerDelay), "roles before it still run")
+		Expect(d.Advance(at(8), f)).To(Equal(PhaseBalancerDelay), "preceding roles still run")
 		f.PrecedingStopped = true
 		Expect(d.Advance(at(8), f)).To(Equal(PhaseFinishing))
 		Expect(d.Advance(at(60), f)).To(Equal(PhaseFinishing))
@@ -36,7 +36,7 @@
 		Expect(d.Interrupted()).To(BeFalse())
 	})
 
-	It("bounds the waits, and says that it cut requests off", func() {
+	It("bounds the waits, and reports that it interrupted requests", func() {
 		d := NewDrain(settings)
 		d.Signal(at(0))
 		f := Facts{Announced: true, PrecedingStopped: true, InProgress: 1}
@@ -47,7 +47,7 @@
 		Expect(d.Advance(at(75), f)).To(Equal(PhaseStopped))
 	})
 
-	It("ends at once at a second signal", func() {
+	It("ends at once on a second signal", func() {
 		d := NewDrain(settings)
 		d.Signal(at(0))
 		Expect(d.Signal(at(1))).To(Equal(PhaseStopped))
