--- a/internal/coordination/retrier/doc.go
+++ b/internal/coordination/retrier/doc.go
@@ -1,13 +1,11 @@
-// Package retrier decides whether, when and at what cost a failed attempt is
-// made again.
+// Package retrier decides whether and when a failed attempt is retried.
 //
-// An attempt is made again only if the last one certainly didn't run, or if the
-// call is idempotent and nothing of an answer has reached the caller. Retries
-// are paid from a budget for each pool of backend servers: a share of the
-// successes of the last seconds. When backend servers fail together, successes
-// stop, and with them the retries: the load that a failing pool sees grows by
-// the share and no more.
+// An attempt is retried only if it certainly did not run, or if the call is idempotent and no part
+// of an answer has reached the caller. Retries are charged to a budget for each pool of backend
+// servers, which is a share of the successes of the last seconds. If all backend servers of a pool
+// fail, successes stop and retries stop with them: the load on a failing pool grows by no more than
+// that share.
 //
-// A call that is given up gets its answer at once; no wait is ever taken that
-// doesn't lead to another attempt before the deadline.
+// A call that is not retried is answered at once. A wait is imposed only if another attempt follows
+// it before the deadline.
 package retrier
--- a/internal/coordination/retrier/retrier.go
+++ b/internal/coordination/retrier/retrier.go
@@ -19,26 +19,25 @@
 	DefaultMaxGroups   = 1024
 )
 
-// Settings are a retrier's options. The zero value of a field means its
-// documented default.
+// Settings are the options of a Retrier. The zero value of a field means its documented default.
 type Settings struct {
-	// Budget is the share of recent successes that may be spent on retries.
+	// Budget is the number of retries permitted per recent success.
 	Budget float64
-	// Reserve is the number of retries that a group has without successes, so
-	// that a quiet group can retry at all.
+	// Reserve is the number of retries that a group has without successes, so that a group with
+	// little traffic can retry at all.
 	Reserve float64
-	// HalfLife is that of the counts of successes and retries.
+	// HalfLife is the half-life of the counts of successes and retries.
 	HalfLife time.Duration
-	// MaxAttempts bounds the attempts of one call, the first included.
+	// MaxAttempts is the maximum number of attempts of one call, including the first.
 	MaxAttempts int
-	// InitialWait is the longest wait before the first retry; it doubles with
-	// each, up to MaxWait. The wait is drawn evenly from none to that.
+	// InitialWait is the maximum wait before the first retry. It doubles with each retry, up to
+	// MaxWait. The wait is drawn uniformly between 0 and the maximum.
 	InitialWait time.Duration
 	MaxWait     time.Duration
-	// HedgeAfter is the time without a first byte after which a second attempt
-	// is made beside the first; 0 means never.
+	// HedgeAfter is the time without a first byte after which a second attempt is started in
+	// parallel; 0 means never.
 	HedgeAfter time.Duration
-	// MaxGroups bounds the groups kept.
+	// MaxGroups is the maximum number of groups for which budgets are kept.
 	MaxGroups int
 }
 
@@ -55,71 +54,70 @@
 
 //go:generate stringer -type=Verdict -trimprefix=Verdict
 
-// Verdict tells what to do after a failed attempt.
+// Verdict is the decision on a failed attempt.
 type Verdict int
 
 // The verdicts.
 const (
-	// VerdictRetry makes another attempt after the wait.
+	// VerdictRetry means that another attempt is made after the wait.
 	VerdictRetry Verdict = iota
-	// VerdictMayHaveRun gives up: the attempt may have run, and running it
-	// again is not allowed.
+	// VerdictMayHaveRun means no retry: the attempt may have run, and the call must not run twice.
 	VerdictMayHaveRun
-	// VerdictAnswered gives up: the caller has part of an answer already.
+	// VerdictAnswered means no retry: the caller has already received a part of the answer.
 	VerdictAnswered
-	// VerdictNoAttempts gives up: the call had its attempts.
+	// VerdictNoAttempts means no retry: the call has used all its attempts.
 	VerdictNoAttempts
-	// VerdictNoTime gives up: the next attempt would miss the deadline.
+	// VerdictNoTime means no retry: the next attempt would start after the deadline.
 	VerdictNoTime
-	// VerdictNoBudget gives up: the group's budget is spent.
+	// VerdictNoBudget means no retry: the group's budget is exhausted.
 	VerdictNoBudget
 )
 
 // Attempt is a failed attempt.
 type Attempt struct {
-	// Group is the pool of backend servers whose budget pays.
+	// Group is the name of the pool of backend servers whose budget is charged.
 	Group string
-	// Number counts the attempts made, this one included.
+	// Number is the number of attempts made, including this one.
 	Number int
-	// NotRun means that the attempt certainly didn't run.
+	// NotRun is set if the attempt certainly did not run.
 	NotRun bool
-	// Idempotent means that the call may run more than once.
+	// Idempotent is set if the call may run more than once.
 	Idempotent bool
-	// Answered means that the caller was sent a part of the answer.
+	// Answered is set if a part of the answer was sent to the caller.
 	Answered bool
-	// RetryAfter is what the refusing backend server asks for. It concerns that
-	// one only; another may take the call at once.
+	// RetryAfter is the wait requested by the backend server that refused the call. It does not
+	// apply to other backend servers.
 	RetryAfter time.Duration
-	// NoAlternative means that no other backend server is left to try.
+	// NoAlternative is set if no other backend server is left to try.
 	NoAlternative bool
 	Deadline      time.Time
 }
 
-// Decision is the answer on a failed attempt.
+// Decision is the decision on a failed attempt.
 type Decision struct {
 	Verdict Verdict
 	Wait    time.Duration
 }
 
-// Retrier decides on retries. It may be used by several goroutines.
+// Retrier decides on retries. It is safe for concurrent use.
 type Retrier struct {
 	settings Settings
 
 	mu sync.Mutex
 	// random draws the waits; guarded by mu.
 	random *rand.Rand
-	// groups hold the budgets; guarded by mu.
+	// groups holds the budget of each group; guarded by mu.
 	groups map[string]*budget
 }
 
-// budget counts a group's recent successes and retries, decayed as of at.
+// budget holds a group's counts of recent successes and retries, decayed to updatedAt.
 type budget struct {
 	successes float64
 	retries   float64
-	at        time.Time
+	updatedAt time.Time
 }
 
-// NewRetrier returns a retrier that draws from random.
+// NewRetrier returns a Retrier that draws waits from random.
 func NewRetrier(s Settings, random *rand.Rand) *Retrier {
 	return &Retrier{settings: s.withDefaults(), random: random, groups: make(map[string]*budget)}
 }
@@ -131,7 +129,7 @@
 	r.budget(now, group).successes++
 }
 
-// Decide tells what to do after the failed attempt. A retry is paid for.
+// Decide returns the decision on a failed attempt. A retry is charged to the group's budget.
 func (r *Retrier) Decide(now time.Time, a Attempt) Decision {
 	switch {
 	case a.Answered:
@@ -147,15 +145,14 @@
 	if !now.Add(wait).Before(a.Deadline) {
 		return Decision{Verdict: VerdictNoTime}
 	}
-	if !r.pay(now, a.Group) {
+	if !r.spendBudget(now, a.Group) {
 		return Decision{Verdict: VerdictNoBudget}
 	}
 	return Decision{Verdict: VerdictRetry, Wait: wait}
 }
 
-// Hedge reports whether an idempotent call, of which nothing was answered since
-// began, gets a second attempt beside the first. A hedge is paid for like a
-// retry.
+// Hedge reports whether an idempotent call that has received no answer since began gets a second,
+// parallel attempt. A hedge is charged like a retry.
 func (r *Retrier) Hedge(now, began time.Time, a Attempt) bool {
 	if r.settings.HedgeAfter <= 0 || !a.Idempotent || a.Answered || a.Number >= r.settings.MaxAttempts {
 		return false
@@ -165,16 +162,15 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.pay(now, a.Group)
+	return r.spendBudget(now, a.Group)
 }
 
 // HedgeAfter returns the time after which Hedge may allow a second attempt; 0
 // means never.
 func (r *Retrier) HedgeAfter() time.Duration { return r.settings.HedgeAfter }
 
-// wait draws the wait evenly between none and a bound that doubles ("full
-// jitter"), so that calls that failed together don't come again together.
-// The caller holds mu.
+// wait draws the wait uniformly between 0 and a bound that doubles with each attempt ("full
+// jitter"), so that calls that failed together are not retried together. The caller holds mu.
 func (r *Retrier) wait(a Attempt) time.Duration {
 	bound := min(r.settings.InitialWait<<min(a.Number-1, 20), r.settings.MaxWait)
 	wait := time.Duration(r.random.Int64N(int64(bound) + 1))
@@ -184,7 +180,7 @@
 	return wait
 }
 
-func (r *Retrier) pay(now time.Time, group string) bool {
+func (r *Retrier) spendBudget(now time.Time, group string) bool {
 	b := r.budget(now, group)
 	if b.retries+1 > r.settings.Reserve+r.settings.Budget*b.successes {
 		return false
@@ -200,26 +196,25 @@
 		if len(r.groups) >= r.settings.MaxGroups {
 			r.evict()
 		}
-		b = &budget{at: now}
+		b = &budget{updatedAt: now}
 		r.groups[group] = b
 	}
-	if age := now.Sub(b.at); age > 0 {
+	if age := now.Sub(b.updatedAt); age > 0 {
 		left := math.Exp2(-float64(age) / float64(r.settings.HalfLife))
 		b.successes *= left
 		b.retries *= left
-		b.at = now
+		b.updatedAt = now
 	}
 	return b
 }
 
-// evict drops the group longest unused.
-// The caller holds mu.
+// evict removes the group that has not been used for the longest time. The caller holds mu.
 func (r *Retrier) evict() {
 	var oldest string
-	var at time.Time
+	var updatedAt time.Time
 	for name, b := range r.groups {
-		if oldest == "" || b.at.Before(at) {
-			oldest, at = name, b.at
+		if oldest == "" || b.updatedAt.Before(updatedAt) {
+			oldest, updatedAt = name, b.updatedAt
 		}
 	}
 	delete(r.groups, oldest)
--- a/internal/coordination/retrier/retrier_test.go
+++ b/internal/coordination/retrier/retrier_test.go
@@ -18,10 +18,10 @@
 	return retrier.NewRetrier(s, rand.New(rand.NewPCG(1, 1)))
 }
 
-// storm simulates the decisions for callers of 20 backend servers, of which a
-// share refuses everything, at 1,000 calls a second for 20 seconds. It returns
-// the attempts made for each call, and the share of calls that succeeded.
-func storm(budget, failing float64) (attempts, succeeded float64) {
+// simulateFailures simulates 1,000 calls per second for 20 seconds to 20 backend servers, of which
+// a share refuses everything. It returns the attempts per call and the share of calls that
+// succeeded.
+func simulateFailures(budget, failing float64) (attempts, succeeded float64) {
 	r := newRetrier(retrier.Settings{Budget: budget, MaxAttempts: 4})
 	random := rand.New(rand.NewPCG(2, 2))
 	const calls = 20000
@@ -45,22 +45,21 @@
 }
 
 var _ = Describe("Retrier", func() {
-	// Symptom: half of the backend servers fail, and the load that the retries
-	// make brings down the other half. Sequence: every failed call is tried
-	// again, up to its last attempt. Cause to prevent: retries without a budget.
-	It("makes no storm when half of the backend servers fail", func() {
-		attempts, succeeded := storm(0.1, 0.5)
-		Expect(attempts).To(BeNumerically("<", 1.12), "attempts for each call")
+	// Guards against retries that overload the remaining backend servers after half of them have
+	// failed. Without a budget, every failed call is retried up to its last attempt.
+	It("bounds the attempts when half of the backend servers fail", func() {
+		attempts, succeeded := simulateFailures(0.1, 0.5)
+		Expect(attempts).To(BeNumerically("<", 1.12), "attempts per call")
 		Expect(succeeded).To(BeNumerically(">", 0.5))
-		all, _ := storm(0.1, 1)
-		Expect(all).To(BeNumerically("<", 1.01), "all fail")
-		unbounded, _ := storm(1e9, 0.5)
+		all, _ := simulateFailures(0.1, 1)
+		Expect(all).To(BeNumerically("<", 1.01), "attempts per call if all fail")
+		unbounded, _ := simulateFailures(1e9, 0.5)
 		Expect(unbounded).To(BeNumerically(">", 1.8), "without a budget")
-		_, few := storm(0.1, 0.05)
+		_, few := simulateFailures(0.1, 0.05)
 		Expect(few).To(BeNumerically(">", 0.99), "a few failures are hidden")
 	})
 
-	It("hedges only what may run twice, once it was asked to, and pays for it", func() {
+	It("hedges only idempotent calls after HedgeAfter, and charges the budget", func() {
 		r := newRetrier(retrier.Settings{HedgeAfter: time.Second, Reserve: 1})
 		a := retrier.Attempt{Group: "base", Number: 1, Idempotent: true, Deadline: start.Add(time.Minute)}
 		once := a
@@ -68,13 +67,13 @@
 		Expect(r.Hedge(start.Add(2*time.Second), start, once)).To(BeFalse())
 		Expect(r.Hedge(start.Add(time.Millisecond), start, a)).To(BeFalse())
 		Expect(r.Hedge(start.Add(2*time.Second), start, a)).To(BeTrue())
-		Expect(r.Hedge(start.Add(2*time.Second), start, a)).To(BeFalse(), "the budget is spent")
+		Expect(r.Hedge(start.Add(2*time.Second), start, a)).To(BeFalse(), "the budget is exhausted")
 	})
 })
 
-// For any attempt: what may have run is repeated only if idempotent, nothing is
-// repeated once the caller has a part or beyond the attempts, no wait reaches the
-// deadline, and what is given up has no wait at all.
+// TestPropertyDecide checks for any attempt: a call that may have run is retried only if it is
+// idempotent; nothing is retried after a part of the answer was sent or beyond the maximum number
+// of attempts; no wait reaches the deadline; and a call that is not retried has no wait.
 func TestPropertyDecide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := retrier.Settings{MaxAttempts: rapid.IntRange(1, 6).Draw(t, "attempts"), Reserve: 1}
@@ -90,14 +89,14 @@
 			a := retrier.Attempt{
 				Group: "base", Number: rapid.IntRange(1, 7).Draw(t, "number"),
 				NotRun: rapid.Bool().Draw(t, "notRun"), Idempotent: rapid.Bool().Draw(t, "idempotent"),
-				Answered: rapid.IntRange(0, 5).Draw(t, "answered") == 0, NoAlternative: rapid.Bool().Draw(t, "alone"),
+				Answered: rapid.IntRange(0, 5).Draw(t, "answered") == 0, NoAlternative: rapid.Bool().Draw(t, "noAlternative"),
 				RetryAfter: time.Duration(rapid.IntRange(0, 300).Draw(t, "after")) * time.Millisecond,
 				Deadline:   now.Add(time.Duration(rapid.IntRange(-100, 5000).Draw(t, "left")) * time.Millisecond),
 			}
 			d := r.Decide(now, a)
 			if d.Verdict != retrier.VerdictRetry {
 				if d.Wait != 0 {
-					t.Fatalf("given up after a wait of %v", d.Wait)
+					t.Fatalf("wait of %v without a retry", d.Wait)
 				}
 				continue
 			}
@@ -109,8 +108,8 @@
 				t.Fatalf("wait %v reaches the deadline", d.Wait)
 			}
 		}
-		// Counts decay, so that the bound over the whole run is looser: a reserve
-		// for each half-life begun, and the share of all successes.
+		// Counts decay, so that the bound over the whole run is looser: a reserve for each started
+		// half-life, plus the share of all successes.
 		lives := float64(now.Sub(start)/retrier.DefaultHalfLife) + 2
 		if most := s.Reserve*lives + retrier.DefaultBudget*float64(successes) + 1; float64(retries) > most {
 			t.Fatalf("%d retries, at most %.1f allowed", retries, most)
