--- a/internal/coordination/replicator/admitter.go
+++ b/internal/coordination/replicator/admitter.go
@@ -10,7 +10,7 @@
 // disk are dropped. A returned error means that the process must stop.
 func (r *replica) step(m Message) error {
 	if m.Group != r.identity.Group || m.To != r.settings.Self.ID {
-		return r.refuse(m, "wrong group or destination host")
+		return r.refuse(m, "of another group or for another host")
 	}
 	if m.Kind == FoundRequest {
 		r.answerFoundRequest(m)
@@ -20,14 +20,14 @@
 		return r.handleFoundReply(m)
 	}
 	if m.Formation == 0 || (r.identity.Formation != 0 && m.Formation != r.identity.Formation) {
-		return r.refuse(m, "wrong formation of the group")
+		return r.refuse(m, "of another formation of the group")
 	}
 	// A leader may not know the incarnation of a learner's disk yet. After this host was removed,
 	// it may still regard itself as a voter; its replies are not counted until the group gives this
 	// disk a vote again.
 	unaddressed := m.ToIncarnation == 0 && (m.Kind == AppendRequest || m.Kind == SnapshotRequest)
 	if m.ToIncarnation != r.identity.Incarnation && !unaddressed {
-		return r.refuse(m, "wrong disk incarnation")
+		return r.refuse(m, "for another disk of this host")
 	}
 	if err := r.joinFormation(m.Formation); err != nil {
 		return err
--- a/internal/coordination/replicator/change.go
+++ b/internal/coordination/replicator/change.go
@@ -28,7 +28,7 @@
 		return 0, 0, c.notLeader()
 	}
 	if c.transferTo != 0 {
-		return 0, 0, ErrChangeRefused{Reason: "leadership is being transferred"}
+		return 0, 0, ErrChangeRefused{Reason: "leadership is being handed over"}
 	}
 	if c.commit < c.termStart {
 		return 0, 0, ErrChangeRefused{Reason: "the leader has not committed an entry of its term yet"}
@@ -42,7 +42,7 @@
 	}
 	if c.responsiveVoters(next) < next.Quorum() {
 		// Such a configuration could neither be committed nor be reverted.
-		return 0, 0, ErrChangeRefused{Reason: "too few of the remaining voters respond"}
+		return 0, 0, ErrChangeRefused{Reason: "too few of the remaining voters answer"}
 	}
 	index = c.appendEntry(EntryMembership, encodeConfiguration(next))
 	c.syncPeers()
@@ -95,7 +95,7 @@
 			return now, ErrChangeRefused{Reason: "not a learner"}
 		}
 		if !c.CaughtUp(t.ID) {
-			return now, ErrChangeRefused{Reason: "the learner has not caught up"}
+			return now, ErrChangeRefused{Reason: "the learner is not caught up"}
 		}
 		m.Voter, m.Incarnation = true, c.peers[t.ID].incarnation
 		return now.with(m), nil
@@ -106,7 +106,7 @@
 		if t.ID == c.settings.Self {
 			// A leader that is cut off could have the entry in its own log only; the others would
 			// then need the vote of a host that no longer counts itself as a voter.
-			return now, ErrChangeRefused{Reason: "the leader can't remove itself; transfer leadership first"}
+			return now, ErrChangeRefused{Reason: "the leader can't remove itself; it must hand over leadership first"}
 		}
 		return now.without(t.ID), nil
 	default:
--- a/internal/coordination/replicator/follower.go
+++ b/internal/coordination/replicator/follower.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	if c.role == Leader && m.Term == c.hard.Term {
-		return errors.Trace(ErrDiverged{Reason: "another host leads in this leader's term"})
+		return errors.Trace(ErrDiverged{Reason: "another host leads this host's own term"})
 	}
 	c.becomeFollower(m.Term, m.From)
 	c.leaderContactAt, c.leaderQuorumAge = c.clock, m.QuorumAge
--- a/internal/coordination/replicator/leader.go
+++ b/internal/coordination/replicator/leader.go
@@ -84,10 +84,10 @@
 		return 0, 0, c.notLeader()
 	}
 	if c.transferTo != 0 {
-		return 0, 0, ErrNotAccepted{Reason: "leadership is being transferred"}
+		return 0, 0, ErrNotAccepted{Reason: "leadership is being handed over"}
 	}
 	if c.pendingBytes+len(data) > c.settings.PendingBytes {
-		return 0, 0, ErrNotAccepted{Reason: "too many uncommitted bytes"}
+		return 0, 0, ErrNotAccepted{Reason: "too many bytes wait to be committed"}
 	}
 	return c.appendEntry(EntryCommand, data), c.hard.Term, nil
 }
--- a/internal/coordination/replicator/loop.go
+++ b/internal/coordination/replicator/loop.go
@@ -143,7 +143,7 @@
 		// The last quarter is reserved for entries that followers and leaders must write.
 		err = ErrNotAccepted{Reason: "the journal is nearly full"}
 	case r.queue.size() > r.settings.PendingBytes:
-		err = ErrNotAccepted{Reason: "too many unapplied bytes"}
+		err = ErrNotAccepted{Reason: "too many bytes wait to be applied"}
 	default:
 		index, term, err = r.replica.core.Propose(p.data)
 	}
@@ -170,7 +170,7 @@
 	}
 	r.quorumLost = lost
 	if lost {
-		r.pendingCalls.failAfter(r.replica.core.commit, "no majority responds to this leader")
+		r.pendingCalls.failAfter(r.replica.core.commit, "no majority answers this leader")
 	}
 	if r.leadingTerm != 0 {
 		r.settings.Log.Info().Uint64("Term", r.leadingTerm).Bool("Doubt", lost).Msg("leader quorum changed")
--- a/internal/coordination/replicator/membership.go
+++ b/internal/coordination/replicator/membership.go
@@ -13,7 +13,7 @@
 // change is in progress.
 func (r *Replicator) AddMember(ctx context.Context, m Member) error {
 	if m.ID == 0 || m.Address == "" {
-		return errors.Trace(ErrChangeRefused{Reason: "the member has no ID or no address"})
+		return errors.Trace(ErrChangeRefused{Reason: "the member has no number or no address"})
 	}
 	old, found := Configuration{Members: r.Status().Members}.Find(m.ID)
 	if found && old.Voter && old.Address == m.Address && old.FailureDomain == m.FailureDomain {
@@ -41,7 +41,7 @@
 		return err
 	}
 	if id != r.settings.Self.ID && !slices.Contains(r.lastPublished().caughtUp, id) {
-		return errors.Trace(ErrChangeRefused{Reason: "the voter does not follow the leader; if its disk was lost, remove it first"})
+		return errors.Trace(ErrChangeRefused{Reason: "the host is a voter that does not follow; if its disk was lost, remove it first"})
 	}
 	return nil
 }
@@ -81,7 +81,7 @@
 			return r.Err()
 		}
 		if !r.sleep(ctx, r.settings.TickInterval) {
-			return errors.Trace(ErrOutcomeUnknown{Reason: "leadership was not transferred in time"})
+			return errors.Trace(ErrOutcomeUnknown{Reason: "leadership was not handed over in time"})
 		}
 	}
 	return nil
--- a/internal/coordination/replicator/piecer.go
+++ b/internal/coordination/replicator/piecer.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		if err != nil {
-			return errors.Annotate(err, "read snapshot piece")
+			return errors.Annotate(err, "read piece of snapshot")
 		}
 		m.Snapshot = &p
 		r.emit([]Message{m})
@@ -28,7 +28,7 @@
 func (r *replica) storePiece(m Message) error {
 	next, complete, err := r.store.Receive(*m.Snapshot)
 	if err != nil {
-		return errors.Annotate(err, "store snapshot piece")
+		return errors.Annotate(err, "store piece of snapshot")
 	}
 	if !complete {
 		r.core.PieceStored(m, next)
--- a/internal/coordination/replicator/replica.go
+++ b/internal/coordination/replicator/replica.go
@@ -245,7 +245,7 @@
 		return errors.Annotate(err, "append to journal")
 	}
 	if first != rd.Entries[0].Index {
-		return errors.Errorf("journal wrote entry %d at index %d", rd.Entries[0].Index, first)
+		return errors.Errorf("journal put entry %d at %d", rd.Entries[0].Index, first)
 	}
 	return nil
 }
