--- a/internal/coordination/scheduler/bench_test.go
+++ b/internal/coordination/scheduler/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkQueue measures one request's way through a queue in which others
-// wait.
+// BenchmarkQueue measures the cost of one request in a queue with other waiting
+// requests.
 func BenchmarkQueue(b *testing.B) {
 	for _, waiting := range []int{0, 16, 250} {
 		for _, workspaces := range []int{4, 40} {
--- a/internal/coordination/scheduler/flow.go
+++ b/internal/coordination/scheduler/flow.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// flow is the waiting work of one workspace.
+// flow holds the waiting requests of one workspace.
 type flow struct {
 	workspace string
 	share     int
-	// start is the virtual time at which the next item of the flow begins. It
-	// is the flow's place among the others: the lowest is served first.
+	// start is the virtual time at which the flow's next item begins. It determines the
+	// order of the flows: the lowest is served first.
 	start float64
-	// items wait, in the order of waiting.before.
+	// items holds the waiting items in the order of waiting.before.
 	items []*waiting
 	// tokens is the sum of the items' estimates.
 	tokens int64
-	// running counts the items taken and not yet finished.
+	// running is the number of items taken and not yet finished.
 	running int
 }
 
@@ -35,7 +35,7 @@
 	return w
 }
 
-// newest returns the position of the item that arrived last, or -1.
+// newest returns the index of the item that arrived last, or -1.
 func (f *flow) newest() int {
 	best := -1
 	for i, w := range f.items {
@@ -46,5 +46,5 @@
 	return best
 }
 
-// charge is the virtual time that tokens cost the flow.
+// charge returns the virtual time that tokens cost the flow.
 func (f *flow) charge(tokens int64) float64 { return float64(tokens) / float64(f.share) }
--- a/internal/coordination/scheduler/item.go
+++ b/internal/coordination/scheduler/item.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Item is one request that waits for a place in the batch.
+// Item is a request that waits for a place in the batch.
 type Item struct {
 	Request   string
 	Workspace string
-	// Share weighs the workspace; less than 1 means 1.
+	// Share is the weight of the workspace; values less than 1 mean 1.
 	Share int
-	// Version is the adapter version that the request needs, empty for none.
+	// Version is the adapter version required by the request; empty for none.
 	Version string
-	// Priority ranges from 0, last, to TopPriority, first.
+	// Priority ranges from 0, the lowest, to TopPriority.
 	Priority int
-	// Tokens is the estimate of the work; less than 1 means 1.
+	// Tokens is the estimated work; values less than 1 mean 1.
 	Tokens int64
-	// Deadline is the time by which the answer must have ended; zero means none.
+	// Deadline is the time by which the answer must be complete; zero means none.
 	Deadline time.Time
 }
 
@@ -23,29 +23,29 @@
 	Item
 	// Queued is the time spent waiting for a place in the batch.
 	Queued time.Duration
-	// Stalled is the time in which there was a place in the batch for the item
-	// but not its adapter version. It is no part of Queued.
+	// Stalled is the time during which the batch had a place for the item but its
+	// adapter version was not available. It is not included in Queued.
 	Stalled time.Duration
 }
 
-// Cause tells why the queue refused an item.
+// Cause is the reason why the queue refused an item.
 type Cause int
 
 //go:generate stringer -type=Cause -trimprefix=Cause
 
 // The causes.
 const (
-	// CauseFull means that the queue holds as much as it may.
+	// CauseFull means that the queue has reached one of its bounds.
 	CauseFull Cause = iota
-	// CauseDeadline means that the item can't end by its deadline.
+	// CauseDeadline means that the item cannot be completed by its deadline.
 	CauseDeadline
 )
 
-// Refused is an item that the queue gave up. It has not run.
+// Refused is an item rejected by the queue. It has not run.
 type Refused struct {
 	Item
 	Cause Cause
-	// RetryAfter is the time in which there is likely room.
+	// RetryAfter is the time after which there is likely to be room.
 	RetryAfter time.Duration
 }
 
@@ -53,13 +53,14 @@
 type waiting struct {
 	Item
 	arrived time.Time
-	// key orders the items of a workspace, the lowest first: the arrival moved
-	// ahead by the priority. A key never changes, and so ageing needs no work.
+	// key determines the order of a workspace's items, lowest first. It is the arrival
+	// time advanced by the priority and never changes, so ageing requires no updates.
 	key time.Time
-	// sequence orders equal keys.
+	// sequence breaks ties between equal keys.
 	sequence uint64
 	stalled  time.Duration
-	// stalling tells that the item is counted as stalled since the last account.
+	// stalling reports that the item has been stalled since the last call of
+	// accountStalls.
 	stalling bool
 }
 
--- a/internal/coordination/scheduler/property_test.go
+++ b/internal/coordination/scheduler/property_test.go
@@ -8,8 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// reference is the plain account of a queue: every item that waits, in order of
-// arrival.
+// reference is a simple model of a queue: all waiting items in order of arrival.
 type reference struct {
 	t     *rapid.T
 	q     *Queue
@@ -17,13 +16,13 @@
 	next  int
 	items []arrived
 	taken map[string]bool
-	// cold are the versions that can't be pinned.
+	// cold is the set of versions that cannot be pinned.
 	cold map[string]bool
 
-	// others counts the tokens of other workspaces served since a workspace was
-	// last served while it always had an item that could run.
+	// others is the number of tokens of other workspaces served since a workspace was
+	// last served, while it always had a runnable item.
 	others map[string]int64
-	// last is each workspace's last charge, largest its largest.
+	// last and largest are the last and the largest charge of each workspace.
 	last    map[string]int64
 	largest map[string]int64
 	shares  map[string]int
@@ -59,7 +58,7 @@
 		Tokens:   rapid.Int64Range(1, 900).Draw(t, "tokens"),
 	}
 	if !r.runnable(w) {
-		// The workspace's bound counts from when it has something that can run.
+		// The bound of the workspace applies from the time it has a runnable item.
 		r.others[w] = 0
 	}
 	r.items = append(r.items, arrived{it, r.now})
@@ -69,11 +68,10 @@
 	}
 }
 
-// drop checks a refusal: of the newest item of its workspace, which is the
-// pushed one's, or one that no other exceeds for its share.
+// drop checks that a refused item is the newest one of its workspace.
 func (r *reference) drop(it Item) {
 	if r.taken[it.Request] {
-		r.t.Fatalf("%s was refused after it began", it.Request)
+		r.t.Fatalf("%s was refused after it started", it.Request)
 	}
 	for i := len(r.items) - 1; i >= 0; i-- {
 		if r.items[i].Workspace == it.Workspace {
@@ -101,7 +99,7 @@
 	if !ok {
 		for w := range r.shares {
 			if r.runnable(w) {
-				t.Fatalf("nothing taken though %s could run", w)
+				t.Fatalf("nothing taken although %s could run", w)
 			}
 		}
 		return
@@ -113,7 +111,7 @@
 		}
 	}
 	if best < 0 || r.items[best].Request != s.Request {
-		t.Fatalf("%s taken out of the order of its workspace", s.Request)
+		t.Fatalf("%s taken against the order of its workspace", s.Request)
 	}
 	for w := range r.shares {
 		if w != s.Workspace && r.runnable(w) {
@@ -143,7 +141,7 @@
 
 func (r *reference) finish(t *rapid.T) {
 	for request := range r.taken {
-		// The bound is stated without corrections.
+		// The bound does not include corrections.
 		r.q.Finish(r.now, request, -1)
 		delete(r.taken, request)
 		return
@@ -151,7 +149,7 @@
 	t.Skip("nothing runs")
 }
 
-// turn makes a version resident or not.
+// turn toggles whether a version is resident.
 func (r *reference) turn(t *rapid.T) {
 	w := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "workspace")
 	version := w + "/x@1"
@@ -166,8 +164,8 @@
 	r.now = r.now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds")) * time.Second)
 }
 
-// check compares the counts, and the service that others got with the bound in
-// the package's documentation.
+// check compares the counts with those of the queue, and the service of other
+// workspaces with the bound in the package documentation.
 func (r *reference) check(t *rapid.T) {
 	var tokens int64
 	for _, it := range r.items {
@@ -186,11 +184,11 @@
 		var bound float64
 		for u, other := range r.shares {
 			if u != w {
-				bound += float64(other)*float64(r.last[w])/float64(share) + float64(r.largest[u]+r.q.lag())
+				bound += float64(other)*float64(r.last[w])/float64(share) + float64(r.largest[u]+r.q.maxLag())
 			}
 		}
 		if float64(r.others[w]) > bound {
-			t.Fatalf("%s waited while others got %d tokens; the bound is %v", w, r.others[w], bound)
+			t.Fatalf("%s waited while others were served %d tokens; the bound is %v", w, r.others[w], bound)
 		}
 	}
 }
--- a/internal/coordination/scheduler/queue.go
+++ b/internal/coordination/scheduler/queue.go
@@ -9,22 +9,22 @@
 // Queue holds the requests that wait for a place in one backend server's batch.
 type Queue struct {
 	settings Settings
-	// flows are the workspaces with items that wait or run, or whose virtual
-	// start lies ahead of virtual.
+	// flows holds the workspaces that have waiting or running items, or whose virtual
+	// start is ahead of virtual.
 	flows map[string]*flow
-	// running are the items taken and not yet finished, by request.
+	// running maps requests to the items taken and not yet finished.
 	running map[string]taken
-	// virtual is the start of the item last taken. It never goes back.
+	// virtual is the start tag of the last item taken. It never decreases.
 	virtual  float64
 	sequence uint64
 	requests int
 	tokens   int64
-	// accounted is the time up to which stalls are counted.
+	// accounted is the time up to which stalls have been counted.
 	accounted time.Time
 	rate      rate
 }
 
-// taken is an item that runs.
+// taken is a running item.
 type taken struct {
 	workspace string
 	tokens    int64
@@ -35,18 +35,18 @@
 	return &Queue{settings: s.withDefaults(), flows: map[string]*flow{}, running: map[string]taken{}}
 }
 
-// Len returns the number of items that wait.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return q.requests }
 
-// Tokens returns the sum of the estimates of the items that wait.
+// Tokens returns the sum of the estimates of the waiting items.
 func (q *Queue) Tokens() int64 { return q.tokens }
 
-// Running returns the number of items taken and not finished.
+// Running returns the number of items taken and not yet finished.
 func (q *Queue) Running() int { return len(q.running) }
 
-// Push makes the item wait, unless it can't be done by its deadline, given that
-// its version will be ready only after load. It returns what the queue refuses:
-// the item itself, or newer items of a workspace that is more over its share.
+// Push adds the item to the queue unless it cannot be completed by its deadline, given
+// that its version is ready after load. It returns the refused items: either the item
+// itself, or newer items of a workspace that exceeds its share by more.
 func (q *Queue) Push(now time.Time, it Item, load time.Duration) []Refused {
 	it.Share = max(1, it.Share)
 	it.Tokens = max(1, it.Tokens)
@@ -68,8 +68,8 @@
 	return q.shed(f)
 }
 
-// flow returns the workspace's flow. One that has been idle begins at the
-// present virtual time: it earns nothing by having been idle.
+// flow returns the workspace's flow. An idle flow starts at the current virtual time,
+// so that idling earns no credit.
 func (q *Queue) flow(it Item) *flow {
 	f := q.flows[it.Workspace]
 	if f == nil {
@@ -83,23 +83,24 @@
 	return f
 }
 
-// shed refuses items until the queue is within its bounds: of the pushed
-// workspace while that is over its own bound, else of the workspace that is most
-// over its share. The newest goes first, since it has waited least.
+// shed refuses items until the queue is within its bounds: items of the pushed
+// workspace while that exceeds its own bound, then of the workspace that exceeds its
+// share most. The newest item is refused first because it has waited least.
 func (q *Queue) shed(pushed *flow) []Refused {
 	var refused []Refused
 	for len(pushed.items) > q.settings.WorkspaceRequests || pushed.tokens > q.settings.WorkspaceTokens {
 		refused = append(refused, q.refuse(pushed, pushed.newest(), CauseFull))
 	}
 	for q.requests > q.settings.MaxRequests || q.tokens > q.settings.MaxTokens {
-		f := q.heaviest()
+		f := q.mostOverShare()
 		refused = append(refused, q.refuse(f, f.newest(), CauseFull))
 	}
 	return refused
 }
 
-// heaviest returns the flow that holds most of the scarcer bound for its share.
-func (q *Queue) heaviest() *flow {
+// mostOverShare returns the flow that holds the largest part of the exceeded bound
+// relative to its share.
+func (q *Queue) mostOverShare() *flow {
 	byTokens := q.tokens > q.settings.MaxTokens
 	var best *flow
 	var most float64
@@ -127,18 +128,18 @@
 	w := f.remove(at)
 	q.requests--
 	q.tokens -= w.Tokens
-	q.forget(f)
+	q.dropIdle(f)
 	return w
 }
 
-// forget drops an idle flow whose start no longer matters.
-func (q *Queue) forget(f *flow) {
+// dropIdle removes an idle flow whose start no longer affects the order.
+func (q *Queue) dropIdle(f *flow) {
 	if len(f.items) == 0 && f.running == 0 && f.start <= q.virtual {
 		delete(q.flows, f.workspace)
 	}
 }
 
-// Remove takes the request out of the queue and reports whether it waited.
+// Remove removes the request from the queue and reports whether it was waiting.
 func (q *Queue) Remove(request string) bool {
 	for _, f := range q.flows {
 		for i, w := range f.items {
@@ -151,10 +152,10 @@
 	return false
 }
 
-// Expire takes out the items whose deadline has passed.
+// Expire removes the items whose deadline has passed.
 func (q *Queue) Expire(now time.Time) []Refused {
 	var refused []Refused
-	for _, f := range q.sorted() {
+	for _, f := range q.inFairOrder() {
 		for i := 0; i < len(f.items); {
 			if d := f.items[i].Deadline; d.IsZero() || now.Before(d) {
 				i++
@@ -166,13 +167,13 @@
 	return refused
 }
 
-// Next takes the next item to run when the batch has the given number of free
-// places. It asks start for the items in their fair order; start reports whether
-// the item's version could be pinned. Next returns false when no item can run.
+// Next takes the next item to run when the batch has free places. It calls start for
+// the items in fair order; start reports whether the item's version was pinned. Next
+// returns false if no item can run.
 func (q *Queue) Next(now time.Time, free int, start func(Item) bool) (Started, bool) {
-	q.account(now)
+	q.accountStalls(now)
 	if free > 0 {
-		for _, f := range q.sorted() {
+		for _, f := range q.inFairOrder() {
 			for i, w := range f.items {
 				if start(w.Item) {
 					return q.take(now, f, i), true
@@ -180,15 +181,15 @@
 			}
 		}
 	}
-	q.mark(free)
+	q.markStalled(free)
 	return Started{}, false
 }
 
 func (q *Queue) take(now time.Time, f *flow, at int) Started {
 	q.virtual = max(q.virtual, f.start)
-	// A flow whose versions were not resident has fallen behind. It keeps its
-	// place, but not a claim on all that was served meanwhile.
-	f.start = max(f.start, q.virtual-f.charge(q.lag()))
+	// A flow whose versions were not resident has fallen behind. It keeps its position
+	// but may catch up only a limited part of what was served meanwhile.
+	f.start = max(f.start, q.virtual-f.charge(q.maxLag()))
 	f.start += f.charge(f.items[at].Tokens)
 	f.running++
 	w := q.remove(f, at)
@@ -196,13 +197,14 @@
 	return Started{Item: w.Item, Queued: now.Sub(w.arrived) - w.stalled, Stalled: w.stalled}
 }
 
-// lag bounds in tokens what a flow that could not be served may catch up.
-func (q *Queue) lag() int64 { return q.settings.MaxTokens / lagFraction }
+// maxLag returns the number of tokens that a flow which could not be served may catch
+// up.
+func (q *Queue) maxLag() int64 { return q.settings.MaxTokens / lagFraction }
 
 const lagFraction = 64
 
-// Finish ends a running item with its real number of tokens, or a negative one
-// where that is not known.
+// Finish ends a running item with its actual number of tokens, or a negative number if
+// that is unknown.
 func (q *Queue) Finish(now time.Time, request string, tokens int64) {
 	t, ok := q.running[request]
 	if !ok {
@@ -212,16 +214,16 @@
 	f := q.flows[t.workspace]
 	f.running--
 	if tokens >= 0 {
-		q.rate.note(now, tokens, q.settings.RateWindow)
+		q.rate.record(now, tokens, q.settings.RateWindow)
 		f.start += f.charge(tokens - t.tokens)
-		// A refund must not put the flow so far ahead that it shuts out others.
-		f.start = max(f.start, q.virtual-f.charge(q.lag()))
+		// A refund must not advance the flow so far that other flows are blocked.
+		f.start = max(f.start, q.virtual-f.charge(q.maxLag()))
 	}
-	q.forget(f)
+	q.dropIdle(f)
 }
 
-// sorted returns the flows with items in their fair order.
-func (q *Queue) sorted() []*flow {
+// inFairOrder returns the flows with items in the order of service.
+func (q *Queue) inFairOrder() []*flow {
 	flows := make([]*flow, 0, len(q.flows))
 	for _, f := range q.flows {
 		if len(f.items) > 0 {
@@ -234,8 +236,8 @@
 	return flows
 }
 
-// account counts the time since the last call for the items that stall.
-func (q *Queue) account(now time.Time) {
+// accountStalls adds the time since its last call to the stalled items.
+func (q *Queue) accountStalls(now time.Time) {
 	passed := now.Sub(q.accounted)
 	q.accounted = now
 	if passed <= 0 {
@@ -250,10 +252,10 @@
 	}
 }
 
-// mark notes which items stall from now on: as many as there are free places,
-// in the fair order, none of which could start.
-func (q *Queue) mark(free int) {
-	for _, f := range q.sorted() {
+// markStalled marks the items that are stalled from now on: the first free items in
+// fair order, none of which could start.
+func (q *Queue) markStalled(free int) {
+	for _, f := range q.inFairOrder() {
 		for _, w := range f.items {
 			w.stalling = free > 0
 			free--
--- a/internal/coordination/scheduler/queue_test.go
+++ b/internal/coordination/scheduler/queue_test.go
@@ -9,10 +9,10 @@
 )
 
 var _ = Describe("A queue", func() {
-	It("lets one quiet call pass a rush", func() {
-		// Symptom: a paralegal's lookup waits behind a batch of another workspace.
-		// Events: 200 calls of the rush wait; the lookup arrives last.
-		// Cause: one queue in order of arrival.
+	It("serves a quiet call ahead of a rush", func() {
+		// Guards against a single lookup waiting behind a batch of another workspace:
+		// 200 calls of the batch wait when the lookup arrives. The fault was a single
+		// queue in order of arrival.
 		q := NewQueue(Settings{})
 		for i := range 180 {
 			Expect(q.Push(start, Item{Request: fmt.Sprint(i), Workspace: "rush", Tokens: 500}, 0)).To(BeEmpty())
@@ -27,13 +27,13 @@
 				return
 			}
 		}
-		Fail("quiet call not served")
+		Fail("quiet call was not served")
 	})
 
-	It("charges real tokens, not the estimates that a workspace makes of itself", func() {
-		// Symptom: one workspace gets several times its share.
-		// Events: its calls are estimated at 100 tokens and take 1000.
-		// Cause: the fair queue never learnt the real count.
+	It("charges actual tokens, not a workspace's own estimates", func() {
+		// Guards against a workspace getting several times its share because its calls
+		// are estimated at 100 tokens and take 1000. The fault was that the queue did
+		// not use the actual count.
 		q := NewQueue(Settings{})
 		served := map[string]int64{}
 		counts := map[string]int64{"honest": 100, "low": 1000}
@@ -52,7 +52,7 @@
 		Expect(float64(served["low"]) / float64(served["honest"])).To(BeNumerically("~", 1, 0.05))
 	})
 
-	It("refuses early what can't meet its deadline, and nothing before it knows its rate", func() {
+	It("refuses items that cannot meet their deadline, but none before the rate is known", func() {
 		q := NewQueue(Settings{RateWindow: time.Second})
 		due := Item{Request: "due", Workspace: "w", Tokens: 10, Deadline: start.Add(10 * time.Second)}
 		for i := range 20 {
@@ -75,7 +75,7 @@
 		Expect(q.Push(now, due, 0)).To(BeEmpty())
 	})
 
-	It("counts as stall only the time in which the batch had a place", func() {
+	It("counts as stalled only the time during which the batch had a place", func() {
 		q := NewQueue(Settings{})
 		none := func(Item) bool { return false }
 		q.Push(start, Item{Request: "r", Workspace: "w", Version: "w/a@1"}, 0)
--- a/internal/coordination/scheduler/rate.go
+++ b/internal/coordination/scheduler/rate.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// rate is an exponentially weighted mean of tokens served a second.
+// rate is an exponentially weighted mean of tokens served per second.
 type rate struct {
 	perSecond float64
-	// pending are the tokens since at.
-	pending float64
-	at      time.Time
-	began   time.Time
+	// pending is the number of tokens served since at.
+	pending   float64
+	at        time.Time
+	startedAt time.Time
 }
 
-// note counts tokens served.
-func (r *rate) note(now time.Time, tokens int64, window time.Duration) {
+// record counts tokens served.
+func (r *rate) record(now time.Time, tokens int64, window time.Duration) {
 	if r.at.IsZero() {
-		r.at, r.began = now, now
+		r.at, r.startedAt = now, now
 	}
 	r.pending += float64(tokens)
 	passed := now.Sub(r.at)
@@ -34,8 +34,7 @@
 	r.at = now
 }
 
-// timeFor returns the time that the tokens take at the rate, 0 where the rate
-// is not known yet.
+// timeFor returns the time needed to serve the tokens, or 0 while the rate is unknown.
 func (r *rate) timeFor(tokens int64) time.Duration {
 	if r.perSecond <= 0 {
 		return 0
@@ -43,17 +42,17 @@
 	return time.Duration(float64(tokens) / r.perSecond * float64(time.Second))
 }
 
-// Estimate returns the time that the item would wait for its place: for its
-// version to load, or for the work that goes before it, whichever is longer. It
-// is 0 while no rate has been measured, so that nothing is refused on a guess.
+// Estimate returns the expected wait of the item: the load of its version or the work
+// ahead of it, whichever takes longer. While no rate has been measured the work ahead
+// counts as 0, so that nothing is refused on a guess.
 func (q *Queue) Estimate(it Item, load time.Duration) time.Duration {
-	return max(load, q.rate.timeFor(q.ahead(it)))
+	return max(load, q.rate.timeFor(q.tokensAhead(it)))
 }
 
-// ahead returns the tokens that are served before the item: those of its own
-// workspace with its priority or a higher one, and of each other workspace what
-// its share gets meanwhile, at most what it has.
-func (q *Queue) ahead(it Item) int64 {
+// tokensAhead returns the number of tokens served before the item: those of its own
+// workspace with at least its priority and, for each other workspace, what it is served
+// meanwhile by its share, up to its waiting tokens.
+func (q *Queue) tokensAhead(it Item) int64 {
 	var own int64
 	if f := q.flows[it.Workspace]; f != nil {
 		for _, w := range f.items {
--- a/internal/coordination/scheduler/settings.go
+++ b/internal/coordination/scheduler/settings.go
@@ -13,23 +13,22 @@
 // TopPriority is the highest priority; 0 is the lowest.
 const TopPriority = 9
 
-// Settings are the options of a Queue. The zero value of each field means its
-// default.
+// Settings are the options of a Queue. A field with the zero value takes its default.
 type Settings struct {
-	// MaxRequests and MaxTokens bound what waits at once; DefaultMaxRequests and
+	// MaxRequests and MaxTokens bound the waiting items; DefaultMaxRequests and
 	// DefaultMaxTokens by default.
 	MaxRequests int
 	MaxTokens   int64
-	// WorkspaceRequests and WorkspaceTokens bound what one workspace has waiting;
-	// three quarters of the above by default, so that no workspace alone fills
-	// the queue.
+	// WorkspaceRequests and WorkspaceTokens bound the waiting items of one workspace;
+	// three quarters of the above by default, so that no single workspace fills the
+	// queue.
 	WorkspaceRequests int
 	WorkspaceTokens   int64
-	// AgeStep is the wait that is worth one step of priority; DefaultAgeStep by
+	// AgeStep is the wait equivalent to one step of priority; DefaultAgeStep by
 	// default.
 	AgeStep time.Duration
-	// RateWindow is the time constant of the measured rate of service;
-	// DefaultRateWindow by default.
+	// RateWindow is the time constant of the measured service rate; DefaultRateWindow
+	// by default.
 	RateWindow time.Duration
 }
 
