--- a/internal/coordination/suspecter/reviewer.go
+++ b/internal/coordination/suspecter/reviewer.go
@@ -8,27 +8,27 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Reviewer tells a leader of the control group when the time of a suspect is over. It goes
-// by the leader's steady clock alone: a time of day that was stepped would end quarantines
-// early. A new leader's times begin anew, so that a quarantine may last longer, never
-// shorter. It is not safe for concurrent use.
+// Reviewer determines for the leader of the control group when the time of a suspect is
+// over. It uses only the leader's monotonic clock, because a step of the wall clock
+// could end quarantines early. Times restart with a new leader, so a quarantine may
+// last longer, but never shorter. A Reviewer is not safe for concurrent use.
 type Reviewer struct {
 	settings Settings
-	suspects map[string]reviewed
+	suspects map[string]reviewTime
 }
 
-// reviewed is a suspect as it was last changed.
-type reviewed struct {
+// reviewTime is the time at which the last change of a suspect expires.
+type reviewTime struct {
 	revision uint64
 	until    time.Time
 }
 
-// NewReviewer returns a reviewer that knows no suspects.
+// NewReviewer returns a reviewer without suspects.
 func NewReviewer(s Settings) *Reviewer {
-	return &Reviewer{settings: s.withDefaults(), suspects: make(map[string]reviewed)}
+	return &Reviewer{settings: s.withDefaults(), suspects: make(map[string]reviewTime)}
 }
 
-// Observe takes a suspect's change in.
+// Observe records a change of a suspect.
 func (r *Reviewer) Observe(now time.Time, of storer.Resource, deleted bool) {
 	spec, ok := of.Spec.(storer.SuspectSpec)
 	if !ok || deleted {
@@ -39,11 +39,11 @@
 	if spec.Quarantined {
 		d = r.settings.QuarantineTime(spec.Times)
 	}
-	r.suspects[of.Metadata.Name] = reviewed{revision: of.Metadata.Revision, until: now.Add(d)}
+	r.suspects[of.Metadata.Name] = reviewTime{revision: of.Metadata.Revision, until: now.Add(d)}
 }
 
-// Due returns the suspects whose time is over, sorted by name. They are returned again
-// until a change of theirs is observed.
+// Due returns the suspects whose time is over, sorted by name. A suspect is returned
+// again until a change of it is observed.
 func (r *Reviewer) Due(now time.Time) []storer.SuspectRevision {
 	var due []storer.SuspectRevision
 	for name, s := range r.suspects {
--- a/internal/coordination/suspecter/settings.go
+++ b/internal/coordination/suspecter/settings.go
@@ -7,20 +7,22 @@
 
 // Defaults of Settings.
 const (
-	// DefaultMemory is for how long an end counts against a request. A request that comes
-	// back less often than three times in it costs a backend server in three minutes,
-	// which a deployment bears; a longer memory gathers ends that have other causes.
+	// DefaultMemory is how long an end counts against a request. A request that returns
+	// less often than three times within it costs one backend server every three
+	// minutes at most, which a deployment tolerates; a longer memory would accumulate
+	// ends with other causes.
 	DefaultMemory = 10 * time.Minute
-	// DefaultQuarantine is the time of a request's first quarantine; each further one
-	// takes twice as long, up to DefaultMostQuarantine. After it the request gets one
-	// more backend server, since another version of its software may run it: a server in
-	// ten minutes at first, and one a day in the end, is what that costs.
+	// DefaultQuarantine is the duration of a request's first quarantine. Each further
+	// one lasts twice as long, up to DefaultMostQuarantine. After a quarantine the
+	// request is given one more backend server, since it may be run by another version
+	// of the software. The cost is one server in ten minutes at first, and eventually
+	// one per day.
 	DefaultQuarantine     = 10 * time.Minute
 	DefaultMostQuarantine = 24 * time.Hour
 )
 
-// Settings are the options of a Table and of a Reviewer. The zero value of a field means
-// its documented default.
+// Settings are the options of a Table and of a Reviewer. A field with the zero value
+// takes its documented default.
 type Settings struct {
 	Memory         time.Duration
 	Quarantine     time.Duration
@@ -34,7 +36,7 @@
 	return s
 }
 
-// QuarantineTime returns the time of a quarantine; the first has the number 1.
+// QuarantineTime returns the duration of a quarantine by its number, starting at 1.
 func (s Settings) QuarantineTime(number int) time.Duration {
 	s = s.withDefaults()
 	d := s.Quarantine
--- a/internal/coordination/suspecter/suspecter_test.go
+++ b/internal/coordination/suspecter/suspecter_test.go
@@ -22,7 +22,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// control is the replicated state, and what an entry is told of it.
+// control is the replicated state and the view of it at an entry.
 type control struct {
 	store   *storer.Store
 	tracker *tracker.Tracker
@@ -72,12 +72,12 @@
 		table = suspecter.NewTable(suspecter.Settings{})
 	})
 
-	It("is kept from them after the third, wherever it was seen", func() {
+	It("is quarantined after the third end, whichever entries observed it", func() {
 		for life := range uint64(2) {
 			c.apply(ended(life, "x", "y"))
 			c.apply(ended(life, "x"))
 		}
-		Expect(quarantined("x")).To(BeFalse(), "several entries tell of one life")
+		Expect(quarantined("x")).To(BeFalse(), "several entries report one incarnation")
 		c.apply(ended(2, "x"))
 		Expect(quarantined("x")).To(BeTrue())
 		Expect(quarantined("y")).To(BeFalse())
@@ -85,7 +85,7 @@
 		Expect(table.SuspectAt(c.tracker.View(), request("z").Place())).To(BeFalse())
 	})
 
-	It("is kept from them by what an entry has seen itself, without contact to control", func() {
+	It("is quarantined by an entry's own observations, without contact to control", func() {
 		for life := range uint64(3) {
 			Expect(quarantined("x")).To(BeFalse())
 			table.Ended(start, ended(life, "x"))
@@ -94,30 +94,30 @@
 		Expect(table.SuspectAt(c.tracker.View(), request("x").Place())).To(BeTrue())
 	})
 
-	It("adds up from both", func() {
+	It("is counted across both sources", func() {
 		c.apply(ended(0, "x"))
 		c.apply(ended(1, "x"))
 		table.Ended(start, ended(1, "x"))
-		Expect(quarantined("x")).To(BeFalse(), "one life, told and seen")
+		Expect(quarantined("x")).To(BeFalse(), "one incarnation, reported and observed")
 		table.Ended(start, ended(2, "x"))
 		Expect(quarantined("x")).To(BeTrue())
 	})
 
-	It("is cleared by a run that answers it", func() {
+	It("is cleared when it is answered", func() {
 		c.apply(ended(0, "x"))
 		c.apply(ended(1, "x"))
 		table.Ended(start, ended(1, "x"))
 		id := identifier.Identify(request("x"))
 		Expect(table.RecordAnswer(c.tracker.View(), id)).To(BeTrue())
 		c.apply(storer.ClearSuspects{Names: []string{id.String()}})
-		Expect(table.RecordAnswer(c.tracker.View(), id)).To(BeFalse(), "told once")
+		Expect(table.RecordAnswer(c.tracker.View(), id)).To(BeFalse(), "reported once")
 		c.apply(ended(2, "x"))
 		c.apply(ended(3, "x"))
 		Expect(quarantined("x")).To(BeFalse())
 		Expect(table.RecordAnswer(c.tracker.View(), identifier.Identify(request("other")))).To(BeFalse())
 	})
 
-	It("that an operator lets go is forgotten by entries that had seen it too", func() {
+	It("is also removed by entries that observed it when an operator clears it", func() {
 		for life := range uint64(3) {
 			table.Ended(start, ended(life, "x"))
 			c.apply(ended(life, "x"))
@@ -129,9 +129,9 @@
 		Expect(table.SuspectAt(c.tracker.View(), request("x").Place())).To(BeFalse())
 	})
 
-	It("needs six ends where its answer had begun each time", func() {
-		// What has long begun is most of what is in progress when a server ends; a request
-		// that ends servers half-way is still found.
+	It("needs six ends if its answer had started each time", func() {
+		// Requests that have long been answering are the majority of those in progress
+		// when a server ends. A request that crashes servers midway is still found.
 		for life := range uint64(6) {
 			Expect(quarantined("x")).To(BeFalse())
 			e := ended(life, "x")
@@ -141,7 +141,7 @@
 		Expect(quarantined("x")).To(BeTrue())
 	})
 
-	It("gets one more backend server when its quarantine ends, and then a longer one", func() {
+	It("is given one more backend server after its quarantine, and then a longer quarantine", func() {
 		s := suspecter.Settings{}
 		r := suspecter.NewReviewer(s)
 		now := start
@@ -167,7 +167,7 @@
 		Expect(s.QuarantineTime(99)).To(Equal(24 * time.Hour))
 	})
 
-	It("is forgotten after ten minutes without another end", func() {
+	It("is removed after ten minutes without another end", func() {
 		r := suspecter.NewReviewer(suspecter.Settings{})
 		c.apply(ended(0, "x"))
 		list, _ := c.store.List(storer.KindSuspect, "")
@@ -175,7 +175,7 @@
 		due := r.Due(start.Add(10 * time.Minute))
 		Expect(due).To(HaveLen(1))
 		c.apply(ended(1, "x"))
-		Expect(c.apply(storer.ReviewSuspects{Suspects: due}).Verdict).To(Equal(storer.VerdictStale), "another end has come meanwhile")
+		Expect(c.apply(storer.ReviewSuspects{Suspects: due}).Verdict).To(Equal(storer.VerdictStale), "there was another end meanwhile")
 		list, _ = c.store.List(storer.KindSuspect, "")
 		r.Observe(start, list[0], false)
 		c.apply(storer.ReviewSuspects{Suspects: r.Due(start.Add(10 * time.Minute))})
@@ -188,7 +188,7 @@
 		Expect(table.SuspectAt(c.tracker.View(), request("old").Place())).To(BeFalse())
 	})
 
-	It("is remembered within bounds, those in quarantine last to go", func() {
+	It("is remembered within bounds, with quarantined requests evicted last", func() {
 		for life := range uint64(3) {
 			c.apply(ended(life, "x"))
 		}
@@ -204,7 +204,7 @@
 		Expect(table.SuspectAt(newControl().tracker.View(), request("n1999").Place())).To(BeFalse())
 	})
 
-	It("is nothing where it has no identity", func() {
+	It("is ignored if it has no identity", func() {
 		e := storer.CountEnds{Life: 1, Requests: []storer.EndedRequest{{Name: "none"}}}
 		Expect(c.apply(e).Verdict).To(Equal(storer.VerdictStale))
 		table.Ended(start, e)
@@ -212,8 +212,8 @@
 	})
 })
 
-// TestInnocent plays fleets in which servers end for causes of their own: a request whose
-// runs are mostly answered is not kept from anybody, whatever the order of what is told.
+// TestInnocent simulates deployments in which servers end for other causes. A request
+// that is mostly answered must never be quarantined, whatever the order of the reports.
 func TestInnocent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		RegisterTestingT(t)
@@ -230,7 +230,7 @@
 			table.Sync(c.tracker.View())
 			if since++; since < storer.SuspectLives {
 				if _, is := table.Quarantine(c.tracker.View(), start, id); is {
-					t.Fatalf("kept away after %d ends since its last answer", since)
+					t.Fatalf("quarantined after %d ends since its last answer", since)
 				}
 			}
 			if since == storer.SuspectLives-1 || rapid.Bool().Draw(t, "answered") {
--- a/internal/coordination/suspecter/table_benchmark_test.go
+++ b/internal/coordination/suspecter/table_benchmark_test.go
@@ -11,8 +11,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// BenchmarkTable measures what a call pays: with no suspects, with as many as there may be
-// and none at its place, and where it is one.
+// BenchmarkTable measures the cost per call without suspects, with the maximum number
+// of suspects and none at the call's place, and for a suspect call.
 func BenchmarkTable(b *testing.B) {
 	RegisterTestingT(b)
 	table, none, full := suspecter.NewTable(suspecter.Settings{}), newControl(), newControl()
