--- a/internal/coordination/watcher/doc.go
+++ b/internal/coordination/watcher/doc.go
@@ -1,7 +1,8 @@
-// Package watcher tells which hosts have fallen silent.
+// Package watcher determines which hosts have fallen silent.
 //
-// A host that stands still or is cut off refuses nothing and resets nothing: its
-// connections stay open, and what is asked of it gets no answer. Only the absence of
-// its heartbeats tells. A process that has itself stood still has heard nobody either,
-// and must not take all others for silent; it listens for a while first.
+// A host that has stalled or is partitioned neither refuses nor resets anything: its
+// connections stay open, and requests to it get no answer. The only sign is the absence
+// of its heartbeats. A process that has itself stalled has not received heartbeats from
+// any host, so it must not consider all others silent; it waits for a while before it
+// relies on silence again.
 package watcher
--- a/internal/coordination/watcher/watcher.go
+++ b/internal/coordination/watcher/watcher.go
@@ -9,71 +9,72 @@
 
 // Defaults of Settings.
 const (
-	// DefaultSilentAfter is two and a half of the users' heartbeats of 200 ms: one
-	// may be lost, and one on its way. Calls that wait at a host that stands still
-	// then go elsewhere some 0.6 s after they came, where callers of streams leave
-	// after two seconds without an event.
+	// DefaultSilentAfter is two and a half heartbeat intervals at the deployed 200 ms:
+	// one heartbeat may be lost and another in flight. Calls at a host that has stalled
+	// are then redirected about 0.6 s after their arrival, while callers of streams
+	// disconnect after two seconds without an event.
 	DefaultSilentAfter = 500 * time.Millisecond
-	// DefaultInterval is the time between two looks.
+	// DefaultInterval is the time between two checks.
 	DefaultInterval = 100 * time.Millisecond
 )
 
-// lateLook is the time between two looks, in intervals, beyond which it was this
-// process that stood still.
-const lateLook = 2
+// lateCheckIntervals is the number of intervals between two checks beyond which this
+// process itself is considered to have stalled.
+const lateCheckIntervals = 2
 
-// Settings are a Watcher's options. The zero value of a field means its documented
-// default.
+// Settings are the options of a Watcher. A field with the zero value takes its
+// documented default.
 type Settings struct {
-	// SilentAfter is the silence after which a host counts as silent.
+	// SilentAfter is the time without contact after which a host counts as silent.
 	SilentAfter time.Duration
-	// Interval is the time between two looks.
+	// Interval is the time between two checks.
 	Interval time.Duration
 }
 
-// Watcher remembers when each host was last heard of. It is not safe for concurrent
-// use.
+// Watcher records the last contact with each host. It is not safe for concurrent use.
 type Watcher struct {
 	settings Settings
-	// heard is when each host was last heard of, by name.
-	heard map[string]time.Time
-	// looked is when Look was called last; zero means never.
-	looked time.Time
-	// trusted is when silence tells something of other hosts again.
-	trusted time.Time
+	// lastContact is the time of the last contact with each host, by name.
+	lastContact map[string]time.Time
+	// lastCheck is the time of the last call of Check; zero means never.
+	lastCheck time.Time
+	// trustedFrom is the time from which silence is evidence about other hosts again,
+	// after this process has stalled.
+	trustedFrom time.Time
 }
 
-// NewWatcher returns a watcher that knows no host.
+// NewWatcher returns a watcher without hosts.
 func NewWatcher(s Settings) *Watcher {
 	s.SilentAfter = cmp.Or(s.SilentAfter, DefaultSilentAfter)
 	s.Interval = cmp.Or(s.Interval, DefaultInterval)
-	return &Watcher{settings: s, heard: make(map[string]time.Time)}
+	return &Watcher{settings: s, lastContact: make(map[string]time.Time)}
 }
 
-// Interval returns the time between two looks.
+// Interval returns the time between two checks.
 func (w *Watcher) Interval() time.Duration { return w.settings.Interval }
 
-// RecordContact notes that a host was heard of at a time. An earlier time changes nothing.
+// RecordContact records a contact with a host at the given time. A time earlier than
+// the last contact has no effect.
 func (w *Watcher) RecordContact(at time.Time, name string) {
-	if at.After(w.heard[name]) {
-		w.heard[name] = at
+	if at.After(w.lastContact[name]) {
+		w.lastContact[name] = at
 	}
 }
 
-// Retain forgets the hosts that keep does not hold.
+// Retain removes the hosts for which keep returns false.
 func (w *Watcher) Retain(keep func(name string) bool) {
-	maps.DeleteFunc(w.heard, func(name string, _ time.Time) bool { return !keep(name) })
+	maps.DeleteFunc(w.lastContact, func(name string, _ time.Time) bool { return !keep(name) })
 }
 
-// Check returns the names of the silent hosts in order; none while this process has
-// itself stood still lately.
+// Check returns the names of the silent hosts in sorted order. It returns none while
+// this process has itself stalled recently.
 func (w *Watcher) Check(now time.Time) []string {
-	if !w.looked.IsZero() && now.Sub(w.looked) > lateLook*w.settings.Interval {
-		w.trusted = now.Add(w.settings.SilentAfter)
+	if !w.lastCheck.IsZero() && now.Sub(w.lastCheck) > lateCheckIntervals*w.settings.Interval {
+		w.trustedFrom = now.Add(w.settings.SilentAfter)
 	}
-	w.looked = now
+	w.lastCheck = now
 	var silent []string
-	for name := range w.heard {
+	for name := range w.lastContact {
 		if w.Silent(now, name) {
 			silent = append(silent, name)
 		}
@@ -82,8 +83,9 @@
 	return silent
 }
 
-// Silent reports whether a host was heard of and has fallen silent since.
+// Silent reports whether there has been contact with a host before, but not within
+// SilentAfter.
 func (w *Watcher) Silent(now time.Time, name string) bool {
-	heard, ok := w.heard[name]
-	return ok && !now.Before(w.trusted) && now.Sub(heard) > w.settings.SilentAfter
+	lastContact, ok := w.lastContact[name]
+	return ok && !now.Before(w.trustedFrom) && now.Sub(lastContact) > w.settings.SilentAfter
 }
