--- a/internal/coordination/limiter/adapt.go
+++ b/internal/coordination/limiter/adapt.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// adapt moves the limit once a window. With a mean wait over the target the
-// limit moves towards limit × target/wait, at most halving; under it, it grows
-// by its square root, but only while calls in flight come near it, so that an
-// idle time doesn't open it. This is the gradient of Netflix's
-// concurrency-limits with the queue wait, which companions measure, in place of
-// the difference of round-trip times, which for generated text says little.
-// The caller holds mu.
+// adapt updates the limit once per window. If the mean wait exceeds the target, the
+// limit moves towards limit × target/wait, at most halving. Otherwise it grows by its
+// square root, but only while calls in flight come near it, so that idle periods do not
+// raise it. This is the gradient algorithm of Netflix's concurrency-limits, with the
+// queue wait measured by companions in place of the difference of round-trip times,
+// which is not informative for generated text. The caller holds mu.
 func (l *Limiter) adapt(now time.Time) {
 	const (
-		smoothing = 0.3
-		near      = 0.5
+		smoothing       = 0.3
+		growthThreshold = 0.5
 	)
 	w := &l.window
 	if w.began.IsZero() {
@@ -33,7 +32,7 @@
 		case mean > l.settings.TargetWait:
 			gradient := max(float64(l.settings.TargetWait)/float64(mean), 0.5)
 			l.limit += smoothing * (l.limit*gradient - l.limit)
-		case float64(w.peak) >= near*l.limit:
+		case float64(w.peak) >= growthThreshold*l.limit:
 			l.limit += math.Sqrt(l.limit)
 		}
 	}
--- a/internal/coordination/limiter/bench_test.go
+++ b/internal/coordination/limiter/bench_test.go
@@ -7,8 +7,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/limiter"
 )
 
-// BenchmarkAdmit measures the admission and the end of one call beside one call
-// in flight of each workspace.
+// BenchmarkAdmit measures the admission and the end of one call while each workspace
+// has one call in flight.
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{5, 50, 500} {
 		b.Run(fmt.Sprintf("Workspaces=%d", n), func(b *testing.B) {
--- a/internal/coordination/limiter/doc.go
+++ b/internal/coordination/limiter/doc.go
@@ -1,16 +1,16 @@
-// Package limiter decides at an entry whether a call is taken or refused.
+// Package limiter decides at an entry whether a call is admitted or refused.
 //
-// The entry's total of calls in flight has a limit that adapts to the queue
-// wait which answers report. Workspaces share it by weight: one under its fair
-// share is refused only when the total is at its limit; one over it may borrow
-// what the others leave, up to a margin kept for workspaces that come back.
-// The fair share counts one share more than those active, so that the next
+// The number of calls in flight at the entry has a limit that adapts to the queue wait
+// reported with answers. Workspaces share the limit by weight: a workspace under its
+// fair share is refused only when the total is at the limit; a workspace over it may
+// borrow what the others leave unused, up to a margin kept for workspaces that return.
+// The fair share is computed with one share more than those active, so that the next
 // workspace finds room.
 //
-// A refusal is an answer, given at once: it carries the time after which to
-// come back, drawn from a window that widens with the number of refusals
-// lately, so that the callers don't come back together.
+// A refusal is answered immediately. It carries a time after which to retry, drawn from
+// a window that widens with the recent number of refusals, so that callers do not retry
+// simultaneously.
 //
-// The package opens no socket and starts no goroutine; time and random numbers
+// The package opens no sockets and starts no goroutines; the time and the random source
 // are passed in.
 package limiter
--- a/internal/coordination/limiter/limiter.go
+++ b/internal/coordination/limiter/limiter.go
@@ -8,28 +8,28 @@
 
 //go:generate stringer -type=Verdict -trimprefix=Verdict
 
-// Verdict tells whether a call is taken, or why not.
+// Verdict is the decision whether a call is admitted, or the reason why it is not.
 type Verdict int
 
 // The verdicts.
 const (
-	// VerdictAdmitted takes the call; Done must follow.
+	// VerdictAdmitted admits the call; Done must follow.
 	VerdictAdmitted Verdict = iota
-	// VerdictWorkspaceLimit refuses it for the workspace's own bound.
+	// VerdictWorkspaceLimit refuses the call because the workspace is at its own limit.
 	VerdictWorkspaceLimit
-	// VerdictOverShare refuses it because the workspace is over its fair share
-	// and there is nothing left to borrow.
+	// VerdictOverShare refuses the call because the workspace is over its fair share
+	// and nothing is left to borrow.
 	VerdictOverShare
-	// VerdictEntryLimit refuses it because the entry holds all it may.
+	// VerdictEntryLimit refuses the call because the entry is at its limit.
 	VerdictEntryLimit
 )
 
-// Call is what the limiter needs to know of a call.
+// Call describes a call to be admitted.
 type Call struct {
 	Workspace string
-	// Share weighs the workspace; 0 means 1.
+	// Share is the weight of the workspace; 0 means 1.
 	Share int
-	// MaxInFlight is the workspace's own bound; 0 means none.
+	// MaxInFlight is the workspace's own limit of calls in flight; 0 means none.
 	MaxInFlight int
 	// Tokens is the estimated number of tokens.
 	Tokens int64
@@ -38,30 +38,30 @@
 // Answer is the limiter's decision on one call.
 type Answer struct {
 	Verdict Verdict
-	// RetryAfter is the time after which a refused caller should come back.
+	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
 }
 
-// Limiter decides which calls an entry takes. It may be used by several
-// goroutines. It keeps workspaces only while they have calls in flight.
+// Limiter decides which calls an entry admits. It is safe for concurrent use. It keeps
+// state of a workspace only while it has calls in flight.
 type Limiter struct {
 	settings Settings
 
 	mu sync.Mutex
-	// random draws the times to come back; guarded by mu.
+	// random is used for retry times; guarded by mu.
 	random *rand.Rand
-	// active holds the workspaces with calls in flight; guarded by mu.
+	// active maps the workspaces with calls in flight to their state; guarded by mu.
 	active map[string]*workspace
 	// shares is the sum of the active workspaces' shares; guarded by mu.
 	shares int
-	// inFlight and tokens count the calls in flight; guarded by mu.
+	// inFlight and tokens are the totals of the calls in flight; guarded by mu.
 	inFlight int
 	tokens   int64
 	// limit is the adaptive limit of calls in flight; guarded by mu.
 	limit float64
-	// window gathers what happened since the last adaptation; guarded by mu.
+	// window accumulates the events since the last adaptation; guarded by mu.
 	window window
-	// refusalRate and finishRate are smoothed, per second; guarded by mu.
+	// refusalRate and finishRate are smoothed rates, per second; guarded by mu.
 	refusalRate float64
 	finishRate  float64
 }
@@ -78,23 +78,23 @@
 	finished int
 	waits    time.Duration
 	waited   int
-	// peak is the most calls in flight.
+	// peak is the maximum number of calls in flight.
 	peak int
 }
 
-// NewLimiter returns a limiter that draws from random.
+// NewLimiter returns a limiter that uses random for retry times.
 func NewLimiter(s Settings, random *rand.Rand) *Limiter {
 	s = s.withDefaults()
 	return &Limiter{settings: s, random: random, active: make(map[string]*workspace), limit: float64(s.MaxInFlight)}
 }
 
-// Admit decides on the call. An admitted one is in flight until Done.
+// Admit decides on the call. An admitted call is in flight until Done.
 func (l *Limiter) Admit(now time.Time, c Call) Answer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.adapt(now)
 	share := max(c.Share, 1)
-	verdict := l.judge(c, share)
+	verdict := l.decide(c, share)
 	if verdict != VerdictAdmitted {
 		l.window.refused++
 		return Answer{Verdict: verdict, RetryAfter: l.retryAfter()}
@@ -105,7 +105,7 @@
 		l.active[c.Workspace] = w
 		l.shares += share
 	}
-	// The share may have been changed by the operator.
+	// The operator may have changed the share.
 	l.shares += share - w.share
 	w.share = share
 	w.inFlight++
@@ -116,8 +116,8 @@
 	return Answer{}
 }
 
-// judge has no lock of its own. The caller holds mu.
-func (l *Limiter) judge(c Call, share int) Verdict {
+// decide returns the verdict on a call. The caller holds mu.
+func (l *Limiter) decide(c Call, share int) Verdict {
 	s := &l.settings
 	w := l.active[c.Workspace]
 	var held workspace
@@ -129,8 +129,8 @@
 	if c.MaxInFlight > 0 && held.inFlight >= c.MaxInFlight {
 		return VerdictWorkspaceLimit
 	}
-	// A call larger than all tokens is taken when nothing else is in flight;
-	// it would never be taken otherwise.
+	// A call with more than MaxTokens is admitted if nothing else is in flight, because
+	// it could never be admitted otherwise.
 	if l.inFlight >= int(l.limit) || l.tokens+c.Tokens > s.MaxTokens && l.inFlight > 0 {
 		return VerdictEntryLimit
 	}
@@ -143,8 +143,8 @@
 	return VerdictAdmitted
 }
 
-// Done ends an admitted call. The wait is the time that it waited in a queue at
-// the backend server; a negative one means that it is not known.
+// Done ends an admitted call. wait is the time that it waited in a queue at the backend
+// server; a negative value means that it is unknown.
 func (l *Limiter) Done(now time.Time, c Call, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,20 +168,19 @@
 	l.adapt(now)
 }
 
-// InFlight returns the calls in flight and the limit on them.
+// InFlight returns the number of calls in flight and the limit on it.
 func (l *Limiter) InFlight() (inFlight, limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inFlight, int(l.limit)
 }
 
-// retryAfter draws a time to come back: as many callers as were refused in the
-// last second need at least refusalRate/finishRate seconds to be served, so
-// they are spread over at least that.
-// The caller holds mu.
+// retryAfter returns a random time after which to retry. Serving as many callers as
+// were refused in the last second takes at least refusalRate/finishRate seconds, so the
+// retries are spread over at least that time. The caller holds mu.
 func (l *Limiter) retryAfter() time.Duration {
-	const shortest = 0.5
+	const minSeconds = 0.5
 	spread := 1 + l.refusalRate/max(l.finishRate, 1)
-	seconds := shortest + l.random.Float64()*spread
+	seconds := minSeconds + l.random.Float64()*spread
 	return min(time.Duration(seconds*float64(time.Second)), l.settings.MaxRetry)
 }
--- a/internal/coordination/limiter/limiter_test.go
+++ b/internal/coordination/limiter/limiter_test.go
@@ -20,9 +20,9 @@
 }
 
 var _ = Describe("Limiter", func() {
-	// Symptom: quick lookups vanish during another workspace's rush.
-	// Sequence: one workspace sends all it can; another sends a single call.
-	// Cause to prevent: first come, first served.
+	// Guards against quick lookups being lost during another workspace's rush: one
+	// workspace sends as many calls as it can, another a single call. The fault would
+	// be to admit in order of arrival.
 	It("keeps room for a quiet workspace during another's rush", func() {
 		l := newLimiter(limiter.Settings{MaxInFlight: 100})
 		rush := limiter.Call{Workspace: "rush", Tokens: 1}
@@ -64,9 +64,9 @@
 		Expect(seconds(60, 0)).To(BeNumerically(">", small))
 	})
 
-	// Symptom: callers refused together come back together, and are refused
-	// again. Cause to prevent: one fixed Retry-After.
-	It("spreads callers over more time the more it refused lately", func() {
+	// Guards against callers that were refused together retrying together and being
+	// refused again. The fault would be a fixed Retry-After.
+	It("spreads retries over a longer time after more refusals", func() {
 		l := newLimiter(limiter.Settings{MaxInFlight: 1})
 		l.Admit(start, limiter.Call{Workspace: "w"})
 		spread := func(now time.Time, refusals int) time.Duration {
@@ -83,13 +83,13 @@
 	})
 })
 
-// For any schedule: the calls in flight never exceed the limit, a workspace under
-// its fair share is refused only when the entry is full, and nothing is left
-// behind when all calls have ended.
+// TestPropertyLimiter checks for any schedule that the calls in flight never exceed the
+// limit, that a workspace under its fair share is refused only when the entry is full,
+// and that no state is left when all calls have ended.
 func TestPropertyLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 40
-		l := newLimiter(limiter.Settings{MaxInFlight: most, MinInFlight: most, MaxTokens: 1 << 40})
+		const maxInFlight = 40
+		l := newLimiter(limiter.Settings{MaxInFlight: maxInFlight, MinInFlight: maxInFlight, MaxTokens: 1 << 40})
 		held := map[limiter.Call]int{}
 		total, now := 0, start
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -110,18 +110,18 @@
 					shares += other.Share
 				}
 			}
-			fair := float64(n) / float64(n+shares+1) * most
+			fair := float64(n) / float64(n+shares+1) * maxInFlight
 			a := l.Admit(now, c)
 			switch {
 			case a.Verdict == limiter.VerdictAdmitted:
 				held[c]++
 				total++
-			case total < most && float64(held[c]) < fair:
+			case total < maxInFlight && float64(held[c]) < fair:
 				t.Fatalf("%v: %d of fair %.1f held, %d in flight", a.Verdict, held[c], fair, total)
 			case a.RetryAfter <= 0:
-				t.Fatalf("refused without a time to come back")
+				t.Fatalf("refused without a retry time")
 			}
-			if total > most {
+			if total > maxInFlight {
 				t.Fatalf("%d in flight", total)
 			}
 		}
--- a/internal/coordination/limiter/settings.go
+++ b/internal/coordination/limiter/settings.go
@@ -16,7 +16,7 @@
 	DefaultMaxRetry    = 30 * time.Second
 )
 
-// Settings are a limiter's options. The zero value of a field means its
+// Settings are the options of a Limiter. A field with the zero value takes its
 // documented default.
 type Settings struct {
 	// MaxInFlight and MinInFlight bound the adaptive limit of calls in flight.
@@ -24,14 +24,14 @@
 	MinInFlight int
 	// MaxTokens bounds the estimated tokens of the calls in flight.
 	MaxTokens int64
-	// Borrow is the share of the limit up to which workspaces over their fair
-	// share may go.
+	// Borrow is the share of the limit up to which workspaces may exceed their fair
+	// share.
 	Borrow float64
-	// TargetWait is the mean queue wait over which the limit shrinks.
+	// TargetWait is the mean queue wait above which the limit shrinks.
 	TargetWait time.Duration
 	// Window is the time between two adaptations.
 	Window time.Duration
-	// MaxRetry is the longest time after which a caller is told to come back.
+	// MaxRetry is the maximum time after which a caller is told to retry.
 	MaxRetry time.Duration
 }
 
