--- a/internal/coordination/throttler/throttler.go
+++ b/internal/coordination/throttler/throttler.go
@@ -6,88 +6,90 @@
 )
 
 const (
-	// least is the narrowest: one call and nine times its time without. Forty entries
-	// then send no more than four calls at once.
-	least = 0.1
-	// widening is what an answer of a server with places to spare adds to the bound,
-	// as a share of it and in calls.
-	widening     = 0.1
-	wideningCall = 0.02
-	// narrowing is what is left of the bound after an answer of a server whose calls
-	// exceed its places, and shedding after a call that was turned away.
-	narrowing = 0.8
-	shedding  = 0.5
-	// ample and crowded are the numbers of calls, in places, up to which a server has
-	// room, and from which it is crowded. Some calls wait, so that no place stands idle;
-	// at twice the places a call takes twice its time.
-	ample   = 1.5
-	crowded = 2.0
+	// minLimit is the lowest limit: one call, followed by a pause of nine times its
+	// duration. Forty entries then have no more than four calls in progress.
+	minLimit = 0.1
+	// growthShare and growthCalls are the increase of the limit per answer of a server
+	// with spare places, as a share of the limit and in calls.
+	growthShare = 0.1
+	growthCalls = 0.02
+	// overloadFactor is applied to the limit after an answer of an overloaded server,
+	// and rejectionFactor after a rejected call.
+	overloadFactor  = 0.8
+	rejectionFactor = 0.5
+	// spareRatio and overloadRatio are the loads, relative to the places of a server,
+	// up to which it has spare places and above which it is overloaded. Some calls
+	// wait, so that no place is idle; at twice the places a call takes twice its time.
+	spareRatio    = 1.5
+	overloadRatio = 2.0
 )
 
-// Throttler bounds the calls of one entry at one server. It is not safe for concurrent
+// Throttler limits the calls of one entry at one server. It is not safe for concurrent
 // use.
 type Throttler struct {
-	// places is the number of calls that the server works on at once.
+	// places is the number of calls that the server processes concurrently.
 	places int
-	// width is the number of calls that may be in progress; below 1 it is the share of
-	// the time in which there is one.
-	width float64
-	// narrowed is when the width was last cut: answers to calls that began before tell
-	// of the width before.
-	narrowed time.Time
-	// resume is when the next call may begin.
-	resume time.Time
-	// spare tells that the server had places free at its last word.
-	spare bool
+	// limit is the number of calls that may be in progress; below 1 it is the share of
+	// the time during which one is.
+	limit float64
+	// narrowedAt is the time at which the limit was last reduced. Answers to calls that
+	// started earlier reflect the previous limit.
+	narrowedAt time.Time
+	// resumeAt is the time at which the next call may start.
+	resumeAt time.Time
+	// spareCapacity reports whether the server had free places according to its last
+	// report.
+	spareCapacity bool
 }
 
-// NewThrottler returns the throttler of a server that has said nothing yet: an entry may
-// fill its places.
+// NewThrottler returns the throttler of a server without any reports yet. An entry may
+// use all its places.
 func NewThrottler(places int) *Throttler {
-	return &Throttler{places: places, width: max(1, float64(places)), spare: true}
+	return &Throttler{places: places, limit: max(1, float64(places)), spareCapacity: true}
 }
 
-// Allows reports whether one more call may begin beside those in progress.
+// Allows reports whether one more call may start in addition to those in progress.
 func (t *Throttler) Allows(now time.Time, inProgress int) bool {
-	return !now.Before(t.resume) && inProgress < max(1, int(t.width))
+	return !now.Before(t.resumeAt) && inProgress < max(1, int(t.limit))
 }
 
-// HasSpareCapacity reports whether the server had places free when it was last heard of. Calls that
-// can't be in time any more are for such servers only: elsewhere each would make one late
-// that other entries have.
-func (t *Throttler) HasSpareCapacity() bool { return t.spare }
+// HasSpareCapacity reports whether the server had free places according to its last
+// report. Calls that can no longer meet their target should only go to such servers:
+// elsewhere each of them would make a call of another entry late.
+func (t *Throttler) HasSpareCapacity() bool { return t.spareCapacity }
 
-// RecordAnswer takes in an answer to a call that began at a time: the server's calls in
-// progress. Took is the time of a call when the server is not crowded.
+// RecordAnswer records the answer to a call started at began. calls is the number of
+// calls in progress reported by the server, and took the duration of a call when the
+// server is not overloaded.
 func (t *Throttler) RecordAnswer(now, began time.Time, calls int, took time.Duration, random *rand.Rand) {
-	t.spare = calls < t.places
+	t.spareCapacity = calls < t.places
 	switch {
-	case float64(calls) <= float64(t.places)*ample:
-		t.width = min(max(1, float64(t.places)), t.width*(1+widening)+wideningCall)
-	case float64(calls) > float64(t.places)*crowded && began.After(t.narrowed):
-		t.narrow(now, narrowing)
+	case float64(calls) <= float64(t.places)*spareRatio:
+		t.limit = min(max(1, float64(t.places)), t.limit*(1+growthShare)+growthCalls)
+	case float64(calls) > float64(t.places)*overloadRatio && began.After(t.narrowedAt):
+		t.narrow(now, overloadFactor)
 	}
-	t.pause(now, took, random)
+	t.schedulePause(now, took, random)
 }
 
-// RecordRejection takes in that the server was full.
+// TurnedAway records that the server rejected a call because it was full.
 func (t *Throttler) TurnedAway(now, began time.Time, took time.Duration, random *rand.Rand) {
-	t.spare = false
-	if began.After(t.narrowed) {
-		t.narrow(now, shedding)
+	t.spareCapacity = false
+	if began.After(t.narrowedAt) {
+		t.narrow(now, rejectionFactor)
 	}
-	t.pause(now, took, random)
+	t.schedulePause(now, took, random)
 }
 
 func (t *Throttler) narrow(now time.Time, share float64) {
-	t.width, t.narrowed = max(least, t.width*share), now
+	t.limit, t.narrowedAt = max(minLimit, t.limit*share), now
 }
 
-// pause keeps a bound below one call: a call is followed by a time without, spread so
-// that entries which began together don't go on together.
-func (t *Throttler) pause(now time.Time, took time.Duration, random *rand.Rand) {
-	if t.width >= 1 {
+// schedulePause implements limits below one call: a call is followed by a pause, which
+// is randomized so that entries that started together do not continue together.
+func (t *Throttler) schedulePause(now time.Time, took time.Duration, random *rand.Rand) {
+	if t.limit >= 1 {
 		return
 	}
-	t.resume = now.Add(time.Duration(float64(took) * (1/t.width - 1) * (0.5 + random.Float64())))
+	t.resumeAt = now.Add(time.Duration(float64(took) * (1/t.limit - 1) * (0.5 + random.Float64())))
 }
--- a/internal/coordination/throttler/throttler_test.go
+++ b/internal/coordination/throttler/throttler_test.go
@@ -19,10 +19,10 @@
 	RunSpecs(t, "Throttler")
 }
 
-// work is the mean time of a call at a server with places to spare.
-const work = 30 * time.Millisecond
+// callTime is the mean duration of a call at a server with free places.
+const callTime = 30 * time.Millisecond
 
-// server has places and a queue.
+// server simulates a server with a number of places and a queue.
 type server struct {
 	places, queue int
 	running       []*call
@@ -30,18 +30,19 @@
 	gone          bool
 }
 
-// call is one call at its entry, and then at a server.
+// call is a call, first at its entry and then at a server.
 type call struct {
 	arrived, began time.Time
-	// came is when its caller asked first, and back tells that it has come back.
-	came   time.Time
-	back   bool
-	entry  *entry
-	server int
-	left   time.Duration
+	// firstArrived is the time of the caller's first attempt; retried reports whether
+	// this is the second.
+	firstArrived time.Time
+	retried      bool
+	entry        *entry
+	server       int
+	left         time.Duration
 }
 
-// entry sends calls to servers without knowing of other entries.
+// entry sends calls to servers without information from other entries.
 type entry struct {
 	throttlers []*throttler.Throttler
 	inProgress []int
@@ -49,42 +50,42 @@
 	waiting    []*call
 }
 
-// pattern is a load of a plain service.
-type pattern struct {
+// workload describes the load of a plain service.
+type workload struct {
 	entries, perSecond int
-	// leave is the number of three servers that leave after a second.
+	// leave is the number of servers, out of three, that leave after a second.
 	leave int
 }
 
-// result counts the calls that came after servers had left.
+// result counts the calls that arrived after servers had left.
 type result struct{ calls, inTime, late, turnedAway, refused float64 }
 
 const (
 	target = 150 * time.Millisecond
-	// hold is for how long an entry holds a call, and comeBack the time after which a
-	// caller that was refused comes back, once.
-	hold     = 400 * time.Millisecond
-	comeBack = 300 * time.Millisecond
-	tick     = time.Millisecond
-	length   = 8 * time.Second
-	leaves   = time.Second
+	// maxHold is how long an entry holds a call, and retryDelay the time after which a
+	// refused caller retries once.
+	maxHold    = 400 * time.Millisecond
+	retryDelay = 300 * time.Millisecond
+	tick       = time.Millisecond
+	length     = 8 * time.Second
+	leaveAfter = time.Second
 )
 
-// scene is a load in progress.
-type scene struct {
+// simulation is a workload in progress.
+type simulation struct {
 	throttled bool
 	random    *rand.Rand
 	servers   []*server
 	entries   []*entry
-	// returning are the callers that were refused.
+	// returning holds the refused callers that will retry.
 	returning []*call
 	start     time.Time
 	result    result
 }
 
-// play plays a load.
-func play(p pattern, throttled bool, seed uint64) result {
-	s := &scene{throttled: throttled, random: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(100, 0)}
+// simulate runs a workload.
+func simulate(p workload, throttled bool, seed uint64) result {
+	s := &simulation{throttled: throttled, random: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(100, 0)}
 	for range 3 {
 		s.servers = append(s.servers, &server{places: 6, queue: 24})
 	}
@@ -95,18 +96,18 @@
 		}
 		s.entries = append(s.entries, e)
 	}
-	owed := 0.0
+	arrivals := 0.0
 	for now := s.start; now.Sub(s.start) < length; now = now.Add(tick) {
 		for i := range p.leave {
-			s.servers[i].gone = now.Sub(s.start) > leaves
+			s.servers[i].gone = now.Sub(s.start) > leaveAfter
 		}
-		for owed += s.random.ExpFloat64() * float64(p.perSecond) * tick.Seconds(); owed >= 1; owed-- {
-			s.arrive(now, &call{came: now})
+		for arrivals += s.random.ExpFloat64() * float64(p.perSecond) * tick.Seconds(); arrivals >= 1; arrivals-- {
+			s.arrive(now, &call{firstArrived: now})
 		}
 		s.returning = slices.DeleteFunc(s.returning, func(c *call) bool {
-			due := now.Sub(c.arrived) >= comeBack
+			due := now.Sub(c.arrived) >= retryDelay
 			if due {
-				s.arrive(now, &call{came: c.came, back: true})
+				s.arrive(now, &call{firstArrived: c.firstArrived, retried: true})
 			}
 			return due
 		})
@@ -120,20 +121,21 @@
 	return s.result
 }
 
-func (s *scene) counts(c *call) bool { return c.came.Sub(s.start) > leaves }
+func (s *simulation) counts(c *call) bool { return c.firstArrived.Sub(s.start) > leaveAfter }
 
-func (s *scene) arrive(now time.Time, c *call) {
+func (s *simulation) arrive(now time.Time, c *call) {
 	c.arrived, c.entry = now, s.entries[s.random.IntN(len(s.entries))]
 	c.entry.waiting = append(c.entry.waiting, c)
-	if s.counts(c) && !c.back {
+	if s.counts(c) && !c.retried {
 		s.result.calls++
 	}
 }
 
-// refuse tells a caller to come back, or refuses it for good.
-func (s *scene) refuse(now time.Time, c *call) {
+// refuse schedules a retry by the caller, or refuses the call finally if it has been
+// retried.
+func (s *simulation) refuse(now time.Time, c *call) {
 	switch {
-	case !c.back:
+	case !c.retried:
 		c.arrived = now
 		s.returning = append(s.returning, c)
 	case s.counts(c):
@@ -141,11 +143,11 @@
 	}
 }
 
-// serve sends what waits at an entry, the last first.
-func (e *entry) serve(now time.Time, s *scene) {
+// serve sends the calls waiting at an entry, newest first.
+func (e *entry) serve(now time.Time, s *simulation) {
 	slices.SortStableFunc(e.waiting, func(a, b *call) int { return b.arrived.Compare(a.arrived) })
 	e.waiting = slices.DeleteFunc(e.waiting, func(c *call) bool {
-		if now.Sub(c.arrived) > hold {
+		if now.Sub(c.arrived) > maxHold {
 			s.refuse(now, c)
 			return true
 		}
@@ -153,17 +155,17 @@
 	})
 }
 
-// answer lets a server work, and takes its answers in.
-func (s *scene) answer(now time.Time, i int) {
+// answer advances a server and processes its answers.
+func (s *simulation) answer(now time.Time, i int) {
 	at := s.servers[i]
 	at.step(tick, func(c *call) {
 		e := c.entry
 		e.inProgress[i]--
 		e.loads[i] = len(at.running) + len(at.waiting)
-		e.throttlers[i].RecordAnswer(now, c.began, e.loads[i], work, s.random)
+		e.throttlers[i].RecordAnswer(now, c.began, e.loads[i], callTime, s.random)
 		switch {
 		case !s.counts(c):
-		case now.Sub(c.came) <= target:
+		case now.Sub(c.firstArrived) <= target:
 			s.result.inTime++
 		default:
 			s.result.late++
@@ -171,9 +173,9 @@
 	})
 }
 
-// send hands the call to the server with the fewest calls known, and reports whether it
+// send sends the call to the server with the fewest known calls, and reports whether it
 // has left the entry.
-func (e *entry) send(now time.Time, c *call, s *scene) bool {
+func (e *entry) send(now time.Time, c *call, s *simulation) bool {
 	best := -1
 	for i, at := range s.servers {
 		t := e.throttlers[i]
@@ -192,7 +194,7 @@
 	at := s.servers[best]
 	if len(at.waiting) >= at.queue {
 		e.loads[best] = at.places + at.queue
-		e.throttlers[best].TurnedAway(now, now, work, s.random)
+		e.throttlers[best].TurnedAway(now, now, callTime, s.random)
 		if s.counts(c) {
 			s.result.turnedAway++
 		}
@@ -200,12 +202,12 @@
 		return true
 	}
 	e.inProgress[best]++
-	c.left = time.Duration(float64(work) * math.Exp(0.5*s.random.NormFloat64()-0.125))
+	c.left = time.Duration(float64(callTime) * math.Exp(0.5*s.random.NormFloat64()-0.125))
 	at.waiting = append(at.waiting, c)
 	return true
 }
 
-// step lets time pass, and tells of the calls that are done.
+// step advances the time and calls done for each completed call.
 func (s *server) step(d time.Duration, done func(*call)) {
 	for len(s.running) < s.places && len(s.waiting) > 0 {
 		s.running, s.waiting = append(s.running, s.waiting[0]), s.waiting[1:]
@@ -223,47 +225,47 @@
 	}
 }
 
-var _ = Describe("Many entries before few servers", func() {
-	// Symptom: two of three servers leave; from then on three sends of five are turned
-	// away, callers come back and are refused again, and those served are served late.
-	// Events: 21 entries send 300 calls a second, each where it has seen the fewest calls;
-	// one server has places for 200. Its queue fills, and each call waits for all of it.
-	// Cause: no entry knows that a server is full before it is turned away, and nothing
-	// holds calls back.
-	// The figures are those of the users' application service: six places, a queue of 24,
-	// 30 ms a call, of which 150 ms are the target.
-	It("serve in time what one server can do", func() {
-		p := pattern{entries: 21, perSecond: 300, leave: 2}
-		var free, bound result
+var _ = Describe("Many entries with few servers", func() {
+	// Guards against the overload of a remaining server after two of three have left:
+	// three of five attempts are rejected, callers retry and are refused again, and
+	// those served are served late. 21 entries send 300 calls per second, each to the
+	// server where it has seen the fewest calls; one server can process 200. Its queue
+	// fills up, and each call waits for all of it. The cause is that no entry knows a
+	// server to be full before it is rejected, and nothing holds calls back. The
+	// figures are those of a production service: six places, a queue of 24, 30 ms per
+	// call, and a target of 150 ms.
+	It("serve in time what one server can process", func() {
+		p := workload{entries: 21, perSecond: 300, leave: 2}
+		var unlimited, limited result
 		for seed := range uint64(5) {
-			free.add(play(p, false, seed))
-			bound.add(play(p, true, seed))
+			unlimited.add(simulate(p, false, seed))
+			limited.add(simulate(p, true, seed))
 		}
-		GinkgoWriter.Printf("free: %s\nbound: %s\n", free, bound)
-		Expect(bound.inTime / bound.calls).To(BeNumerically(">", free.inTime/free.calls+0.1))
-		Expect(bound.inTime + bound.late).To(BeNumerically(">", 0.95*(free.inTime+free.late)))
-		Expect(bound.turnedAway).To(BeNumerically("<", 0.1*free.turnedAway))
+		GinkgoWriter.Printf("unlimited: %s\nlimited: %s\n", unlimited, limited)
+		Expect(limited.inTime / limited.calls).To(BeNumerically(">", unlimited.inTime/unlimited.calls+0.1))
+		Expect(limited.inTime + limited.late).To(BeNumerically(">", 0.95*(unlimited.inTime+unlimited.late)))
+		Expect(limited.turnedAway).To(BeNumerically("<", 0.1*unlimited.turnedAway))
 	})
 
-	DescribeTable("leave nothing undone that the servers can do",
-		func(p pattern) {
+	DescribeTable("use the full capacity of the servers",
+		func(p workload) {
 			for seed := range uint64(5) {
-				bound := play(p, true, seed)
-				GinkgoWriter.Printf("bound: %s\n", bound)
-				Expect((bound.turnedAway + bound.refused) / bound.calls).To(BeNumerically("<", 0.02))
-				Expect(bound.inTime / bound.calls).To(BeNumerically(">", 0.9))
+				limited := simulate(p, true, seed)
+				GinkgoWriter.Printf("limited: %s\n", limited)
+				Expect((limited.turnedAway + limited.refused) / limited.calls).To(BeNumerically("<", 0.02))
+				Expect(limited.inTime / limited.calls).To(BeNumerically(">", 0.9))
 			}
 		},
-		Entry("21 entries, three quarters of the places", pattern{entries: 21, perSecond: 300, leave: 1}),
-		Entry("4 entries, three quarters of the places", pattern{entries: 4, perSecond: 300, leave: 1}),
-		Entry("60 entries, two thirds of the places", pattern{entries: 60, perSecond: 270, leave: 1}),
-		Entry("4 entries, a quarter of the places", pattern{entries: 4, perSecond: 150}),
+		Entry("21 entries, three quarters of the places", workload{entries: 21, perSecond: 300, leave: 1}),
+		Entry("4 entries, three quarters of the places", workload{entries: 4, perSecond: 300, leave: 1}),
+		Entry("60 entries, two thirds of the places", workload{entries: 60, perSecond: 270, leave: 1}),
+		Entry("4 entries, a quarter of the places", workload{entries: 4, perSecond: 150}),
 	)
 })
 
-// String tells the shares of the calls.
+// String returns the shares of the calls.
 func (r result) String() string {
-	return fmt.Sprintf("in time %.3f late %.3f refused %.3f; sends turned away %.3f a call",
+	return fmt.Sprintf("in time %.3f late %.3f refused %.3f; rejected attempts %.3f per call",
 		r.inTime/r.calls, r.late/r.calls, r.refused/r.calls, r.turnedAway/r.calls)
 }
 
