--- a/internal/coordination/permitter/table_test.go
+++ b/internal/coordination/permitter/table_test.go
@@ -251,7 +251,7 @@
 			reported time.Time
 		}
 		running := map[int]*load{}
-		heard := [companions]uint64{}
+		knownTerms := [companions]uint64{}
 		var lastNumber, sequence uint64
 		lastStart := start.Add(-time.Minute)
 		// expire stops the loads that companions could not report for too long.
@@ -272,14 +272,14 @@
 				r.Companion = names[c]
 				table.Request(now, r)
 			case 1:
-				heard[c] = term
+				knownTerms[c] = term
 				var numbers []uint64
 				if l := running[c]; l != nil {
 					numbers = append(numbers, l.Number)
 					l.reported = now
 				}
 				sequence++
-				table.Report(now, permitter.Report{Companion: names[c], Term: heard[c], Sequence: sequence, Numbers: numbers})
+				table.Report(now, permitter.Report{Companion: names[c], Term: knownTerms[c], Sequence: sequence, Numbers: numbers})
 			case 2:
 				if l := running[c]; l != nil {
 					if rapid.Bool().Draw(t, "finish arrives") {
@@ -306,7 +306,7 @@
 						continue
 					}
 					for i, n := range names {
-						if n == g.Companion && permitter.Term(g.Number) >= heard[i] {
+						if n == g.Companion && permitter.Term(g.Number) >= knownTerms[i] {
 							running[i] = &load{Grant: g, reported: now}
 						}
 					}
--- a/internal/coordination/placer/backend.go
+++ b/internal/coordination/placer/backend.go
@@ -32,9 +32,9 @@
 	pendingAdapters map[string]AdapterState
 	recent          map[string]struct{}
 	cached          map[uint32]struct{}
-	// placedRead is the reading time of prompts placed here since the last report;
-	// placedWaitingRead is the reading time of those that wait for an adapter or a
-	// model.
+	// placedRead is the reading time of prompts placed here since the last report that
+	// do not wait for an adapter or a model; placedWaitingRead is that of the prompts
+	// that do.
 	placedRead, placedWaitingRead time.Duration
 	// backlogUntil is the time at which the reported backlog will have been read.
 	backlogUntil time.Time
