--- a/internal/transport/relayer/fixture_test.go
+++ b/internal/transport/relayer/fixture_test.go
@@ -226,7 +226,7 @@
 			defer e.mu.Unlock()
 			return cmp.Or(e.companions[m.Name], companion)
 		},
-		Random: random, Log: zerolog.New(e.log), Propose: e.propose, Control: &e.control, KeyLease: keyLease,
+		Random: random, Log: zerolog.New(e.log), Submit: e.propose, Control: &e.control, KeyLease: keyLease,
 		Now: func() time.Time { return time.Now().Add(time.Duration(e.clockOffset.Load())) },
 	})
 	e.server = httptest.NewServer(e.relayer)
--- a/internal/transport/relayer/settings.go
+++ b/internal/transport/relayer/settings.go
@@ -80,8 +80,8 @@
 	// CompanionAddress returns the address of a backend server's companion.
 	CompanionAddress func(tracker.Member) string
 
-	// Propose submits a command to the replicated state; nil means that there is none.
-	Propose func(ctx context.Context, c storer.Command) error
+	// Submit submits a command to the replicated state; nil means that there is none.
+	Submit func(ctx context.Context, c storer.Command) error
 
 	AdmitTimeout  time.Duration
 	RetryRatio    float64
--- a/internal/transport/relayer/suspect.go
+++ b/internal/transport/relayer/suspect.go
@@ -72,12 +72,12 @@
 
 // propose submits a command to the replicated state, and logs a failure.
 func (r *Relayer) propose(c storer.Command) {
-	if r.settings.Propose == nil {
+	if r.settings.Submit == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.root, proposeTimeout)
 	defer cancel()
-	if err := r.settings.Propose(ctx, c); err != nil {
+	if err := r.settings.Submit(ctx, c); err != nil {
 		// The entry's own record remains in effect locally.
 		r.settings.Log.Warn().Err(err).Msg("reporting a request's failures or answers to control failed")
 	}
