--- a/internal/transport/relayer/send.go
+++ b/internal/transport/relayer/send.go
@@ -20,7 +20,7 @@
 	r := j.relayer
 	conn, response, err := j.exchange(ctx, a) //nolint:bodyclose // Each verdict reads the body to its end or aborts the connection.
 	if err != nil {
-		return j.unanswered(err) //nolint:contextcheck // What a loss tells outlives the call.
+		return j.unanswered(err) //nolint:contextcheck // The report of a loss outlives the call.
 	}
 	head := r.settings.Translator.Head(response.StatusCode, response.Header)
 	if head.Calls >= 0 {
@@ -43,12 +43,12 @@
 		return verdictNotRun
 	}
 	if response.StatusCode >= http.StatusInternalServerError || !head.Signed {
-		return j.keepFailure(conn, response, head) //nolint:contextcheck // The same.
+		return j.keepFailure(conn, response, head) //nolint:contextcheck // The report of a loss outlives the call.
 	}
 	if j.route.Stream {
-		return j.stream(conn, response, head, current) //nolint:contextcheck // The same.
+		return j.stream(conn, response, head, current) //nolint:contextcheck // The report of a loss outlives the call.
 	}
-	return j.answerWhole(conn, response, head) //nolint:contextcheck // The same.
+	return j.answerWhole(conn, response, head) //nolint:contextcheck // The report of a loss outlives the call.
 }
 
 // exchange sends the call to the chosen backend server. The end of the context resets
