--- a/internal/transport/gatekeeper/attempt.go
+++ b/internal/transport/gatekeeper/attempt.go
@@ -250,7 +250,7 @@
 	}
 	if err := a.answer.write(data); err != nil && q.claim == nil {
 		a.cancel(ctx)
-		res := unknown(messenger.ReasonCancelled, "writing to the caller failed: "+err.Error())
+		res := unknown(messenger.ReasonCancelled, "the caller takes no more: "+err.Error())
 		res.callerLeft, res.final = true, true
 		return res, true
 	}
@@ -303,7 +303,7 @@
 // finish sends the caller the end of a completed answer.
 func (a *attempt) finish() result {
 	if err := a.answer.finish(a.end); err != nil && a.request.claim == nil {
-		res := unknown(messenger.ReasonCancelled, "writing to the caller failed: "+err.Error())
+		res := unknown(messenger.ReasonCancelled, "the caller took no more: "+err.Error())
 		res.callerLeft, res.final = true, true
 		return res
 	}
--- a/internal/transport/gatekeeper/claim.go
+++ b/internal/transport/gatekeeper/claim.go
@@ -107,7 +107,7 @@
 		f = translator.NewFault(http.StatusBadRequest, translator.CodeInvalidRequest, "the idempotency key can't be recorded")
 		f.Param = translator.HeaderIdempotencyKey
 	default:
-		f = translator.NewFault(http.StatusServiceUnavailable, translator.CodeClaimUnavailable, "the claim that limits the request to one run could not be committed")
+		f = translator.NewFault(http.StatusServiceUnavailable, translator.CodeClaimUnavailable, "the request's single run could not be reserved")
 		f.RetryAfter = q.entry.random.jitter(2 * time.Second)
 	}
 	return f
--- a/internal/transport/gatekeeper/metrics.go
+++ b/internal/transport/gatekeeper/metrics.go
@@ -49,12 +49,12 @@
 	m.queueWaits = histograms(r, "queue_wait_seconds", "Time that requests waited for a place in a batch.")
 	m.firstBytes = histograms(r, "first_byte_seconds", "Time from a request's arrival to its answer's first byte.")
 	m.retries = counters(r, "retry_decisions_total", "Decisions on failed attempts, by verdict.", labelVerdict)
-	m.claims = counters(r, "claims_total", "Claims of calls that may run only once, by verdict.", labelVerdict)
-	m.settles = counters(r, "claims_settled_total", "Claims settled, by state; Lost means that the settlement was not accepted.", labelState)
-	m.resumes = counter(r, "resumes_total", "Answers resumed on a new connection.")
+	m.claims = counters(r, "claims_total", "Claims of calls that may run once, by how they were answered.", labelVerdict)
+	m.settles = counters(r, "claims_settled_total", "Claims settled, by state; Lost ones could not be.", labelState)
+	m.resumes = counter(r, "resumes_total", "Answers asked for again on a new connection.")
 	m.wrongModels = counter(r, "wrong_model_total", "Answers withheld because the engine named another version.")
 	m.coldChoices = counter(r, "cold_choices_total", "Choices that are expected to load a version.")
-	m.choices = prometheus.NewHistogram(options("choice_seconds", "Duration of one choice of a backend server.", prometheus.ExponentialBuckets(5e-7, 2, 12)))
+	m.choices = prometheus.NewHistogram(options("choice_seconds", "Time of one choice of a backend server.", prometheus.ExponentialBuckets(5e-7, 2, 12)))
 	r.MustRegister(m.choices)
 	return m
 }
--- a/internal/transport/gatekeeper/quota.go
+++ b/internal/transport/gatekeeper/quota.go
@@ -36,7 +36,7 @@
 			f.RetryAfter = d.RetryAfter
 			return f
 		case !e.settings.Control.AwaitReport(ctx):
-			f := translator.NewFault(http.StatusServiceUnavailable, translator.CodeNotReady, "the remaining quota of the workspace is not known")
+			f := translator.NewFault(http.StatusServiceUnavailable, translator.CodeNotReady, "what is left of the workspace's quota is not known")
 			f.RetryAfter = e.random.jitter(time.Second)
 			return f
 		}
--- a/internal/transport/gatekeeper/resolve.go
+++ b/internal/transport/gatekeeper/resolve.go
@@ -49,7 +49,7 @@
 // operators have replaced.
 func (x *exchange) notReady(what string) *translator.Fault {
 	f := translator.NewFault(http.StatusServiceUnavailable, translator.CodeNotReady,
-		"this entry has lost contact with the control hosts and does not know %s", what)
+		"this entry has lost the control hosts and can't tell %s", what)
 	f.RetryAfter = x.entry.random.jitter(2 * time.Second)
 	return f
 }
@@ -86,7 +86,7 @@
 func (x *exchange) rule(adapter string) (storer.PriorityRuleSpec, *translator.Fault) {
 	rule, found := x.entry.settings.Index.Rule(x.holder.Workspace, adapter, x.holder.Name)
 	if found && !x.awaitLease() {
-		return rule, x.notReady("which priority rule is in force")
+		return rule, x.notReady("which priority rule holds")
 	}
 	return rule, nil
 }
--- a/internal/transport/gatekeeper/resume.go
+++ b/internal/transport/gatekeeper/resume.go
@@ -54,7 +54,7 @@
 }
 
 func (a *attempt) unreachable() result {
-	res := unknown(messenger.ReasonUnavailable, "the companion can no longer be reached")
+	res := unknown(messenger.ReasonUnavailable, "the companion can't be reached any more")
 	res.suspect = true
 	return res
 }
@@ -90,7 +90,7 @@
 	if r.Reason == messenger.ReasonNeverSeen && !a.accepted && a.incarnation != "" && r.Detail == a.incarnation {
 		return notRun(messenger.ReasonNeverSeen, "the request did not arrive")
 	}
-	return unknown(r.Reason, "the rest of the answer is not available: "+r.Detail)
+	return unknown(r.Reason, "the rest of the answer can't be had: "+r.Detail)
 }
 
 // aborted ends the attempt because the caller left or the deadline passed. The
--- a/internal/transport/gatekeeper/serve.go
+++ b/internal/transport/gatekeeper/serve.go
@@ -144,7 +144,7 @@
 	case "/v1/models":
 		x.w.Header().Set("Allow", http.MethodGet)
 	default:
-		return translator.NewFault(http.StatusNotFound, translator.CodeNotFound, "this path does not exist")
+		return translator.NewFault(http.StatusNotFound, translator.CodeNotFound, "there is nothing at this path")
 	}
 	return translator.NewFault(http.StatusMethodNotAllowed, translator.CodeMethod, "method %.20s is not allowed here", x.r.Method)
 }
--- a/internal/transport/relayer/keys.go
+++ b/internal/transport/relayer/keys.go
@@ -68,7 +68,7 @@
 		case j.workspace == nil && r.stateNewerThan(j.arrived):
 			return j.refuse(http.StatusUnauthorized, "unknown key", 0)
 		case r.settings.Control == nil || !r.settings.Control.AwaitReport(ctx):
-			return j.refuse(http.StatusServiceUnavailable, "the known keys are too old", retryElsewhereDelay)
+			return j.refuse(http.StatusServiceUnavailable, "what is known of keys is too old", retryElsewhereDelay)
 		}
 	}
 }
@@ -86,9 +86,9 @@
 	case !routing.Keyed || route != nil && route.Public:
 		return nil
 	case routing.Workspace(j.call.Key) == nil:
-		return &rejection{status: http.StatusUnauthorized, reason: "the key was revoked"}
+		return &rejection{status: http.StatusUnauthorized, reason: "the key was taken away"}
 	case !r.keysFresh():
-		return &rejection{status: http.StatusServiceUnavailable, reason: "the known keys are too old", retryAfter: retryElsewhereDelay}
+		return &rejection{status: http.StatusServiceUnavailable, reason: "what is known of keys is too old", retryAfter: retryElsewhereDelay}
 	}
 	return nil
 }
--- a/internal/transport/relayer/metrics.go
+++ b/internal/transport/relayer/metrics.go
@@ -31,7 +31,7 @@
 			Name: "marigoldpoint_relayer_calls_total", Help: "Calls by outcome and status.",
 		}, []string{"outcome", "status"}),
 		duration: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "marigoldpoint_relayer_call_seconds", Help: "Duration of calls.",
+			Name: "marigoldpoint_relayer_call_seconds", Help: "Time of calls.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 13),
 		}),
 		firstEvent: prometheus.NewHistogram(prometheus.HistogramOpts{
@@ -39,23 +39,23 @@
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 12),
 		}),
 		failures: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_failed_sends_total", Help: "Attempts that did not answer their call, by service.",
+			Name: "marigoldpoint_relayer_failed_sends_total", Help: "Sendings that did not answer their call, by service.",
 		}, []string{labelService}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_sendings_total", Help: "Attempts by service and how they ended.",
+			Name: "marigoldpoint_relayer_sendings_total", Help: "Sendings by service and how they ended.",
 		}, []string{labelService, "end"}),
 		losses: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_losses_total", Help: "Incarnations of backend servers whose attempts broke, by their fate.",
+			Name: "marigoldpoint_relayer_losses_total", Help: "Lives of backend servers with which sendings broke, by what became of them.",
 		}, []string{labelService, "fate"}),
 		quarantined: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_quarantined_total", Help: "Calls refused because their request is quarantined, by service.",
+			Name: "marigoldpoint_relayer_quarantined_total", Help: "Calls refused since backend servers ended under their request, by service.",
 		}, []string{labelService}),
 		unattended: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "marigoldpoint_relayer_unattended_total", Help: "Calls sent without admission by a companion.",
+			Name: "marigoldpoint_relayer_unattended_total", Help: "Calls sent without their companion's admission.",
 		}),
 	}
 	m.quotas = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "marigoldpoint_relayer_quota_units_total", Help: "Units of calls with a quota, by workspace and decision.",
+		Name: "marigoldpoint_relayer_quota_units_total", Help: "Units of calls with a quota, by workspace and what became of them.",
 	}, []string{"workspace", "decision"})
 	if r != nil {
 		r.MustRegister(m.quotas)
--- a/internal/transport/relayer/quota.go
+++ b/internal/transport/relayer/quota.go
@@ -31,7 +31,7 @@
 				Dur("LevelAge", d.Age).Dur("RetryAfter", d.RetryAfter).Msg("over quota")
 			return j.refuse(http.StatusTooManyRequests, "over quota", d.RetryAfter)
 		case !r.settings.Control.AwaitReport(ctx):
-			return j.refuse(http.StatusServiceUnavailable, "the remaining quota is not known", r.settings.RetryAfter)
+			return j.refuse(http.StatusServiceUnavailable, "what is left of the quota is not known", r.settings.RetryAfter)
 		}
 	}
 }
--- a/internal/transport/relayer/run.go
+++ b/internal/transport/relayer/run.go
@@ -103,7 +103,7 @@
 		return false
 	case verdictNotRun:
 		if j.resumeFrom != "" && !j.repeatable() {
-			j.answerExhausted("no copy of the request's KV cache is available")
+			j.answerExhausted("no copy of the request's memory was left")
 			return false
 		}
 		j.resumeFrom = ""
@@ -136,7 +136,7 @@
 }
 
 // errTriedAll means that maxServersPerCall backend servers refused the call.
-const errTriedAll = errors.ConstError("the maximum number of backend servers refused the call")
+const errTriedAll = errors.ConstError("tried all that may take it")
 
 // choose selects a backend server, or for a resumed call takes the one with the copy.
 func (j *job) choose() error {
--- a/internal/transport/requester/backup.go
+++ b/internal/transport/requester/backup.go
@@ -118,7 +118,7 @@
 	i := importer{client: c, identity: identity}
 	for _, step := range importSteps(resources) {
 		if err := i.declare(ctx, step); err != nil {
-			return i.imported, errors.Annotatef(err, "the import is incomplete; repeat it with identity %s", identity)
+			return i.imported, errors.Annotatef(err, "the import broke off; begin it again with identity %s", identity)
 		}
 	}
 	return i.imported, nil
--- a/internal/transport/requester/client.go
+++ b/internal/transport/requester/client.go
@@ -120,7 +120,7 @@
 		return readRefusal(response)
 	}
 	if _, err := io.Copy(w, response.Body); err != nil && ctx.Err() == nil {
-		return errors.Annotate(err, "the watch was interrupted")
+		return errors.Annotate(err, "the watch broke off")
 	}
 	return nil
 }
--- a/internal/transport/streamer/assembler.go
+++ b/internal/transport/streamer/assembler.go
@@ -12,7 +12,7 @@
 const ErrEarlyLimit = errors.ConstError("too many bytes wait for a missing piece")
 
 // ErrInconsistentPieces means that two pieces of an answer contradict each other.
-const ErrInconsistentPieces = errors.ConstError("pieces of one answer are inconsistent")
+const ErrInconsistentPieces = errors.ConstError("pieces of one answer contradict each other")
 
 // Assembler puts the pieces of one answer in order. It is not safe for concurrent use.
 type Assembler struct {
--- a/internal/transport/streamer/buffer.go
+++ b/internal/transport/streamer/buffer.go
@@ -28,9 +28,9 @@
 	// ErrReplaced means that another reader was attached.
 	ErrReplaced = errors.ConstError("reader replaced")
 	// ErrAbandoned means that no entry acknowledged the answer for too long.
-	ErrAbandoned = errors.ConstError("no entry acknowledges the answer")
+	ErrAbandoned = errors.ConstError("nobody takes the answer")
 	// ErrTooManyBarred means that the maximum number of barred attempts is reached.
-	ErrTooManyBarred = errors.ConstError("too many barred attempts")
+	ErrTooManyBarred = errors.ConstError("too many attempts remembered")
 )
 
 // Defaults of Settings.
