--- a/internal/transport/subscriber/acknowledger.go
+++ b/internal/transport/subscriber/acknowledger.go
@@ -7,55 +7,54 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// urgentBatches is the number of deltas from which an acknowledgement leaves at
-// once: half a window, so that the control host need not wait.
-const urgentBatches = distributor.DefaultWindow / 2
+// immediateAckBatches is the number of unacknowledged batches from which an acknowledgement
+// is sent at once: half a window, so that the control host need not wait.
+const immediateAckBatches = distributor.DefaultWindow / 2
 
-// acknowledgements gathers those of a burst into one message.
+// acknowledgements combines the acknowledgements of a burst of deltas into one message.
 type acknowledgements struct {
 	// signal wakes the sending goroutine.
 	signal chan struct{}
 
 	mu sync.Mutex
-	// on is the connection whose deltas latest acknowledges, or nil where none
-	// waits; guarded by mu.
-	on     *messenger.Conn
+	// conn is the connection whose deltas latest acknowledges, or nil if none is pending;
+	// guarded by mu.
+	conn   *messenger.Conn
 	latest distributor.AcknowledgeRevision
-	// told is the number of batches acknowledged on the connection; guarded by
-	// mu.
-	told uint64
+	// ackedBatches is the number of batches acknowledged on the connection; guarded by mu.
+	ackedBatches uint64
 }
 
 func newAcknowledgements() *acknowledgements {
 	return &acknowledgements{signal: make(chan struct{}, 1)}
 }
 
-// add notes an acknowledgement, and reports whether it must leave at once.
-func (a *acknowledgements) add(on *messenger.Conn, ack distributor.AcknowledgeRevision) bool {
+// add records an acknowledgement, and reports whether it must be sent at once.
+func (a *acknowledgements) add(conn *messenger.Conn, ack distributor.AcknowledgeRevision) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if ack.Batches == 1 {
-		a.told = 0
+		a.ackedBatches = 0
 	}
-	a.on, a.latest = on, ack
+	a.conn, a.latest = conn, ack
 	select {
 	case a.signal <- struct{}{}:
 	default:
 	}
-	return ack.Batches-a.told >= urgentBatches
+	return ack.Batches-a.ackedBatches >= immediateAckBatches
 }
 
-// take returns the acknowledgement that waits, if there is one.
-func (a *acknowledgements) take() (on *messenger.Conn, ack distributor.AcknowledgeRevision) {
+// take returns the pending acknowledgement; conn is nil if there is none.
+func (a *acknowledgements) take() (conn *messenger.Conn, ack distributor.AcknowledgeRevision) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	on, a.on = a.on, nil
-	a.told = a.latest.Batches
-	return on, a.latest
+	conn, a.conn = a.conn, nil
+	a.ackedBatches = a.latest.Batches
+	return conn, a.latest
 }
 
-// acknowledge sends acknowledgements, at most one for each AcknowledgeInterval.
-func (c *Client) acknowledge() {
+// acknowledgeLoop sends acknowledgements, at most one per AcknowledgeInterval.
+func (c *Client) acknowledgeLoop() {
 	defer c.workers.Done()
 	for {
 		select {
@@ -70,10 +69,10 @@
 	}
 }
 
-// sendAcknowledgement sends the one that waits. One that is lost with its
-// connection is not missed: the next subscription tells the revision.
+// sendAcknowledgement sends the pending acknowledgement. One that is lost with its
+// connection need not be repeated, as the next subscription contains the revision.
 func (c *Client) sendAcknowledgement() {
-	if on, ack := c.acks.take(); on != nil {
-		_ = on.Notify(c.ctx, messenger.MethodApplied, ack)
+	if conn, ack := c.acks.take(); conn != nil {
+		_ = conn.Notify(c.ctx, messenger.MethodApplied, ack)
 	}
 }
--- a/internal/transport/subscriber/bounds.go
+++ b/internal/transport/subscriber/bounds.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// bounded returns a context that ends at the latest after CallTimeout where the
-// caller set no deadline.
-func (c *Client) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+// withCallTimeout returns a context that ends after CallTimeout if ctx has no deadline.
+func (c *Client) withCallTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, c.settings.CallTimeout)
 }
 
-// remaining returns the milliseconds that the other end may take: nine tenths of
-// the time until the context ends, or 0 where it does not. Were it all, a
-// refusal given at the end would come too late, and a change that certainly has
-// no effect would be of unknown outcome.
-func remaining(ctx context.Context) int64 {
+// remainingMillis returns the time limit for the control host in milliseconds: nine tenths
+// of the time until the context ends, or 0 if it has no deadline. With the full time, a
+// refusal at the end would arrive too late, and the outcome of a change that certainly has
+// no effect would be unknown.
+func remainingMillis(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
@@ -26,7 +25,7 @@
 	return max((time.Until(deadline) * 9 / 10).Milliseconds(), 1)
 }
 
-// pauseIn waits, and returns false when the context or the client ends.
+// pauseIn waits for d, and returns false when the context or the client ends.
 func (c *Client) pauseIn(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -40,10 +39,10 @@
 	}
 }
 
-// lastTry returns the time after which no further try begins: two thirds of the
-// time until the context ends. A try that the end cut short would leave the
-// outcome unknown, though all before it certainly had no effect.
-func lastTry(ctx context.Context) time.Time {
+// retryDeadline returns the time after which no further attempt is started: two thirds of
+// the time until the context ends. An attempt that is interrupted by the deadline would
+// make the outcome unknown although all earlier ones certainly had no effect.
+func retryDeadline(ctx context.Context) time.Time {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return time.Now().Add(DefaultCallTimeout)
--- a/internal/transport/subscriber/client.go
+++ b/internal/transport/subscriber/client.go
@@ -17,8 +17,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// Client is a node's end towards the control hosts. Its methods may be called
-// by several goroutines.
+// Client connects a node to the control hosts. It is safe for concurrent use.
 type Client struct {
 	settings Settings
 	members  *memberships
@@ -29,119 +28,120 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	workers sync.WaitGroup
-	// leave ends the present connection's use; its value says why.
-	leave chan string
-	// ask has a report sent at once.
-	ask chan struct{}
-	// applying lets one delta at a time change the replica: for a moment two
-	// connections can each bring one.
-	applying sync.Mutex
-	// formation is the number of the group that the replica is from; 0 until
-	// known. Only run uses it.
+	// leaveReason ends the use of the present connection; its value is the reason.
+	leaveReason chan string
+	// reportNow starts a report at once.
+	reportNow chan struct{}
+	// applyMu serializes changes of the replica: two connections may briefly deliver deltas
+	// at the same time.
+	applyMu sync.Mutex
+	// formation identifies the control group that the replica is from; 0 until known. Only
+	// run uses it.
 	formation uint64
 
 	mu sync.Mutex
 	// link is the connection in use, or nil; guarded by mu.
 	link *link
-	// hosts are the control hosts to choose from; guarded by mu.
+	// hosts are the known control hosts; guarded by mu.
 	hosts []configurer.ControlHost
-	// linked is closed and replaced when link changes; guarded by mu.
-	linked chan struct{}
+	// linkChanged is closed and replaced when link changes; guarded by mu.
+	linkChanged chan struct{}
 	// linkedAt is when link last changed; guarded by mu.
 	linkedAt time.Time
 	// lease is the configuration lease; guarded by mu.
 	lease distributor.Lease
-	// knowledge is when the node is known by its own question to have held all that was
-	// accepted; guarded by mu.
-	knowledge distributor.Lease
-	// renewed is closed and replaced when knowledge is extended or a report answered;
+	// confirmed is the lease that is extended only by answers to the node's own reports;
 	// guarded by mu.
-	renewed chan struct{}
-	// trusted is what LeaseValid said last, to record changes; guarded by mu.
-	trusted bool
-	// term is the newest leader's term heard of; guarded by mu.
+	confirmed distributor.Lease
+	// confirmation is closed and replaced when confirmed may have been extended or a report
+	// has been answered; guarded by mu.
+	confirmation chan struct{}
+	// lastLeaseValid is the validity of the lease at the last check, to record changes;
+	// guarded by mu.
+	lastLeaseValid bool
+	// term is the highest leader term received; guarded by mu.
 	term uint64
-	// onVoid and onDigest are the node's callbacks; guarded by mu.
-	onVoid   func(name string, epoch uint64)
-	onDigest func(registrar.Digest)
-	// told holds what onDigest was last told of each backend server; guarded by
-	// mu.
-	told map[string]registrar.ServerState
+	// onMembershipEnd and onDigest are the node's callbacks; guarded by mu.
+	onMembershipEnd func(name string, epoch uint64)
+	onDigest        func(registrar.Digest)
+	// reportedStates holds the last state of each backend server that was passed to
+	// onDigest; guarded by mu.
+	reportedStates map[string]registrar.ServerState
 }
 
-// link is one subscription over one connection.
+// link is a subscription over one connection.
 type link struct {
 	conn *messenger.Conn
 	host configurer.ControlHost
-	// assembler takes the deltas; used by the connection's reader alone.
+	// assembler assembles the deltas; used only by the connection's reader.
 	assembler distributor.Assembler
-	// board follows the host's digests; used by the connection's reader alone.
+	// board tracks the host's digests; used only by the connection's reader.
 	board *registrar.Board
-	// calls counts those under way. None begins once the link is not in use.
+	// calls counts the calls in flight. None starts once the link is no longer in use.
 	calls sync.WaitGroup
-	// retired tells that the link is used no more: what its host still sends is
-	// passed over.
+	// retired reports whether the link is no longer in use; messages of its host are then
+	// ignored.
 	retired atomic.Bool
 }
 
-// NewClient returns a client that connects until Close.
+// NewClient returns a client that keeps a connection until Close. It panics if the control
+// hosts, the index or the random source are missing.
 func NewClient(s Settings) *Client {
 	if s.Random == nil || s.Index == nil || len(s.Hosts) == 0 {
-		panic("subscriber: NewClient needs control hosts, an index and a random source")
+		panic("subscriber: settings need control hosts, an index and a random source")
 	}
 	s = s.withDefaults()
 	c := &Client{
-		settings: s,
-		members:  newMemberships(s.Now),
-		metrics:  newMetrics(s.Registerer),
-		acks:     newAcknowledgements(),
-		accounts: bucketer.NewAccounts(rand.New(rand.NewPCG(s.Random.Uint64(), s.Random.Uint64()))),
-		leave:    make(chan string, 1),
-		ask:      make(chan struct{}, 1),
-		renewed:  make(chan struct{}),
-		linked:   make(chan struct{}),
-		hosts:    s.Hosts,
-		lease:    distributor.Lease{Duration: s.ConfigurationLease},
-		told:     make(map[string]registrar.ServerState),
+		settings:       s,
+		members:        newMemberships(s.Now),
+		metrics:        newMetrics(s.Registerer),
+		acks:           newAcknowledgements(),
+		accounts:       bucketer.NewAccounts(rand.New(rand.NewPCG(s.Random.Uint64(), s.Random.Uint64()))),
+		leaveReason:    make(chan string, 1),
+		reportNow:      make(chan struct{}, 1),
+		confirmation:   make(chan struct{}),
+		linkChanged:    make(chan struct{}),
+		hosts:          s.Hosts,
+		lease:          distributor.Lease{Duration: s.ConfigurationLease},
+		reportedStates: make(map[string]registrar.ServerState),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.workers.Add(5)
-	go c.reports()
+	go c.reportLoop()
 	go c.run()
-	go c.watch()
-	go c.renewals()
-	go c.acknowledge()
+	go c.watchLease()
+	go c.renewLoop()
+	go c.acknowledgeLoop()
 	return c
 }
 
-// OnMembershipEnd has f called when a membership has ended though its companion renewed
-// it. F must be quick.
+// OnMembershipEnd registers f, which is called when a membership has ended although its
+// companion renewed it. F must not block.
 func (c *Client) OnMembershipEnd(f func(name string, epoch uint64)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.onVoid = f
+	c.onMembershipEnd = f
 }
 
-// OnDigest has f called with what changed of the backend servers' residency and
-// load. F must be quick. Changes come in order, and older ones never after newer
-// ones.
+// OnDigest registers f, which is called with the changes of the backend servers' residency
+// and load. F must not block. Changes are passed in order; an older state never follows a
+// newer one.
 func (c *Client) OnDigest(f func(registrar.Digest)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onDigest = f
 }
 
-// LeaseValid reports whether the node may trust the configuration that it holds:
-// it was known, less than the configuration lease ago, to hold all that was
-// accepted.
+// LeaseValid reports whether the node may trust its replica of the configuration, that is,
+// whether the replica was known to be complete less than a configuration lease ago.
 func (c *Client) LeaseValid() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lease.Valid(c.settings.Now())
 }
 
-// Age returns how long ago the node was known to hold all that was accepted, and
-// false where it never was.
+// Age returns the time since the replica was last known to contain all accepted changes,
+// and false if it never was.
 func (c *Client) Age() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +158,7 @@
 	return c.link.host.Address
 }
 
-// SetHosts replaces the control hosts to choose from. The connection in use stays.
+// SetHosts replaces the known control hosts. The connection in use is kept.
 func (c *Client) SetHosts(hosts []configurer.ControlHost) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,14 +171,15 @@
 	return c.hosts
 }
 
-// Close says goodbye, ends the connection and waits.
+// Close notifies the control host, closes the connection and waits for the client's
+// goroutines.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	l := c.link
 	c.mu.Unlock()
 	if l != nil {
-		// The control host forgets a node that says goodbye at once; one that
-		// does not is listed as missing for a while.
+		// The control host removes a node at once that says goodbye; one that does not
+		// stays listed as missing for a while.
 		ctx, cancel := context.WithTimeout(c.ctx, c.settings.DialTimeout)
 		_ = l.conn.Notify(ctx, messenger.MethodGoodbye, nil)
 		cancel()
@@ -188,22 +189,22 @@
 	return nil
 }
 
-// setLink takes a connection into use, or nil.
+// setLink sets the connection in use; nil means none.
 func (c *Client) setLink(l *link) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.link, c.linkedAt = l, c.settings.Now()
-	close(c.linked)
-	c.linked = make(chan struct{})
+	close(c.linkChanged)
+	c.linkChanged = make(chan struct{})
 	c.lease.Forget()
 }
 
-// current returns the connection in use, waiting for one if there is none. The
-// caller ends its use by done.
-func (c *Client) current(ctx context.Context) (conn *messenger.Conn, done func(), err error) {
+// acquireConn returns the connection in use, and waits for one if there is none. The caller
+// must call done after use.
+func (c *Client) acquireConn(ctx context.Context) (conn *messenger.Conn, done func(), err error) {
 	for {
 		c.mu.Lock()
-		l, changed := c.link, c.linked
+		l, changed := c.link, c.linkChanged
 		if l != nil && !l.conn.Ended() {
 			l.calls.Add(1)
 			c.mu.Unlock()
@@ -215,18 +216,18 @@
 		case <-ctx.Done():
 			return nil, nil, errors.Trace(ctx.Err())
 		case <-c.ctx.Done():
-			return nil, nil, errors.New("the client is closed")
+			return nil, nil, errors.New("client is closed")
 		}
 	}
 }
 
-// watch records when the configuration lease is lost or regained, and leaves a
-// control host whose own knowledge has grown old while the lease runs out:
-// another host may still be in contact with a leader. It stays for half a lease
-// at least, so that nodes don't hop about while there is no leader at all.
-func (c *Client) watch() {
+// watchLease records the loss and recovery of the configuration lease, and leaves a control
+// host whose own state has become outdated before the lease expires, since another host may
+// still be in contact with a leader. It stays with a host for at least half a lease, so
+// that nodes don't keep changing hosts while there is no leader at all.
+func (c *Client) watchLease() {
 	defer c.workers.Done()
-	ticker := time.NewTicker(c.settings.ConfigurationLease / watchParts)
+	ticker := time.NewTicker(c.settings.ConfigurationLease / leaseChecks)
 	defer ticker.Stop()
 	for {
 		select {
@@ -237,16 +238,16 @@
 		now := c.settings.Now()
 		c.mu.Lock()
 		valid := c.lease.Valid(now)
-		changed := valid != c.trusted
-		c.trusted = valid
+		changed := valid != c.lastLeaseValid
+		c.lastLeaseValid = valid
 		age, known := c.lease.Age(now)
-		asked, ever := c.knowledge.Age(now)
-		tried := c.link != nil && now.Sub(c.linkedAt) > c.settings.ConfigurationLease/2
+		confirmedAge, isConfirmed := c.confirmed.Age(now)
+		settled := c.link != nil && now.Sub(c.linkedAt) > c.settings.ConfigurationLease/2
 		c.mu.Unlock()
-		c.measure(valid, age, known)
-		c.metrics.asked.Set(-1)
-		if ever {
-			c.metrics.asked.Set(asked.Seconds())
+		c.updateGauges(valid, age, known)
+		c.metrics.confirmedAge.Set(-1)
+		if isConfirmed {
+			c.metrics.confirmedAge.Set(confirmedAge.Seconds())
 		}
 		if changed {
 			kind := recorder.KindConfigurationLeaseLost
@@ -255,14 +256,14 @@
 			}
 			c.settings.Recorder.Record(recorder.Event{Kind: kind, Revision: c.settings.Index.Revision()})
 		}
-		if tried && known && age > c.settings.ConfigurationLease/2 {
-			c.leaveHost("its knowledge is old")
+		if settled && known && age > c.settings.ConfigurationLease/2 {
+			c.leaveHost("its state is outdated")
 		}
 	}
 }
 
-// measure sets the gauges of what the node knows.
-func (c *Client) measure(valid bool, age time.Duration, known bool) {
+// updateGauges sets the gauges of the node's replica.
+func (c *Client) updateGauges(valid bool, age time.Duration, known bool) {
 	c.metrics.revision.Set(float64(c.settings.Index.Revision()))
 	c.metrics.trusted.Set(0)
 	if valid {
@@ -274,14 +275,13 @@
 	}
 }
 
-// watchParts is the part of the configuration lease, as its divisor, between two
-// looks at it.
-const watchParts = 8
+// leaseChecks is the number of checks per configuration lease.
+const leaseChecks = 8
 
-// leaveHost has the client go to another control host.
-func (c *Client) leaveHost(why string) {
+// leaveHost makes the client change to another control host.
+func (c *Client) leaveHost(reason string) {
 	select {
-	case c.leave <- why:
+	case c.leaveReason <- reason:
 	default:
 	}
 }
--- a/internal/transport/subscriber/connection.go
+++ b/internal/transport/subscriber/connection.go
@@ -13,26 +13,26 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// run keeps a connection to some control host.
+// run keeps a connection to one of the control hosts.
 func (c *Client) run() {
 	defer c.workers.Done()
 	avoid := ""
 	pause := c.settings.RetryInterval
 	for c.ctx.Err() == nil {
 		connected := false
-		for _, h := range preferred(c.knownHosts(), c.settings.Region, c.settings.FailureDomain, avoid, c.settings.Random) {
+		for _, h := range orderHosts(c.knownHosts(), c.settings.Region, c.settings.FailureDomain, avoid, c.settings.Random) {
 			l, err := c.connect(h)
 			if err != nil {
-				c.settings.Log.Debug().Err(err).Str("Host", h.Address).Msg("no subscription")
+				c.settings.Log.Debug().Err(err).Str("Host", h.Address).Msg("subscription failed")
 				if c.ctx.Err() != nil {
 					return
 				}
 				continue
 			}
 			connected, pause = true, c.settings.RetryInterval
-			why := c.use(l)
+			reason := c.use(l)
 			avoid = ""
-			if why != "" {
+			if reason != "" {
 				avoid = h.Address
 			}
 			break
@@ -40,8 +40,8 @@
 		if connected {
 			continue
 		}
-		// After the loss of all control hosts the nodes must not come back in
-		// step.
+		// After the loss of all control hosts the nodes must not reconnect at the same
+		// time.
 		if !c.pause(time.Duration(float64(pause) * (0.5 + c.settings.Random.Float64()))) {
 			return
 		}
@@ -49,7 +49,7 @@
 	}
 }
 
-// connect dials a control host and subscribes.
+// connect dials a control host and subscribes to it.
 func (c *Client) connect(h configurer.ControlHost) (*link, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.settings.DialTimeout)
 	defer cancel()
@@ -76,7 +76,7 @@
 		c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindFault, Detail: err.Error()})
 	}
 	if err != nil {
-		// The refusal tells more than an error of closing.
+		// The error of the subscription is more useful than that of Close.
 		_ = l.conn.Close()
 		return nil, errors.Annotatef(err, "subscribe at %s", h.Address)
 	}
@@ -90,46 +90,46 @@
 	return l, nil
 }
 
-// use serves one connection until it ends, and returns why it was left; empty
-// where it broke or the client closes.
+// use serves a connection until it ends, and returns the reason for leaving its host; empty
+// if the connection failed, the client closes, or a nearer host is to be tried.
 func (c *Client) use(l *link) string {
 	select {
-	case <-c.leave:
+	case <-c.leaveReason:
 	default:
 	}
 	c.setLink(l)
-	c.members.again()
+	c.members.renewAll()
 	defer func() {
 		c.setLink(nil)
 		l.retired.Store(true)
-		c.workers.Go(func() { c.retire(l) })
+		c.workers.Go(func() { c.closeWhenIdle(l) })
 	}()
-	var comeBack <-chan time.Time
+	var returnTimer <-chan time.Time
 	if tierOf(l.host, c.settings.Region, c.settings.FailureDomain) != c.bestTier() {
 		jittered := time.Duration(float64(c.settings.ReturnInterval) * (0.5 + c.settings.Random.Float64()))
 		timer := time.NewTimer(jittered)
 		defer timer.Stop()
-		comeBack = timer.C
+		returnTimer = timer.C
 	}
 	select {
 	case <-c.ctx.Done():
 		return ""
 	case <-l.conn.Done():
 		return ""
-	case why := <-c.leave:
+	case reason := <-c.leaveReason:
 		c.metrics.left.Inc()
-		c.settings.Log.Info().Str("Host", l.host.Address).Str("Reason", why).Msg("leaving a control host")
-		return why
-	case <-comeBack:
-		// Try the hosts nearby again; the others are still in the order.
+		c.settings.Log.Info().Str("Host", l.host.Address).Str("Reason", reason).Msg("leaving a control host")
+		return reason
+	case <-returnTimer:
+		// Try the nearer hosts again; the others follow in the order.
 		return ""
 	}
 }
 
-// retire closes a connection that is used no more, once its calls have ended. A
-// change that was sent over it would else be of unknown outcome, although its
-// control host only stops and answers it.
-func (c *Client) retire(l *link) {
+// closeWhenIdle closes a connection that is no longer in use once its calls have ended.
+// Closing it earlier would make the outcome of a change unknown although its control host,
+// which is only stopping, still answers it.
+func (c *Client) closeWhenIdle(l *link) {
 	idle := make(chan struct{})
 	go func() {
 		l.calls.Wait()
@@ -157,7 +157,7 @@
 	return best
 }
 
-// pause waits, and returns false when the client closes.
+// pause waits for d, and returns false when the client closes.
 func (c *Client) pause(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/transport/subscriber/errors.go
+++ b/internal/transport/subscriber/errors.go
@@ -8,29 +8,29 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// The errors of changes.
+// The errors of calls.
 const (
-	// ErrNotAccepted tells that a change certainly has no effect.
+	// ErrNotAccepted means that a change certainly has no effect.
 	ErrNotAccepted = errors.ConstError("not accepted")
-	// ErrOutcomeUnknown tells that a change may have, or may still take, effect.
+	// ErrOutcomeUnknown means that a change may have taken effect, or may still do so.
 	ErrOutcomeUnknown = errors.ConstError("outcome unknown")
-	// ErrStale tells that a membership was replaced by a later one.
+	// ErrStale means that a membership was replaced by a later one.
 	ErrStale = errors.ConstError("a later membership has begun")
-	// ErrCompacted tells that the history no longer reaches back.
+	// ErrCompacted means that the history no longer contains the requested revision.
 	ErrCompacted = errors.ConstError("the history no longer reaches back")
-	// ErrUnavailable tells that no control host could answer.
+	// ErrUnavailable means that no control host could answer.
 	ErrUnavailable = errors.ConstError("no control host can answer")
 )
 
-// effect tells what is known of a failed call.
+// effect is the effect that a failed call may have had.
 type effect int
 
 const (
-	// effectNone means that the call had none, and another try may succeed.
+	// effectNone means that the call had no effect, and that another attempt may succeed.
 	effectNone effect = iota
-	// effectRefused means that the call had none, and will be refused again.
+	// effectRefused means that the call had no effect, and would be refused again.
 	effectRefused
-	// effectUnknown means that the call may have had, or have yet, an effect.
+	// effectUnknown means that the call may have had an effect, or may still have one.
 	effectUnknown
 )
 
--- a/internal/transport/subscriber/member.go
+++ b/internal/transport/subscriber/member.go
@@ -10,8 +10,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Join begins a membership, or takes up the one of the same incarnation behind
-// the same address again.
+// Join begins a membership, or resumes that of the same incarnation and address. Its errors
+// are those of Propose, and ErrStale.
 func (c *Client) Join(ctx context.Context, name string, m storer.MemberSpec) (registrar.Lease, error) {
 	var lease registrar.Lease
 	err := c.change(ctx, true, func(ctx context.Context, conn *messenger.Conn) error {
@@ -20,11 +20,10 @@
 	return lease, errors.Annotatef(err, "join %s", name)
 }
 
-// Leave marks a membership as leaving, or ends it. It succeeds where a later one
-// has begun.
+// Leave marks a membership as leaving, or ends it. It succeeds if a later one has begun.
 func (c *Client) Leave(ctx context.Context, name string, epoch uint64, ended bool) error {
 	if ended {
-		c.members.end(name, epoch)
+		c.members.remove(name, epoch)
 	}
 	err := c.change(ctx, true, func(ctx context.Context, conn *messenger.Conn) error {
 		return conn.Call(ctx, messenger.MethodLeave, registrar.LeaveRequest{Name: name, Epoch: epoch, Ended: ended}, nil)
@@ -32,12 +31,11 @@
 	return errors.Annotatef(err, "leave %s", name)
 }
 
-// Renew renews a membership with the next heartbeat, which leaves at once. It
-// does not block.
+// Renew queues a renewal of a membership, which is sent at once. It does not block.
 func (c *Client) Renew(r registrar.Renewal) { c.members.renew(r) }
 
-// renewals sends the heartbeats.
-func (c *Client) renewals() {
+// renewLoop sends the heartbeats.
+func (c *Client) renewLoop() {
 	defer c.workers.Done()
 	for {
 		select {
@@ -45,7 +43,7 @@
 			return
 		case <-c.members.signal:
 		}
-		conn, done, err := c.current(c.ctx)
+		conn, done, err := c.acquireConn(c.ctx)
 		if err != nil {
 			return
 		}
@@ -54,7 +52,7 @@
 		c.mu.Unlock()
 		for _, h := range c.members.take(conn, term) {
 			if err := conn.Notify(c.ctx, messenger.MethodRenew, h); err != nil {
-				// The next connection begins with the whole.
+				// The next connection starts with the full state.
 				break
 			}
 		}
--- a/internal/transport/subscriber/memberships.go
+++ b/internal/transport/subscriber/memberships.go
@@ -11,29 +11,27 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// memberships holds what a companion renews: its memberships, their residency
-// and load, and the permits it holds.
+// memberships holds what the heartbeats of a companion contain: its memberships, their
+// residency and load, and the permits in use.
 type memberships struct {
 	// signal wakes the sending goroutine.
 	signal chan struct{}
 
 	mu sync.Mutex
-	// renewals holds the latest renewal of each name that was not sent yet;
-	// guarded by mu.
+	// renewals holds the latest unsent renewal by name; guarded by mu.
 	renewals map[string]registrar.Renewal
-	// states holds the latest state of each name; guarded by mu.
+	// states holds the latest state by name; guarded by mu.
 	states map[string]registrar.ServerState
-	// sent holds the state of each name that was told over sentOn; guarded by
-	// mu. Another connection begins with the whole: what was written to a
-	// connection that broke may never have arrived.
-	sent   map[string]registrar.ServerState
-	sentOn *messenger.Conn
-	// permits holds the numbers of the permits in use, by backend server;
-	// guarded by mu.
+	// sent holds the last state by name that was sent over sentConn; guarded by mu. On
+	// another connection the full state is sent first, since what was written to a failed
+	// connection may not have arrived.
+	sent     map[string]registrar.ServerState
+	sentConn *messenger.Conn
+	// permits holds the numbers of the permits in use, by backend server; guarded by mu.
 	permits map[string][]uint64
-	// sequence numbers states and heartbeats; guarded by mu. It begins at the
-	// wall clock, so that a companion that restarts beside a living backend
-	// server, and so keeps its epoch, goes on above its predecessor.
+	// sequence numbers states and heartbeats; guarded by mu. It starts at the wall clock in
+	// microseconds, so that the numbers of a companion that restarts while its backend
+	// server runs, and so keeps its epoch, are higher than its predecessor's.
 	sequence uint64
 }
 
@@ -55,7 +53,7 @@
 	}
 }
 
-// renew notes a renewal; one that waits for the same name is replaced.
+// renew queues a renewal, replacing an unsent one of the same name.
 func (m *memberships) renew(r registrar.Renewal) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,9 +61,9 @@
 	m.wake()
 }
 
-// again has every membership renewed at once with what was last told of it: the
-// control host is another one, or a new leader must hear of the permits.
-func (m *memberships) again() {
+// renewAll queues a renewal of every membership with its latest state: the control host has
+// changed, or a new leader needs the permits in use.
+func (m *memberships) renewAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, s := range m.states {
@@ -76,9 +74,9 @@
 	m.wake()
 }
 
-// end forgets a membership, and returns false where it is not known: it was
+// remove deletes a membership, and returns false if there is none of this epoch: it was
 // replaced already.
-func (m *memberships) end(name string, epoch uint64) bool {
+func (m *memberships) remove(name string, epoch uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s, known := m.states[name]
@@ -92,8 +90,8 @@
 	return true
 }
 
-// hold notes that a permit is in use.
-func (m *memberships) hold(g permitter.Grant) {
+// addPermit records that a permit is in use.
+func (m *memberships) addPermit(g permitter.Grant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !slices.Contains(m.permits[g.Companion], g.Number) {
@@ -101,19 +99,20 @@
 	}
 }
 
-// release notes that a permit is in use no longer.
-func (m *memberships) release(g permitter.Grant) {
+// removePermit records that a permit is no longer in use.
+func (m *memberships) removePermit(g permitter.Grant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.permits[g.Companion] = slices.DeleteFunc(m.permits[g.Companion], func(n uint64) bool { return n == g.Number })
 }
 
-// take returns the heartbeats to send over a connection, by name.
-func (m *memberships) take(on *messenger.Conn, term uint64) []registrar.Heartbeat {
+// take returns the heartbeats to send over a connection, sorted by name, and clears the
+// queue.
+func (m *memberships) take(conn *messenger.Conn, term uint64) []registrar.Heartbeat {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.sentOn != on {
-		m.sentOn = on
+	if m.sentConn != conn {
+		m.sentConn = conn
 		clear(m.sent)
 	}
 	var beats []registrar.Heartbeat
@@ -125,10 +124,10 @@
 		h := registrar.Heartbeat{
 			Name: name, Epoch: r.Epoch, Term: term, Sequence: m.sequence, Permits: slices.Clone(m.permits[name]),
 		}
-		// A busy backend server's load differs at each heartbeat. Told exactly, it
-		// would travel twice a second to its control host and on to all the others,
-		// none of which passes on more than its level.
-		if sent, told := m.sent[name]; !told || !state.SameAs(sent) {
+		// A busy backend server's load differs at each heartbeat. If every difference were
+		// reported, it would be sent twice a second to its control host and from there to
+		// all the others, which pass on only its level.
+		if sent, known := m.sent[name]; !known || !state.SameAs(sent) {
 			change := state.ChangeFrom(sent)
 			h.Report = &change
 			m.sent[name] = state
--- a/internal/transport/subscriber/metrics.go
+++ b/internal/transport/subscriber/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are a node's, of its replica and its control host.
+// metrics are the metrics of a node's replica and control connection.
 type metrics struct {
 	revision    prometheus.Gauge
 	age         prometheus.Gauge
@@ -13,7 +13,7 @@
 
 	reports       prometheus.Counter
 	reportsFailed prometheus.Counter
-	asked         prometheus.Gauge
+	confirmedAge  prometheus.Gauge
 }
 
 const namespace = "marigoldpoint_node"
@@ -38,9 +38,9 @@
 	}
 	m.reports = counter("reports_total", "Reports of quotas and keys that control answered.")
 	m.reportsFailed = counter("reports_failed_total", "Reports of quotas and keys without an answer; they are told again.")
-	m.asked = gauge("asked_age_seconds", "Time since this node last asked what was accepted and held it; -1 for never. Keys are trusted by it.")
+	m.confirmedAge = gauge("asked_age_seconds", "Time since this node last asked what was accepted and held it; -1 for never. Keys are trusted by it.")
 	if r != nil {
-		r.MustRegister(m.reports, m.reportsFailed, m.asked)
+		r.MustRegister(m.reports, m.reportsFailed, m.confirmedAge)
 		r.MustRegister(m.revision, m.age, m.trusted, m.connections, m.left, m.permitWait)
 	}
 	return m
--- a/internal/transport/subscriber/permit.go
+++ b/internal/transport/subscriber/permit.go
@@ -9,60 +9,59 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// RequestPermit waits for the permit to load a version until the context ends,
-// or CallTimeout where it has no deadline. A permit that was granted must be
-// given back by FinishPermit. ErrUnavailable tells that no permit was granted.
+// RequestPermit waits for the permit to load a version until the context ends, or for
+// CallTimeout if it has no deadline. The caller must return the permit by FinishPermit.
+// ErrUnavailable means that no permit was granted.
 func (c *Client) RequestPermit(ctx context.Context, r permitter.Request) (permitter.Grant, error) {
-	ctx, cancel := c.bounded(ctx)
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
-	asked := c.settings.Now()
+	requestedAt := c.settings.Now()
 	for {
-		conn, done, err := c.current(ctx)
+		conn, done, err := c.acquireConn(ctx)
 		if err != nil {
 			return permitter.Grant{}, errors.Annotatef(ErrUnavailable, "%v", err)
 		}
 		var g permitter.Grant
-		err = conn.Call(ctx, messenger.MethodRequestPermit, permitter.Ask{Request: r, TimeoutMillis: remaining(ctx)}, &g)
+		err = conn.Call(ctx, messenger.MethodRequestPermit, permitter.Ask{Request: r, TimeoutMillis: remainingMillis(ctx)}, &g)
 		done()
-		if err == nil && c.takePermit(g) {
-			c.metrics.permitWait.Observe(c.settings.Now().Sub(asked).Seconds())
+		if err == nil && c.acceptPermit(g) {
+			c.metrics.permitWait.Observe(c.settings.Now().Sub(requestedAt).Seconds())
 			return g, nil
 		}
 		if ctx.Err() != nil || effectOf(err) == effectRefused || !c.pauseIn(ctx, c.settings.RetryInterval) {
-			// The answer may be on its way: the permit goes back unused.
-			c.finish(permitter.Finish{Companion: r.Companion, Version: r.Version})
+			// A grant may be on its way; return it unused.
+			c.sendFinish(permitter.Finish{Companion: r.Companion, Version: r.Version})
 			return permitter.Grant{}, errors.Annotatef(ErrUnavailable, "%v", err)
 		}
 	}
 }
 
-// takePermit takes a permit into use. One of an older leader than the newest
-// that the client has heard of is not: the new leader was told, or will be, that
-// no such permit is in use.
-func (c *Client) takePermit(g permitter.Grant) bool {
+// acceptPermit marks a permit as in use. It returns false for a permit of a leader older
+// than the newest known one: the new leader was told, or will be told by the heartbeats,
+// that no such permit is in use.
+func (c *Client) acceptPermit(g permitter.Grant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if permitter.Term(g.Number) < c.term {
 		return false
 	}
-	c.members.hold(g)
+	c.members.addPermit(g)
 	return true
 }
 
-// FinishPermit gives a permit back. It does not block.
+// FinishPermit returns a permit. It does not block.
 func (c *Client) FinishPermit(g permitter.Grant) {
-	c.members.release(g)
-	c.finish(permitter.Finish{Number: g.Number, Companion: g.Companion, Version: g.Version})
+	c.members.removePermit(g)
+	c.sendFinish(permitter.Finish{Number: g.Number, Companion: g.Companion, Version: g.Version})
 }
 
-func (c *Client) finish(f permitter.Finish) {
+func (c *Client) sendFinish(f permitter.Finish) {
 	c.mu.Lock()
 	l := c.link
 	c.mu.Unlock()
 	if l == nil {
 		return
 	}
-	// A finish that is lost is made good by the heartbeats, which list the
-	// permits in use.
+	// If this message is lost, the heartbeats make up for it: they list the permits in use.
 	_ = l.conn.Notify(c.ctx, messenger.MethodFinishPermit, f)
 }
--- a/internal/transport/subscriber/preference.go
+++ b/internal/transport/subscriber/preference.go
@@ -8,7 +8,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// The tiers of control hosts, the nearest first.
+// The tiers of control hosts, nearest first.
 const (
 	tierDomain = iota
 	tierRegion
@@ -26,10 +26,10 @@
 	}
 }
 
-// preferred returns the control hosts in the order in which a node tries them:
-// by tier, and at random within one, so that the nodes of a failure domain that
-// lost its control host spread over the others. The host to avoid comes last.
-func preferred(hosts []configurer.ControlHost, region, domain, avoid string, random *rand.Rand) []configurer.ControlHost {
+// orderHosts returns the control hosts in the order in which a node tries them: by tier,
+// and at random within a tier, so that the nodes of a failure domain that has lost its
+// control host spread over the others. The host to avoid comes last.
+func orderHosts(hosts []configurer.ControlHost, region, domain, avoid string, random *rand.Rand) []configurer.ControlHost {
 	order := slices.Clone(hosts)
 	random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	rank := func(h configurer.ControlHost) int {
--- a/internal/transport/subscriber/proposer.go
+++ b/internal/transport/subscriber/proposer.go
@@ -11,24 +11,24 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Propose submits a change and returns the store's answer to it. It tries again
-// while the change certainly has no effect, or where sending it twice is safe.
-// Its errors are ErrNotAccepted and ErrOutcomeUnknown.
+// Propose submits a change and returns the store's answer. It retries while the change
+// certainly has no effect, or if it is idempotent. Its errors are ErrNotAccepted and
+// ErrOutcomeUnknown.
 func (c *Client) Propose(ctx context.Context, e storer.Envelope) (storer.Result, error) {
 	data, err := storer.Encode(e)
 	if err != nil {
 		return storer.Result{}, errors.Annotatef(ErrNotAccepted, "%v", err)
 	}
 	var p distributor.Proposed
-	err = c.change(ctx, repeatable(e), func(ctx context.Context, conn *messenger.Conn) error {
-		return conn.Call(ctx, messenger.MethodPropose, distributor.Propose{Envelope: data, TimeoutMillis: remaining(ctx)}, &p)
+	err = c.change(ctx, idempotent(e), func(ctx context.Context, conn *messenger.Conn) error {
+		return conn.Call(ctx, messenger.MethodPropose, distributor.Propose{Envelope: data, TimeoutMillis: remainingMillis(ctx)}, &p)
 	})
 	return p.Result, err
 }
 
-// repeatable reports whether a change may be sent twice: the store gives the
-// first answer again by its key, or the command itself leads to the same state.
-func repeatable(e storer.Envelope) bool {
+// idempotent reports whether a change may be sent twice: the store repeats its first answer
+// by the idempotency key, or the command itself leads to the same state.
+func idempotent(e storer.Envelope) bool {
 	if e.IdempotencyKey != "" {
 		return true
 	}
@@ -41,16 +41,16 @@
 	}
 }
 
-// change calls a control host until the call succeeds, the context ends, or it
-// is not known whether it took effect and it may not be sent twice.
-func (c *Client) change(ctx context.Context, repeatable bool, call func(ctx context.Context, conn *messenger.Conn) error) error {
-	ctx, cancel := c.bounded(ctx)
+// change calls a control host until the call succeeds, the context ends, or the outcome is
+// unknown and the call is not idempotent.
+func (c *Client) change(ctx context.Context, idempotent bool, call func(ctx context.Context, conn *messenger.Conn) error) error {
+	ctx, cancel := c.withCallTimeout(ctx)
 	defer cancel()
-	enough := lastTry(ctx)
+	lastAttempt := retryDeadline(ctx)
 	unknown := false
 	var last error
 	for {
-		conn, done, err := c.current(ctx)
+		conn, done, err := c.acquireConn(ctx)
 		if err != nil {
 			if last == nil {
 				last = err
@@ -71,19 +71,19 @@
 			return outcome(unknown, err)
 		case effectUnknown:
 			unknown = true
-			if !repeatable {
+			if !idempotent {
 				return outcome(unknown, err)
 			}
 		case effectNone:
 		}
-		if ctx.Err() != nil || time.Now().After(enough) || !c.pauseIn(ctx, c.settings.RetryInterval) {
+		if ctx.Err() != nil || time.Now().After(lastAttempt) || !c.pauseIn(ctx, c.settings.RetryInterval) {
 			break
 		}
 	}
 	return outcome(unknown, last)
 }
 
-// outcome names the error by what is known of the change's effect.
+// outcome wraps an error by the known effect of the change.
 func outcome(unknown bool, err error) error {
 	if unknown {
 		return errors.Annotatef(ErrOutcomeUnknown, "%v", err)
--- a/internal/transport/subscriber/receiver.go
+++ b/internal/transport/subscriber/receiver.go
@@ -12,13 +12,13 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// receiver handles what a control host sends over one connection.
+// receiver handles the messages of a control host over one connection.
 type receiver struct {
 	client *Client
 	link   *link
 }
 
-// Handle serves one notification. They come one at a time, in order.
+// Handle serves one notification. Notifications are handled one at a time, in order.
 func (r receiver) Handle(_ context.Context, conn *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
 	if r.link.retired.Load() {
 		return nil, nil
@@ -29,55 +29,55 @@
 		if err := messenger.Decode(params, &p); err != nil {
 			return nil, err
 		}
-		return nil, r.delta(conn, p)
+		return nil, r.handleDelta(conn, p)
 	case messenger.MethodPulse:
 		var p distributor.Pulse
 		if err := messenger.Decode(params, &p); err != nil {
 			return nil, err
 		}
-		r.client.pulse(p)
+		r.client.handlePulse(p)
 	case messenger.MethodDigest:
 		var b registrar.DigestBatch
 		if err := messenger.Decode(params, &b); err != nil {
 			return nil, err
 		}
-		r.digest(b)
+		r.handleDigest(b)
 	case messenger.MethodGoodbye:
-		r.client.leaveHost("it stops")
+		r.client.leaveHost("it is stopping")
 	case messenger.MethodVoid:
 		var v registrar.Void
 		if err := messenger.Decode(params, &v); err != nil {
 			return nil, err
 		}
-		r.client.void(v)
+		r.client.handleVoid(v)
 	default:
 		return nil, messenger.NewRefusal(messenger.ReasonUnsupported, string(method))
 	}
 	return nil, nil
 }
 
-// delta applies a delta and acknowledges it. A subscription with a gap is
-// useless: the client begins a new one.
-func (r receiver) delta(conn *messenger.Conn, p distributor.Packed) error {
+// handleDelta applies a delta and queues its acknowledgement. After a gap the subscription
+// can't be used, and the client starts a new one.
+func (r receiver) handleDelta(conn *messenger.Conn, p distributor.Packed) error {
 	c := r.client
 	d, err := p.Unpack()
 	if err != nil {
-		c.leaveHost("it sent a delta that can't be read")
+		c.leaveHost("it sent a malformed delta")
 		return errors.Trace(err)
 	}
-	c.applying.Lock()
+	c.applyMu.Lock()
 	before := c.settings.Index.Revision()
 	a, err := r.link.assembler.Take(c.settings.Index, d)
-	c.applying.Unlock()
+	c.applyMu.Unlock()
 	if err != nil {
 		c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindFault, Revision: d.UpTo, Detail: err.Error()})
-		c.leaveHost("its delta does not fit")
+		c.leaveHost("its delta does not match the replica")
 		return err
 	}
 	c.mu.Lock()
 	c.lease.Applied(a.Revision)
-	c.knowledge.Applied(a.Revision)
-	c.renew()
+	c.confirmed.Applied(a.Revision)
+	c.signalConfirmation()
 	c.mu.Unlock()
 	if a.Revision > before {
 		c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindConfigurationApplied, Revision: a.Revision})
@@ -88,11 +88,11 @@
 	return nil
 }
 
-func (c *Client) pulse(p distributor.Pulse) {
+func (c *Client) handlePulse(p distributor.Pulse) {
 	held := c.settings.Index.Revision()
 	c.mu.Lock()
-	// A companion's replica moves only with what it needs, and its host sends
-	// the pulse after that: it holds the pulse's revision.
+	// A companion's replica advances only with the changes in its scope, and its host sends
+	// the pulse after these, so the replica has the pulse's revision.
 	if c.settings.Scope == distributor.ScopeCompanion {
 		held = max(held, p.Revision)
 	}
@@ -101,25 +101,24 @@
 	c.term = max(c.term, p.Term)
 	c.mu.Unlock()
 	if newTerm {
-		// A new leader grants no load permit until it has heard what each
-		// companion holds.
-		c.members.again()
+		// A new leader grants no load permit until each companion has reported its permits.
+		c.members.renewAll()
 	}
 }
 
-// digest follows the host's board and tells the node what is newer than what it
-// was told before.
-func (r receiver) digest(b registrar.DigestBatch) {
+// handleDigest applies a digest to the host's board and passes the states that are newer
+// than those passed before to the node's callback.
+func (r receiver) handleDigest(b registrar.DigestBatch) {
 	if b.Whole {
 		r.link.board = registrar.NewBoard()
 	}
 	c := r.client
 	c.mu.Lock()
-	tell := c.onDigest
+	notify := c.onDigest
 	d := registrar.Digest{Whole: b.Whole, Gone: b.Gone}
 	for _, name := range b.Gone {
 		r.link.board.Drop(name, ^uint64(0))
-		delete(c.told, name)
+		delete(c.reportedStates, name)
 	}
 	fits := true
 	for _, change := range b.Changes {
@@ -128,39 +127,39 @@
 		if !ok {
 			continue
 		}
-		old := c.told[change.Name]
+		old := c.reportedStates[change.Name]
 		if state.Epoch < old.Epoch || state.Epoch == old.Epoch && state.Sequence < old.Sequence {
-			// Another control host had told of a later state already.
+			// Another control host has already reported a later state.
 			state = old
 		} else if !b.Whole && state.Epoch == old.Epoch && state.Sequence == old.Sequence {
 			continue
 		}
-		c.told[change.Name] = state
+		c.reportedStates[change.Name] = state
 		d.Servers = append(d.Servers, state)
 	}
 	if b.Whole {
-		told := make(map[string]registrar.ServerState, len(d.Servers))
+		reportedStates := make(map[string]registrar.ServerState, len(d.Servers))
 		for _, s := range d.Servers {
-			told[s.Name] = s
+			reportedStates[s.Name] = s
 		}
-		c.told = told
+		c.reportedStates = reportedStates
 	}
 	c.mu.Unlock()
 	if !fits {
-		c.leaveHost("its digest does not fit")
+		c.leaveHost("its digest does not match the board")
 	}
-	if tell != nil {
-		tell(d)
+	if notify != nil {
+		notify(d)
 	}
 }
 
-func (c *Client) void(v registrar.Void) {
+func (c *Client) handleVoid(v registrar.Void) {
 	c.mu.Lock()
-	tell := c.onVoid
+	notify := c.onMembershipEnd
 	c.mu.Unlock()
 	for _, m := range v.Members {
-		if c.members.end(m.Name, m.Epoch) && tell != nil {
-			tell(m.Name, m.Epoch)
+		if c.members.remove(m.Name, m.Epoch) && notify != nil {
+			notify(m.Name, m.Epoch)
 		}
 	}
 }
--- a/internal/transport/subscriber/reports.go
+++ b/internal/transport/subscriber/reports.go
@@ -10,34 +10,34 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// reportTimeout bounds the wait for the answer to a report. Another follows, perhaps at
+// reportTimeout limits the wait for the answer to a report. The next report may go to
 // another control host.
 const reportTimeout = 700 * time.Millisecond
 
-// ConfirmedAge returns how long ago the node asked what was accepted and has held it since,
-// and false where it never did.
+// ConfirmedAge returns the time since the node sent the last report whose answer confirms
+// that its replica contains all accepted changes, and false if there is none.
 //
-// Unlike Age it rests on the node's own questions: an answer covers all that was accepted
-// before the question left. A pulse that lay in a socket while this host stood still
-// extends Age, and not this.
+// Unlike Age it relies on the node's own requests: an answer covers all changes accepted
+// before the request was sent. A pulse that was delayed in a socket buffer while this host
+// was suspended extends Age, but not this.
 func (c *Client) ConfirmedAge() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.knowledge.Age(c.settings.Now())
+	return c.confirmed.Age(c.settings.Now())
 }
 
-// AwaitReport has a report sent at once, and waits for an answer, or until the context
-// ends. It reports whether one came.
+// AwaitReport sends a report at once and waits for an answer. It returns false if the
+// context or the client ends first.
 func (c *Client) AwaitReport(ctx context.Context) bool {
 	c.mu.Lock()
-	renewed := c.renewed
+	confirmation := c.confirmation
 	c.mu.Unlock()
 	select {
-	case c.ask <- struct{}{}:
+	case c.reportNow <- struct{}{}:
 	default:
 	}
 	select {
-	case <-renewed:
+	case <-confirmation:
 		return true
 	case <-ctx.Done():
 	case <-c.ctx.Done():
@@ -45,24 +45,24 @@
 	return false
 }
 
-// Spend admits a call of a workspace with a quota, or refuses it. A limit without a number
-// is that of the revision held.
+// Spend admits or refuses a call of a workspace with a quota. A limit without a number gets
+// the revision of the replica.
 func (c *Client) Spend(workspace string, limit bucketer.Limit, cost float64) bucketer.Decision {
 	limit.Number = cmp.Or(limit.Number, c.settings.Index.Revision())
 	return c.accounts.Spend(c.settings.Now(), workspace, limit, cost)
 }
 
-// Refund gives back what a call that has not run was admitted with.
+// Refund refunds the cost of a call that was admitted but not run.
 func (c *Client) Refund(workspace string, cost float64) { c.accounts.Refund(workspace, cost) }
 
-// renew wakes those who wait for knowledge. The caller holds mu.
-func (c *Client) renew() {
-	close(c.renewed)
-	c.renewed = make(chan struct{})
+// signalConfirmation wakes the callers of AwaitReport. The caller holds mu.
+func (c *Client) signalConfirmation() {
+	close(c.confirmation)
+	c.confirmation = make(chan struct{})
 }
 
-// reports tells control what was admitted, and asks what was accepted.
-func (c *Client) reports() {
+// reportLoop reports the use of quotas to control, and thereby confirms the replica.
+func (c *Client) reportLoop() {
 	defer c.workers.Done()
 	timer := time.NewTimer(c.settings.ReportInterval)
 	defer timer.Stop()
@@ -71,7 +71,7 @@
 		case <-c.ctx.Done():
 			return
 		case <-timer.C:
-		case <-c.ask:
+		case <-c.reportNow:
 		}
 		if c.accounts.Len() > 0 || c.settings.Keyed != nil && c.settings.Keyed() {
 			c.report()
@@ -88,11 +88,11 @@
 	return c.settings.ReportInterval
 }
 
-// report sends one report.
+// report sends one report and applies its answer.
 func (c *Client) report() {
 	ctx, cancel := context.WithTimeout(c.ctx, reportTimeout)
 	defer cancel()
-	conn, done, err := c.current(ctx)
+	conn, done, err := c.acquireConn(ctx)
 	if err != nil {
 		return
 	}
@@ -104,7 +104,7 @@
 	if err := conn.Call(ctx, messenger.MethodReport, r, &a); err != nil {
 		c.accounts.Failed()
 		c.metrics.reportsFailed.Inc()
-		c.settings.Log.Debug().Err(err).Msg("report not answered")
+		c.settings.Log.Debug().Err(err).Msg("report failed")
 		return
 	}
 	c.accounts.Answered(at, a)
@@ -112,6 +112,6 @@
 	held := c.settings.Index.Revision()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.knowledge.Pulse(at, distributor.Pulse{Revision: a.Revision}, held)
-	c.renew()
+	c.confirmed.Pulse(at, distributor.Pulse{Revision: a.Revision}, held)
+	c.signalConfirmation()
 }
--- a/internal/transport/subscriber/reports_test.go
+++ b/internal/transport/subscriber/reports_test.go
@@ -20,23 +20,23 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// host stands in for a control host.
+// host simulates a control host.
 type host struct {
 	mu sync.Mutex
-	// conn is the connection of the node; guarded by mu.
+	// conn is the node's connection; guarded by mu.
 	conn *messenger.Conn
-	// hold is for how long a report waits for its answer, and revision what that covers;
-	// guarded by mu.
-	hold     time.Duration
-	revision uint64
-	// spent adds up what was reported; guarded by mu.
+	// replyDelay is the delay of the answer to a report, and revision the revision that it
+	// covers; guarded by mu.
+	replyDelay time.Duration
+	revision   uint64
+	// spent is the sum of the reported costs; guarded by mu.
 	spent float64
 }
 
 func (h *host) Handle(_ context.Context, c *messenger.Conn, m messenger.Method, params json.RawMessage) (any, error) {
 	h.mu.Lock()
 	h.conn = c
-	hold, revision := h.hold, h.revision
+	replyDelay, revision := h.replyDelay, h.revision
 	h.mu.Unlock()
 	switch m {
 	case messenger.MethodSubscribe:
@@ -46,7 +46,7 @@
 		if err := messenger.Decode(params, &r); err != nil {
 			return nil, err
 		}
-		<-time.After(hold)
+		<-time.After(replyDelay)
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		a := bucketer.Answer{Revision: revision, Entries: 1}
@@ -60,20 +60,20 @@
 	}
 }
 
-// connection returns the node's.
+// connection returns the node's connection.
 func (h *host) connection() *messenger.Conn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.conn
 }
 
-func (h *host) set(hold time.Duration, revision uint64) {
+func (h *host) setReply(replyDelay time.Duration, revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hold, h.revision = hold, revision
+	h.replyDelay, h.revision = replyDelay, revision
 }
 
-// withClient runs a test of a client before one control host, on virtual time.
+// withClient runs a test of a client with one control host, on synthetic time.
 func withClient(t *testing.T, test func(g *WithT, h *host, c *Client, index *tracker.Tracker)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -100,16 +100,16 @@
 	})
 }
 
-// Guards against keys that are trusted on a word that lay in a socket while the node
-// stood still.
-func TestKnowledgeOfKeysRestsOnOwnQuestions(t *testing.T) {
+// TestConfirmedAgeIgnoresPulses guards against keys that are trusted because of a pulse
+// that was delayed in a socket while the node was suspended.
+func TestConfirmedAgeIgnoresPulses(t *testing.T) {
 	withClient(t, func(g *WithT, h *host, c *Client, _ *tracker.Tracker) {
 		<-time.After(time.Second)
 		age, ok := c.ConfirmedAge()
 		g.Expect(ok).To(BeTrue())
 		g.Expect(age).To(BeNumerically("<=", DefaultReportInterval))
 
-		h.set(time.Hour, 0)
+		h.setReply(time.Hour, 0)
 		<-time.After(2 * time.Second)
 		g.Expect(h.connection().Notify(context.Background(), messenger.MethodPulse, distributor.Pulse{Term: 1})).To(Succeed())
 		synctest.Wait()
@@ -119,11 +119,12 @@
 	})
 }
 
-// Guards against an age that is counted from an answer, and not from its question.
-func TestKnowledgeOfKeysIsAsOldAsTheQuestion(t *testing.T) {
+// TestConfirmedAgeCountsFromRequest guards against an age that is counted from the answer
+// instead of the request.
+func TestConfirmedAgeCountsFromRequest(t *testing.T) {
 	withClient(t, func(g *WithT, h *host, c *Client, _ *tracker.Tracker) {
 		<-time.After(time.Second)
-		h.set(500*time.Millisecond, 0)
+		h.setReply(500*time.Millisecond, 0)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 		defer cancel()
 		<-time.After(DefaultReportInterval)
@@ -133,11 +134,11 @@
 	})
 }
 
-// Guards against a node that trusts its keys though it lacks a change which the answer
-// covers.
-func TestKnowledgeOfKeysNeedsWhatTheAnswerCovers(t *testing.T) {
+// TestConfirmedAgeNeedsAnsweredRevision guards against a node that trusts its keys although
+// its replica lacks a change that the answer covers.
+func TestConfirmedAgeNeedsAnsweredRevision(t *testing.T) {
 	withClient(t, func(g *WithT, h *host, c *Client, index *tracker.Tracker) {
-		h.set(0, 7)
+		h.setReply(0, 7)
 		<-time.After(time.Second)
 		_, ok := c.ConfirmedAge()
 		g.Expect(ok).To(BeFalse())
@@ -152,8 +153,9 @@
 	})
 }
 
-// Guards against use of a quota that is lost with a report that got no answer.
-func TestUseIsToldAgainWhereItsReportFailed(t *testing.T) {
+// TestQuotaUseIsReportedAgainAfterFailure guards against quota use that is lost with a
+// report that got no answer.
+func TestQuotaUseIsReportedAgainAfterFailure(t *testing.T) {
 	withClient(t, func(g *WithT, h *host, c *Client, _ *tracker.Tracker) {
 		limit := bucketer.Limit{Rate: 1, Burst: 50, Number: 1}
 		g.Expect(c.Spend("w", limit, 10).Unknown).To(BeTrue())
--- a/internal/transport/subscriber/settings.go
+++ b/internal/transport/subscriber/settings.go
@@ -32,11 +32,11 @@
 
 // Settings are the options of a Client.
 type Settings struct {
-	// Node, Region and FailureDomain are this process's.
+	// Node, Region and FailureDomain describe this process.
 	Node          string
 	Region        string
 	FailureDomain string
-	// Group is the name of the control group; empty takes any.
+	// Group is the name of the control group; empty accepts any.
 	Group string
 	// Scope is the part of the configuration that the node needs.
 	Scope distributor.Scope
@@ -47,43 +47,44 @@
 	// Index is the node's replica of the configuration. Required.
 	Index distributor.Target
 
-	// ConfigurationLease is the age of knowledge up to which the node trusts
-	// its rules; 0 means configurer.DefaultConfigurationLease.
+	// ConfigurationLease is the longest time since the replica was known to be complete for
+	// which the node trusts it; 0 means configurer.DefaultConfigurationLease.
 	ConfigurationLease time.Duration
-	// CallTimeout bounds a call whose context has no deadline; 0 means
-	// DefaultCallTimeout.
+	// CallTimeout limits a call whose context has no deadline; 0 means DefaultCallTimeout.
 	CallTimeout time.Duration
-	// DialTimeout bounds one dial and subscription; 0 means DefaultDialTimeout.
+	// DialTimeout limits the dial and the subscription together; 0 means
+	// DefaultDialTimeout.
 	DialTimeout time.Duration
-	// RetryInterval and RetryMax bound the jittered pause after all control
-	// hosts failed; 0 means the defaults.
+	// RetryInterval and RetryMax are the initial and the longest jittered pause after all
+	// control hosts have failed; 0 means the defaults. RetryInterval is also the pause
+	// between attempts of a call.
 	RetryInterval time.Duration
 	RetryMax      time.Duration
-	// ReturnInterval is the time after which a client at another failure domain's
-	// control host tries its own again; 0 means DefaultReturnInterval.
+	// ReturnInterval is the time after which a client of a control host in another failure
+	// domain tries its nearer hosts again; 0 means DefaultReturnInterval.
 	ReturnInterval time.Duration
 
-	// AcknowledgeInterval is the least time between two acknowledgements of
-	// deltas, unless many are under way; 0 means DefaultAcknowledgeInterval.
+	// AcknowledgeInterval is the shortest time between two acknowledgements of deltas,
+	// unless many are unacknowledged; 0 means DefaultAcknowledgeInterval.
 	AcknowledgeInterval time.Duration
 
-	// Keyed reports whether callers need keys now, so that the node's knowledge of them
-	// is renewed; nil means never. Quotas in use are reported in any case.
+	// Keyed reports whether callers currently need API keys, so that the node must keep
+	// confirming its replica; nil means never. Quotas in use are reported in any case.
 	Keyed func() bool
-	// ReportInterval is the time between two reports, and TightInterval that while a
-	// quota is nearly spent; 0 means the defaults.
+	// ReportInterval is the time between two reports, and LowQuotaReportInterval the time
+	// while a quota is nearly used up; 0 means the defaults.
 	ReportInterval         time.Duration
 	LowQuotaReportInterval time.Duration
 
-	// Messenger holds the intervals of connections; the rest is set here.
+	// Messenger holds the intervals of connections; its other fields are set by the client.
 	Messenger messenger.Settings
 	Recorder  *recorder.Recorder
-	// Registerer takes the node's metrics; nil means none.
+	// Registerer registers the node's metrics; nil means none.
 	Registerer prometheus.Registerer
 	Log        zerolog.Logger
 	// Now is a clock with monotonic readings; nil means time.Now.
 	Now func() time.Time
-	// Random is the source of jitter, for this client alone. Required.
+	// Random is the source of jitter. Required; it must not be used by others.
 	Random *rand.Rand
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
