--- a/internal/transport/listener/http.go
+++ b/internal/transport/listener/http.go
@@ -14,14 +14,14 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/pauser"
 )
 
-// Limits bound what a client of an HTTP listener may take.
+// Limits are the limits for the clients of an HTTP listener.
 type Limits struct {
-	// MaxHeaderBytes bounds a request's header; 0 means the standard library's.
+	// MaxHeaderBytes limits the size of a request's header; 0 means the standard library's
+	// limit.
 	MaxHeaderBytes int
-	// HeaderTimeout bounds the time to send a request's header; 0 means none.
+	// HeaderTimeout limits the time to receive a request's header; 0 means no limit.
 	HeaderTimeout time.Duration
-	// IdleTimeout bounds the time between two requests of a connection; 0 means
-	// none.
+	// IdleTimeout limits the time between two requests of a connection; 0 means no limit.
 	IdleTimeout time.Duration
 }
 
@@ -30,54 +30,55 @@
 	network net.Listener
 	server  *http.Server
 	done    chan struct{}
-	// retiring tells that each answer ends its connection.
-	retiring atomic.Bool
+	// draining makes each response close its connection.
+	draining atomic.Bool
 
 	mu sync.Mutex
 	// conns holds the open connections; guarded by mu.
-	conns map[*keptConn]struct{}
+	conns map[*gracefulConn]struct{}
 }
 
 // NewHTTP serves handler on network until Close or Shutdown.
 func NewHTTP(network net.Listener, handler http.Handler, limits Limits, log zerolog.Logger) *HTTP {
-	h := &HTTP{network: network, done: make(chan struct{}), conns: make(map[*keptConn]struct{})}
+	h := &HTTP{network: network, done: make(chan struct{}), conns: make(map[*gracefulConn]struct{})}
 	h.server = &http.Server{
-		Handler:           h.closing(handler),
+		Handler:           h.withConnectionClose(handler),
 		MaxHeaderBytes:    limits.MaxHeaderBytes,
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
-		ConnState:         h.changed,
+		ConnState:         h.connStateChanged,
 	}
 	go func() {
 		defer close(h.done)
-		if err := h.server.Serve(keptListener{network}); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			log.Error().Err(err).Str("Address", network.Addr().String()).Msg("serving HTTP ended")
+		if err := h.server.Serve(gracefulListener{network}); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+			log.Error().Err(err).Str("Address", network.Addr().String()).Msg("HTTP server failed")
 		}
 	}()
 	return h
 }
 
-// closing has answers end their connection while the server retires.
-func (h *HTTP) closing(handler http.Handler) http.Handler {
+// withConnectionClose returns a handler that sets "Connection: close" on responses while
+// the server drains.
+func (h *HTTP) withConnectionClose(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if h.retiring.Load() {
+		if h.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// changed follows the state of a connection.
-func (h *HTTP) changed(network net.Conn, state http.ConnState) {
-	c, ok := network.(*keptConn)
+// connStateChanged tracks the state of a connection; it is the server's ConnState callback.
+func (h *HTTP) connStateChanged(network net.Conn, state http.ConnState) {
+	c, ok := network.(*gracefulConn)
 	if !ok {
 		return
 	}
-	c.work(state == http.StateActive)
-	if state == http.StateIdle && h.retiring.Load() {
-		// Its answer was under way when the stop was announced, and did not tell its
-		// caller to go elsewhere: left open, the caller would go on sending here.
-		c.end(time.Now())
+	c.setActive(state == http.StateActive)
+	if state == http.StateIdle && h.draining.Load() {
+		// Its response was in progress when keep-alives were disabled and so had no
+		// "Connection: close". Left open, the caller would keep sending requests here.
+		c.endIfIdle(time.Now())
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,31 +89,32 @@
 	h.conns[c] = struct{}{}
 }
 
-// Address returns the address listened on.
+// Address returns the listener's address.
 func (h *HTTP) Address() string { return h.network.Addr().String() }
 
-// DisableKeepAlives ends the connections that are idle, and the others with their answer, so that
-// their callers go elsewhere. New ones are still accepted, for one answer each.
+// DisableKeepAlives closes idle connections at once and the others after their response, so
+// that callers go elsewhere. New connections are still accepted, for one response each.
 func (h *HTTP) DisableKeepAlives() {
-	h.retiring.Store(true)
+	h.draining.Store(true)
 	h.endIdle()
 }
 
-// endIdle ends the connections that are idle and returns the number of open ones.
+// endIdle ends the idle connections and returns the number of open ones.
 func (h *HTTP) endIdle() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	for c := range h.conns {
-		c.end(now)
+		c.endIfIdle(now)
 	}
 	return len(h.conns)
 }
 
-// idleInterval is the time between two looks at what is still open at the end.
-const idleInterval = 20 * time.Millisecond
+// drainPollInterval is the time between two checks for open connections during Shutdown.
+const drainPollInterval = 20 * time.Millisecond
 
-// Shutdown stops accepting and waits for the requests in progress until ctx ends.
+// Shutdown stops accepting and waits until the requests in progress have ended. It returns
+// the context's error if ctx ends first.
 func (h *HTTP) Shutdown(ctx context.Context) error {
 	h.DisableKeepAlives()
 	if err := h.network.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -120,19 +122,19 @@
 	}
 	<-h.done
 	for h.endIdle() > 0 {
-		if !pauser.Pause(ctx, idleInterval) {
-			return errors.Annotate(ctx.Err(), "requests were still in progress")
+		if !pauser.Pause(ctx, drainPollInterval) {
+			return errors.Annotate(ctx.Err(), "requests are still in progress")
 		}
 	}
 	return errors.Trace(h.server.Shutdown(ctx))
 }
 
-// Close ends all connections at once and waits for the server's end.
+// Close closes all connections at once and waits for the server's goroutine.
 func (h *HTTP) Close() error {
 	err := h.server.Close()
 	<-h.done
 	if errors.Is(err, net.ErrClosed) {
-		// Shutdown has closed the listener.
+		// Shutdown has already closed the listener.
 		return nil
 	}
 	return errors.Trace(err)
--- a/internal/transport/listener/http_test.go
+++ b/internal/transport/listener/http_test.go
@@ -23,63 +23,63 @@
 	RunSpecs(t, "Listener")
 }
 
-// heldListener accepts heldConns.
-type heldListener struct {
+// delayedListener returns accepted connections as delayedConns.
+type delayedListener struct {
 	net.Listener
-	conns chan *heldConn
+	conns chan *delayedConn
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *delayedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	h := &heldConn{Conn: c, idle: make(chan struct{}), read: make(chan struct{}), disturbed: make(chan struct{})}
+	h := &delayedConn{Conn: c, idle: make(chan struct{}), secondRead: make(chan struct{}), interrupted: make(chan struct{})}
 	l.conns <- h
 	return h, nil
 }
 
-// heldConn is a connection on which the bytes of the second request have been read, and
-// are handed on only once somebody has disturbed the connection.
-type heldConn struct {
+// delayedConn is a connection that reads the bytes of the second request, but returns them
+// only after a read deadline or Close has interrupted it.
+type delayedConn struct {
 	net.Conn
 	requests int
-	// idle is closed when the server waits for the second request, and reads no single byte
-	// beside its handler any more.
+	// idle is closed when the server waits for the second request and no longer reads
+	// single bytes in the background of its handler.
 	idle    chan struct{}
 	waiting sync.Once
-	// read is closed when the bytes have been read.
-	read      chan struct{}
-	once      sync.Once
-	disturbed chan struct{}
+	// secondRead is closed when the bytes of the second request have been read.
+	secondRead  chan struct{}
+	once        sync.Once
+	interrupted chan struct{}
 }
 
-func (h *heldConn) Read(p []byte) (int, error) {
+func (h *delayedConn) Read(p []byte) (int, error) {
 	if len(p) > 1 && h.requests == 1 {
 		h.waiting.Do(func() { close(h.idle) })
 	}
 	n, err := h.Conn.Read(p)
 	if n > 1 {
 		if h.requests++; h.requests == 2 {
-			close(h.read)
-			<-h.disturbed
+			close(h.secondRead)
+			<-h.interrupted
 		}
 	}
 	return n, err
 }
 
-func (h *heldConn) disturb() { h.once.Do(func() { close(h.disturbed) }) }
+func (h *delayedConn) interrupt() { h.once.Do(func() { close(h.interrupted) }) }
 
-func (h *heldConn) Close() error {
-	h.disturb()
+func (h *delayedConn) Close() error {
+	h.interrupt()
 	return h.Conn.Close()
 }
 
-func (h *heldConn) SetReadDeadline(t time.Time) error {
+func (h *delayedConn) SetReadDeadline(t time.Time) error {
 	select {
-	case <-h.read:
+	case <-h.secondRead:
 		if !t.IsZero() && t.Before(time.Now()) {
-			h.disturb()
+			h.interrupt()
 		}
 	default:
 	}
@@ -99,7 +99,7 @@
 	return network
 }
 
-// client is one connection.
+// client is a connection to the server.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -114,7 +114,7 @@
 	c, err := connect(address)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = c.Close() })
-	// An answer that does not come fails the spec that waits for it.
+	// The deadline makes a spec fail that waits for a missing response.
 	Expect(c.SetReadDeadline(time.Now().Add(20 * time.Second))).To(Succeed())
 	return &client{Conn: c, reader: bufio.NewReader(c)}
 }
@@ -136,14 +136,13 @@
 
 func answer(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }
 
-var _ = Describe("A planned stop of HTTP", func() {
-	It("answers the request that is read in that moment", func() {
-		// Symptom: one call in thousands is cut at a planned stop: it reaches its
-		// backend server, and its connection ends in the same moment.
-		// Events: a request on a kept connection has been read, and the server has
-		// not noticed it yet; the stop closes the connections that are idle.
-		// Cause: the connection still counted as idle.
-		held := &heldListener{Listener: listen(), conns: make(chan *heldConn, 1)}
+var _ = Describe("HTTP", func() {
+	It("answers a request that is read at the moment of a planned stop", func() {
+		// Guards against calls that are interrupted by a planned stop, one in thousands:
+		// the call reaches its backend server, and its connection ends at the same moment.
+		// A request on a keep-alive connection has been read, but the server has not
+		// noticed it yet, so that the connection still counted as idle and was closed.
+		held := &delayedListener{Listener: listen(), conns: make(chan *delayedConn, 1)}
 		h := newServer(held, answer)
 		c := dial(h.Address())
 		c.send()
@@ -151,14 +150,14 @@
 		conn := <-held.conns
 		<-conn.idle
 		c.send()
-		<-conn.read
+		<-conn.secondRead
 		stopped := make(chan error, 1)
 		go func() { stopped <- h.Shutdown(context.Background()) }()
 		Expect(c.receive().Close).To(BeTrue())
 		Eventually(stopped).Should(Receive(BeNil()))
 	})
 
-	It("ends idle connections, and streams with their end", func() {
+	It("ends idle connections at once, and streams after their end", func() {
 		next := make(chan struct{})
 		h := newServer(listen(), func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, "one")
@@ -191,7 +190,7 @@
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	It("that is announced still accepts, for one answer each", func() {
+	It("accepts connections for one response each while keep-alives are disabled", func() {
 		h := newServer(listen(), answer)
 		before := dial(h.Address())
 		before.send()
@@ -205,31 +204,31 @@
 		Expect(h.Shutdown(context.Background())).To(Succeed())
 	})
 
-	It("that is announced in the middle of an answer ends its connection after it", func() {
-		// Symptom: a caller goes on sending to an entry that has announced its stop, over
-		// a connection that it kept; a spec that waits for the connection's end hangs.
-		// Sequence: an answer is written, whole, when the stop is announced; its handler
-		// returns a moment later, and the connection becomes idle.
-		// Cause: idle connections were ended at the announcement alone, and this one was
-		// still at work then; its answer had no "Connection: close". Seen in a whole
-		// .ci/run beside others: the caller had its answer, and waited 20 s for the end.
-		told := make(chan struct{})
+	It("closes a connection whose response was in progress when keep-alives were disabled", func() {
+		// Guards against callers that keep sending to an entry that has announced its stop,
+		// over a keep-alive connection, and against a spec that hangs waiting for its end.
+		// The response is completely written when the stop is announced; its handler
+		// returns a moment later, and the connection becomes idle. Idle connections were
+		// ended only at the announcement, when this one was still active, and its response
+		// had no "Connection: close". On a loaded machine the caller had its response and
+		// waited 20 s for the end.
+		announced := make(chan struct{})
 		h := newServer(listen(), func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "3")
 			_, _ = io.WriteString(w, "one")
 			_ = http.NewResponseController(w).Flush()
-			<-told
+			<-announced
 		})
 		c := dial(h.Address())
 		c.send()
 		c.receive()
 		h.DisableKeepAlives()
-		close(told)
+		close(announced)
 		_, err := c.reader.ReadByte()
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	It("ends with its time, and what is left with Close", func() {
+	It("returns from Shutdown when the context ends, and ends the remaining requests by Close", func() {
 		reached := make(chan struct{})
 		h := newServer(listen(), func(_ http.ResponseWriter, r *http.Request) {
 			close(reached)
--- a/internal/transport/listener/kept.go
+++ b/internal/transport/listener/kept.go
@@ -7,46 +7,47 @@
 	"time"
 )
 
-// keptConn is a connection of an HTTP server which can be ended between two requests.
+// gracefulConn is a connection of an HTTP server that can be ended between two requests.
 //
-// To close it would be wrong: a request may have been read in that moment and not have
-// been noticed yet. It would run on a connection that nobody can answer on, and its
-// caller would take it for lost. That shows as one call in thousands that a planned stop
-// cuts, on busy hosts first. Here the next read tells the server that the other end has
-// left, unless it brings bytes: then they are served.
-type keptConn struct {
+// It must not simply be closed: a request may have been read at that moment without the
+// server having noticed it. The request would run on a connection that can't return its
+// response, and its caller would treat it as lost. That shows as one call in thousands that
+// is interrupted by a planned stop, mostly on busy hosts. Instead, the next read reports
+// EOF to the server, unless it returns bytes, which are then served.
+type gracefulConn struct {
 	net.Conn
-	// accepted is when the connection came.
+	// accepted is when the connection was accepted.
 	accepted time.Time
 
 	mu sync.Mutex
-	// active tells that the server works on a request; guarded by mu, as all below.
+	// active reports whether the server is processing a request; guarded by mu, as all
+	// fields below.
 	active bool
-	// unanswered tells that bytes were read since the last write.
+	// unanswered reports whether bytes were read since the last write.
 	unanswered bool
-	// used tells that bytes were read at all.
-	used bool
-	// ending tells that the next read is to end the connection.
+	// hasRead reports whether any bytes were read.
+	hasRead bool
+	// ending makes the next read end the connection, unless it returns bytes.
 	ending bool
 }
 
-// over is a time that makes a read end at once.
-var over = time.Unix(1, 0)
+// pastDeadline is a read deadline that makes a read return at once.
+var pastDeadline = time.Unix(1, 0)
 
-// firstGrace is for how long a connection is kept that has brought nothing yet: its
+// firstRequestGrace is how long a new connection without any bytes is kept open, since its
 // first request is most likely on its way.
-const firstGrace = 500 * time.Millisecond
+const firstRequestGrace = 500 * time.Millisecond
 
-// Read reads, unless the connection is to end.
-func (c *keptConn) Read(p []byte) (int, error) {
-	if c.ends() {
+// Read reads from the connection, or returns io.EOF if it is ending.
+func (c *gracefulConn) Read(p []byte) (int, error) {
+	if c.isEnding() {
 		return 0, io.EOF
 	}
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n > 0 {
-		c.unanswered, c.used = true, true
+		c.unanswered, c.hasRead = true, true
 		if c.ending {
 			c.ending = false
 			if err := c.Conn.SetReadDeadline(time.Time{}); err != nil {
@@ -61,14 +62,14 @@
 	return n, err
 }
 
-func (c *keptConn) ends() bool {
+func (c *gracefulConn) isEnding() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ending
 }
 
-// Write writes.
-func (c *keptConn) Write(p []byte) (int, error) {
+// Write writes to the connection.
+func (c *gracefulConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,43 +77,43 @@
 	return n, err
 }
 
-// SetReadDeadline sets the time at which reads end, unless they end now.
-func (c *keptConn) SetReadDeadline(t time.Time) error {
+// SetReadDeadline sets the read deadline, unless the connection is ending.
+func (c *gracefulConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ending {
-		t = over
+		t = pastDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// work notes whether the server works on a request.
-func (c *keptConn) work(active bool) {
+// setActive records whether the server is processing a request.
+func (c *gracefulConn) setActive(active bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.active = active
 }
 
-// end ends the connection if it is idle.
-func (c *keptConn) end(now time.Time) {
+// endIfIdle ends the connection if it is idle.
+func (c *gracefulConn) endIfIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.active || c.unanswered || !c.used && now.Sub(c.accepted) < firstGrace {
+	if c.active || c.unanswered || !c.hasRead && now.Sub(c.accepted) < firstRequestGrace {
 		return
 	}
 	c.ending = true
-	// It fails on a connection that is closed already.
-	_ = c.Conn.SetReadDeadline(over)
+	// The call fails if the connection is already closed.
+	_ = c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// keptListener makes the connections that it accepts keptConns.
-type keptListener struct{ net.Listener }
+// gracefulListener returns accepted connections as gracefulConns.
+type gracefulListener struct{ net.Listener }
 
 // Accept waits for a connection.
-func (k keptListener) Accept() (net.Conn, error) {
-	c, err := k.Listener.Accept()
+func (l gracefulListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &keptConn{Conn: c, accepted: time.Now()}, nil
+	return &gracefulConn{Conn: c, accepted: time.Now()}, nil
 }
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener accepts messenger connections and HTTP requests of one
-// process, and ends them at a planned stop.
+// Package listener accepts the messenger connections and HTTP requests of a process, and
+// ends them at a planned stop.
 package listener
 
 import (
@@ -24,7 +24,7 @@
 	done   sync.WaitGroup
 }
 
-// NewListener accepts on network until Close.
+// NewListener accepts connections on network until Close.
 func NewListener(network net.Listener, s messenger.Settings) *Listener {
 	l := &Listener{network: network, settings: s, conns: make(map[*messenger.Conn]struct{})}
 	l.done.Add(1)
@@ -32,7 +32,7 @@
 	return l
 }
 
-// Address returns the address listened on.
+// Address returns the listener's address.
 func (l *Listener) Address() string { return l.network.Addr().String() }
 
 func (l *Listener) accept() {
@@ -41,7 +41,7 @@
 		network, err := l.network.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				l.settings.Log.Error().Err(err).Msg("accepting connections ended")
+				l.settings.Log.Error().Err(err).Msg("could not accept connections")
 			}
 			return
 		}
@@ -59,22 +59,22 @@
 	c := messenger.NewConn(network, l.settings)
 	l.conns[c] = struct{}{}
 	l.done.Add(1)
-	go l.forget(c)
+	go l.removeWhenDone(c)
 }
 
-// forget waits for a connection's end.
-func (l *Listener) forget(c *messenger.Conn) {
+// removeWhenDone waits for the end of a connection and removes it.
+func (l *Listener) removeWhenDone(c *messenger.Conn) {
 	defer l.done.Done()
 	<-c.Done()
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 	if err := c.Close(); err != nil {
-		l.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("closing a connection")
+		l.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("could not close a connection")
 	}
 }
 
-// Close stops accepting, ends all connections and waits for their handlers.
+// Close stops accepting, closes all connections and waits for their handlers.
 func (l *Listener) Close() error {
 	err := l.network.Close()
 	if errors.Is(err, net.ErrClosed) {
@@ -89,7 +89,7 @@
 	l.mu.Unlock()
 	for _, c := range open {
 		if err := c.Close(); err != nil {
-			l.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("closing a connection")
+			l.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("could not close a connection")
 		}
 	}
 	l.done.Wait()
