--- a/internal/transport/sealer/authorize.go
+++ b/internal/transport/sealer/authorize.go
@@ -12,25 +12,25 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// roleSet is a set of roles.
+// roleSet is a set of roles, as a bit mask.
 type roleSet uint8
 
-// The sets of one role.
+// The sets of a single role.
 const (
 	entries    roleSet = 1 << configurer.RoleEntry
 	companions roleSet = 1 << configurer.RoleCompanion
 	controls   roleSet = 1 << configurer.RoleControl
 )
 
-// setOf returns the set of the roles of an identity.
-func setOf(i Identity) (set roleSet) {
+// roleSetOf returns the set of an identity's roles.
+func roleSetOf(i Identity) (set roleSet) {
 	for _, r := range i.Roles {
 		set |= 1 << r
 	}
 	return set
 }
 
-// String returns the names of the roles for a message.
+// String returns the names of the roles, for use in a message.
 func (s roleSet) String() string {
 	var texts []string
 	for _, r := range roles {
@@ -44,7 +44,7 @@
 	return strings.Join(texts, " and ")
 }
 
-// senders returns the roles that may send a method; none for an unknown one.
+// senders returns the roles that may send a method; the empty set for an unknown method.
 func senders(m messenger.Method) roleSet {
 	switch m {
 	case messenger.MethodDispatch, messenger.MethodResume, messenger.MethodAcknowledge, messenger.MethodCancel,
@@ -53,14 +53,14 @@
 	case messenger.MethodPiece, messenger.MethodState, messenger.MethodJoin, messenger.MethodRenew, messenger.MethodLeave:
 		return companions
 	case messenger.MethodRequestPermit, messenger.MethodFinishPermit:
-		// A control host hands them on to the leader.
+		// A control host forwards these to the leader.
 		return companions | controls
 	case messenger.MethodReplicate, messenger.MethodTally, messenger.MethodBarrier, messenger.MethodRenewBatch, messenger.MethodReportBatch,
 		messenger.MethodEnlist, messenger.MethodShareDigest, messenger.MethodDelta, messenger.MethodPulse, messenger.MethodDigest, messenger.MethodVoid:
 		return controls
 	case messenger.MethodReport, messenger.MethodPropose, messenger.MethodRead, messenger.MethodInForce, messenger.MethodGroup:
-		// Operators and claims come through entries. What a companion could read
-		// or change here is not its own.
+		// Operators' calls and claims are sent by entries. A companion has no need to read
+		// or change these data.
 		return entries | controls
 	case messenger.MethodHeartbeat, messenger.MethodPace, messenger.MethodSubscribe, messenger.MethodApplied, messenger.MethodGoodbye:
 		return entries | companions | controls
@@ -69,14 +69,14 @@
 	}
 }
 
-// Authorize decides whether a process may send a message. Its error is a
-// *messenger.Refusal: with ReasonForbidden, or ReasonMalformed where the sender's
-// right depends on parameters that can't be read.
+// Authorize returns nil if a process may send a message. Its error is a *messenger.Refusal
+// with ReasonForbidden, or with ReasonMalformed if the decision depends on parameters that
+// can't be decoded.
 //
-// The parameters are decoded into the very types that the handlers use: a
-// decoder of its own might read another name in them than the handler does.
+// The parameters are decoded into the same types that the handlers use: with types of its
+// own, Authorize could decode another name than the handler does.
 func Authorize(peer Identity, m messenger.Method, params json.RawMessage) error {
-	allowed, has := senders(m), setOf(peer)
+	allowed, has := senders(m), roleSetOf(peer)
 	if allowed&has == 0 {
 		return forbidden(peer, m, "is for "+allowed.String())
 	}
@@ -90,32 +90,32 @@
 	case messenger.MethodPropose:
 		return authorizePropose(peer, params)
 	case messenger.MethodJoin:
-		return own(peer, m, params, func(j registrar.JoinRequest) []string { return []string{j.Name} })
+		return authorizeOwn(peer, m, params, func(j registrar.JoinRequest) []string { return []string{j.Name} })
 	case messenger.MethodLeave:
-		return own(peer, m, params, func(l registrar.LeaveRequest) []string { return []string{l.Name} })
+		return authorizeOwn(peer, m, params, func(l registrar.LeaveRequest) []string { return []string{l.Name} })
 	case messenger.MethodRenew:
-		return own(peer, m, params, func(h registrar.Heartbeat) []string {
+		return authorizeOwn(peer, m, params, func(h registrar.Heartbeat) []string {
 			if h.Report == nil {
 				return []string{h.Name}
 			}
 			return []string{h.Name, h.Report.Name}
 		})
 	case messenger.MethodRequestPermit:
-		return own(peer, m, params, func(a permitter.Ask) []string { return []string{a.Companion} })
+		return authorizeOwn(peer, m, params, func(a permitter.Ask) []string { return []string{a.Companion} })
 	case messenger.MethodFinishPermit:
-		return own(peer, m, params, func(f permitter.Finish) []string { return []string{f.Companion} })
+		return authorizeOwn(peer, m, params, func(f permitter.Finish) []string { return []string{f.Companion} })
 	default:
 		return nil
 	}
 }
 
-// own allows a message in which all names of backend servers are the sender's.
-func own[P any](peer Identity, m messenger.Method, params json.RawMessage, named func(P) []string) error {
+// authorizeOwn allows a message if all backend server names in it are the sender's.
+func authorizeOwn[P any](peer Identity, m messenger.Method, params json.RawMessage, names func(P) []string) error {
 	var p P
 	if err := messenger.Decode(params, &p); err != nil {
 		return err
 	}
-	for _, name := range named(p) {
+	for _, name := range names(p) {
 		if name != peer.Node {
 			return forbidden(peer, m, "names the backend server "+name)
 		}
@@ -123,15 +123,15 @@
 	return nil
 }
 
-// authorizeSubscribe allows a subscription under the sender's own name. The whole
-// configuration, with the digests of the workspaces' keys, goes to entries and
-// control hosts only.
+// authorizeSubscribe allows a subscription under the sender's own name. Only entries and
+// control hosts may subscribe to the full configuration, which contains the digests of the
+// workspaces' keys.
 func authorizeSubscribe(peer Identity, params json.RawMessage) error {
 	var s distributor.Subscribe
 	if err := messenger.Decode(params, &s); err != nil {
 		return err
 	}
-	entitled := setOf(peer)&(entries|controls) != 0
+	entitled := roleSetOf(peer)&(entries|controls) != 0
 	switch {
 	case s.Node != peer.Node:
 		return forbidden(peer, messenger.MethodSubscribe, "names the node "+s.Node)
@@ -144,8 +144,8 @@
 	}
 }
 
-// authorizePropose allows an entry the changes of operators and callers.
-// Memberships are the companions' and the control hosts'.
+// authorizePropose allows an entry to propose the changes of operators and callers.
+// Memberships may only be changed by companions and control hosts.
 func authorizePropose(peer Identity, params json.RawMessage) error {
 	var p distributor.Propose
 	if err := messenger.Decode(params, &p); err != nil {
@@ -163,6 +163,6 @@
 	}
 }
 
-func forbidden(peer Identity, m messenger.Method, why string) error {
-	return messenger.NewRefusal(messenger.ReasonForbidden, string(m)+" "+why+", and came from "+peer.String())
+func forbidden(peer Identity, m messenger.Method, reason string) error {
+	return messenger.NewRefusal(messenger.ReasonForbidden, string(m)+" "+reason+", and came from "+peer.String())
 }
--- a/internal/transport/sealer/authorize_test.go
+++ b/internal/transport/sealer/authorize_test.go
@@ -23,7 +23,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/sealer"
 )
 
-// methods returns the values of the constants that name methods.
+// methods returns the values of all method constants.
 func methods() (found []messenger.Method) {
 	file, err := parser.ParseFile(token.NewFileSet(), "../../protocol/messenger/method.go", nil, 0)
 	Expect(err).NotTo(HaveOccurred())
@@ -38,7 +38,7 @@
 	return found
 }
 
-// params returns a message's parameters as they travel.
+// params encodes the parameters of a message.
 func params(v any) json.RawMessage {
 	GinkgoHelper()
 	data, err := json.Marshal(v)
@@ -62,9 +62,9 @@
 }
 
 var _ = Describe("Authorize", func() {
-	// The sender's name is empty, as are all names in empty parameters. A method that
-	// is added without a decision here would be refused to all.
-	It("decides for each method by the sender's role", func() {
+	// The sender's name is empty, as are all names in empty parameters. A new method
+	// without an entry in senders is refused for all roles.
+	It("decides on each method by the sender's role", func() {
 		var table strings.Builder
 		for _, m := range append(methods(), "Control.Unknown") {
 			fmt.Fprintf(&table, "%s:", m)
@@ -83,9 +83,9 @@
 		Expect(os.ReadFile(golden)).To(BeEquivalentTo(table.String()))
 	})
 
-	// Symptom: a backend server vanishes from all entries, or takes another's
-	// place, while its companion is well. Cause: another companion spoke for it.
-	DescribeTable("holds a companion to its own backend server",
+	// Guards against a backend server that vanishes from all entries, or is replaced by
+	// another one, while its companion works: another companion sent messages in its name.
+	DescribeTable("restricts a companion to its own backend server",
 		func(m messenger.Method, named func(name string) any) {
 			peer := sealer.Identity{Node: "engine-1", Roles: []configurer.Role{companion}}
 			Expect(sealer.Authorize(peer, m, params(named("engine-1")))).To(Succeed())
@@ -107,7 +107,7 @@
 		}),
 	)
 
-	DescribeTable("holds a subscription to its node and scope",
+	DescribeTable("restricts a subscription to the sender's node and scope",
 		func(role configurer.Role, node string, scope distributor.Scope, allowed bool) {
 			peer := sealer.Identity{Node: "n", Roles: []configurer.Role{role}}
 			err := sealer.Authorize(peer, messenger.MethodSubscribe, params(distributor.Subscribe{Node: node, Scope: scope, Backend: "n"}))
@@ -119,7 +119,7 @@
 		Entry("of keys by a companion", companion, "n", distributor.ScopeEntry, false),
 	)
 
-	It("keeps memberships out of what an entry proposes", func() {
+	It("refuses membership changes proposed by an entry", func() {
 		peer := sealer.Identity{Node: "entry-1", Roles: []configurer.Role{entry}}
 		leave := propose(storer.LeaveMember{Name: "engine-1", Ended: true})
 		Expect(sealer.Authorize(peer, messenger.MethodPropose, propose(storer.ClaimCall{Key: "k"}))).To(Succeed())
--- a/internal/transport/sealer/benchmark_test.go
+++ b/internal/transport/sealer/benchmark_test.go
@@ -20,26 +20,26 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/sealer"
 )
 
-// counted counts what passes, both ways, in bytes.
-type counted struct {
+// countingConn counts the bytes sent and received.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// spent returns the processor time of the test's process.
-func spent(b *testing.B) time.Duration {
+// cpuTime returns the CPU time used by the test process.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -48,12 +48,12 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// bench is an entry and a companion's listener, with or without certificates.
+// bench is an entry and a companion's listener, with or without authentication.
 type bench struct {
 	address string
 	dial    sealer.DialFunc
 	bytes   atomic.Int64
-	// received counts what the listener's handler was given.
+	// received gets a value for each message that the listener's handler receives.
 	received chan struct{}
 }
 
@@ -67,7 +67,7 @@
 	x := &bench{address: network.Addr().String(), received: make(chan struct{}, 1)}
 	x.dial = func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := tcp(ctx, address)
-		return counted{c, &x.bytes}, err
+		return countingConn{c, &x.bytes}, err
 	}
 	s := messenger.Settings{Handler: messenger.HandlerFunc(
 		func(context.Context, *messenger.Conn, messenger.Method, json.RawMessage) (any, error) {
@@ -85,15 +85,16 @@
 	return x
 }
 
-// measure reports the processor time of both ends and the bytes of the network.
+// measure reports the CPU time of both ends and the bytes sent on the network, per
+// operation.
 func (x *bench) measure(b *testing.B, run func()) {
 	b.Helper()
 	x.bytes.Store(0)
-	before := spent(b)
+	before := cpuTime(b)
 	for b.Loop() {
 		run()
 	}
-	b.ReportMetric(float64((spent(b)-before).Nanoseconds())/1e3/float64(b.N), "cpu-µs/op")
+	b.ReportMetric(float64((cpuTime(b)-before).Nanoseconds())/1e3/float64(b.N), "cpu-µs/op")
 	b.ReportMetric(float64(x.bytes.Load())/float64(b.N), "bytes/op")
 }
 
@@ -113,7 +114,7 @@
 	}
 }
 
-// BenchmarkPiece sends pieces of answers one by one.
+// BenchmarkPiece sends the pieces of an answer one by one.
 func BenchmarkPiece(b *testing.B) {
 	for _, size := range []int{100, 4 << 10, 64 << 10} {
 		for _, sealed := range []bool{false, true} {
@@ -125,7 +126,7 @@
 				}
 				c := messenger.NewConn(network, messenger.Settings{})
 				defer c.Close()
-				// The method is one that an entry may send; the content is a piece's.
+				// The parameters are those of a piece, but the method must be one that an entry may send.
 				p := messenger.Piece{Request: "entry-1-7e31df10b0d1e83c", Attempt: 1, Data: make([]byte, size)}
 				x.measure(b, func() {
 					if err := c.Notify(context.Background(), messenger.MethodAcknowledge, p); err != nil {
@@ -138,8 +139,8 @@
 	}
 }
 
-// BenchmarkAuthorize decides on the messages that cost most: a stream's, a
-// heartbeat with the residency of 16 slots, and a claim.
+// BenchmarkAuthorize decides on the most expensive messages: those of a stream, a heartbeat
+// with the residency of 16 slots, and a claim.
 func BenchmarkAuthorize(b *testing.B) {
 	RegisterTestingT(b)
 	report := &registrar.ServerChange{Name: "engine-1"}
--- a/internal/transport/sealer/conn.go
+++ b/internal/transport/sealer/conn.go
@@ -10,10 +10,10 @@
 	"github.com/juju/errors"
 )
 
-// acceptance is the first byte that a listener sends.
+// acceptance is the first byte that a listener sends after the handshake.
 const acceptance byte = 1
 
-// Conn is a connection whose other end has proved who it is.
+// Conn is a connection whose other end has been authenticated.
 type Conn struct {
 	*tls.Conn
 	peer Identity
@@ -22,9 +22,9 @@
 // Identity returns the other end's identity.
 func (c *Conn) Identity() Identity { return c.peer }
 
-// open does the handshake and what both ends exchange after it, until ctx ends,
-// which closes the connection.
-func open(ctx context.Context, network *tls.Conn, exchange func(net.Conn) error) (*Conn, error) {
+// establish performs the handshake and the exchange that follows it. When ctx ends, it
+// closes the connection and returns an error.
+func establish(ctx context.Context, network *tls.Conn, exchange func(net.Conn) error) (*Conn, error) {
 	abort := context.AfterFunc(ctx, func() { network.NetConn().SetDeadline(time.Unix(1, 0)) })
 	err := network.HandshakeContext(ctx)
 	if err == nil {
@@ -45,17 +45,18 @@
 	return &Conn{Conn: network, peer: peer}, nil
 }
 
-// accept tells the dialler that its certificate was accepted.
-func accept(network net.Conn) error {
+// sendAcceptance reports to the dialler that its certificate was accepted.
+func sendAcceptance(network net.Conn) error {
 	_, err := network.Write([]byte{acceptance})
 	return errors.Trace(err)
 }
 
-// awaitAcceptance waits for the listener's word, or for its alert.
+// awaitAcceptance waits for the listener's acceptance. It fails if the listener sends a TLS
+// alert instead.
 func awaitAcceptance(network net.Conn) error {
 	var first [1]byte
 	if _, err := io.ReadFull(network, first[:]); err != nil {
-		return errors.Annotate(err, "this process's certificate was not accepted")
+		return errors.Annotate(err, "certificate of this process was not accepted")
 	}
 	if first[0] != acceptance {
 		return errors.NotValidf("first byte %d of a listener", first[0])
--- a/internal/transport/sealer/files.go
+++ b/internal/transport/sealer/files.go
@@ -11,20 +11,21 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// material is what the files of a process hold. It is not changed once made.
+// material holds the contents of a process's files. It is immutable.
 type material struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 	identity    Identity
 }
 
-// stamp tells whether a file has changed.
+// stamp identifies a version of a file, by its modification time in Unix nanoseconds and
+// its size in bytes.
 type stamp struct {
 	modified int64
 	size     int64
 }
 
-// stamps are those of the certificate, the key and the authority.
+// stamps are the stamps of the certificate, the key and the authority.
 type stamps [3]stamp
 
 func stampsOf(files configurer.PeersSettings) (s stamps, err error) {
@@ -38,8 +39,8 @@
 	return s, nil
 }
 
-// load reads the files and checks that they fit each other: other processes
-// would refuse what this one refuses here, and say so only in their own logs.
+// load reads the files and checks that they match each other: other processes would refuse
+// what is refused here, and log it only on their side.
 func load(files configurer.PeersSettings, now time.Time) (*material, error) {
 	key, err := configurer.ReadSecret(files.KeyFile)
 	if err != nil {
@@ -75,7 +76,8 @@
 	return m, nil
 }
 
-// chainOf returns a process's certificate and those between it and the authority.
+// chainOf returns a process's certificate and the intermediate certificates between it and
+// the authority.
 func chainOf(c tls.Certificate) ([]*x509.Certificate, error) {
 	chain := make([]*x509.Certificate, 0, len(c.Certificate))
 	for _, der := range c.Certificate {
@@ -88,18 +90,18 @@
 	return chain, nil
 }
 
-// verify checks that the authority signed the chain's first certificate, and
-// that it is valid now.
+// verify checks that the chain's first certificate is signed by the authority and valid at
+// the time now.
 func (m *material) verify(chain []*x509.Certificate, usage x509.ExtKeyUsage, now time.Time) error {
 	if len(chain) == 0 {
 		return errors.NotValidf("peer without a certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range chain[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := chain[0].Verify(x509.VerifyOptions{
-		Roots: m.authority, Intermediates: between, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{usage},
+		Roots: m.authority, Intermediates: intermediates, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{usage},
 	})
 	return errors.Trace(err)
 }
--- a/internal/transport/sealer/identity.go
+++ b/internal/transport/sealer/identity.go
@@ -14,21 +14,21 @@
 // scheme is the scheme of the URI names.
 const scheme = "marigoldpoint"
 
-// roles are all roles that a certificate may carry.
+// roles are all roles that a certificate may contain.
 var roles = [...]configurer.Role{configurer.RoleEntry, configurer.RoleCompanion, configurer.RoleControl}
 
-// Identity is who a process is, by its certificate.
+// Identity identifies a process, by its certificate.
 type Identity struct {
-	// Node is the process's name, a companion's also that of its backend server.
+	// Node is the process's name; a companion's is also that of its backend server.
 	Node string
-	// Roles are the roles that the process may act in; never empty, none twice.
+	// Roles are the roles of the process; never empty, without duplicates.
 	Roles []configurer.Role
 }
 
-// Has reports whether the process may act in role r.
+// Has reports whether the process has role r.
 func (i Identity) Has(r configurer.Role) bool { return slices.Contains(i.Roles, r) }
 
-// String returns the names of the identity.
+// String returns the URI names of the identity, separated by spaces.
 func (i Identity) String() string {
 	names := make([]string, 0, len(i.Roles))
 	for _, u := range i.uris() {
@@ -46,9 +46,8 @@
 	return names
 }
 
-// IdentityOf returns the identity that a certificate carries. URI names of other
-// schemes are passed over; two nodes in one certificate are an error, since what
-// one may do for itself the other would do for it.
+// IdentityOf returns the identity in a certificate. URI names of other schemes are ignored.
+// Two nodes in one certificate are an error, since each could then act for the other.
 func IdentityOf(c *x509.Certificate) (Identity, error) {
 	var i Identity
 	for _, u := range c.URIs {
@@ -73,8 +72,8 @@
 	return i, nil
 }
 
-// parseName reads one URI name. The role stands where a host does, whose case
-// has no meaning.
+// parseName parses a URI name. The role is in the place of the host, which is
+// case-insensitive.
 func parseName(u *url.URL) (configurer.Role, string, error) {
 	node := strings.TrimPrefix(u.Path, "/")
 	if node == "" || strings.Contains(node, "/") || u.RawQuery != "" || u.Fragment != "" || u.User != nil {
--- a/internal/transport/sealer/issuer.go
+++ b/internal/transport/sealer/issuer.go
@@ -18,17 +18,17 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// The validities that the command takes by default.
+// The default validities of the command.
 const (
 	DefaultAuthorityValidity = 10 * 365 * 24 * time.Hour
 	DefaultNodeValidity      = 90 * 24 * time.Hour
 )
 
-// backdate is the time before its making from which a certificate is valid: the
-// clocks of other hosts may be behind.
+// backdate is how long before its issue a certificate becomes valid, since the clocks of
+// other hosts may be behind.
 const backdate = 5 * time.Minute
 
-// The modes and kinds of the files.
+// The file modes and PEM types.
 const (
 	certificateMode os.FileMode = 0o644
 	keyMode         os.FileMode = 0o600
@@ -36,23 +36,23 @@
 	keyKind                     = "PRIVATE KEY"
 )
 
-// KeyPair is a certificate and its key, both in PEM.
+// KeyPair is a certificate and its private key, both in PEM.
 type KeyPair struct {
 	Certificate []byte
 	Key         configurer.Secret
 }
 
-// Write puts the pair into two files, each replaced as a whole: a process that
-// reads them meanwhile finds an old or a new one, never a part. The key goes
-// first, so that once the certificate is new both are.
+// Write writes the pair to two files. Each is replaced atomically, so that a concurrent
+// reader gets the old or the new contents, never a part. The key is written first, so that
+// once the certificate is new both are.
 func (p KeyPair) Write(certificateFile, keyFile string) error {
-	if err := replace(keyFile, []byte(p.Key.Reveal()), keyMode); err != nil {
+	if err := replaceFile(keyFile, []byte(p.Key.Reveal()), keyMode); err != nil {
 		return errors.Trace(err)
 	}
-	return errors.Trace(replace(certificateFile, p.Certificate, certificateMode))
+	return errors.Trace(replaceFile(certificateFile, p.Certificate, certificateMode))
 }
 
-func replace(path string, data []byte, mode os.FileMode) error {
+func replaceFile(path string, data []byte, mode os.FileMode) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return errors.Trace(err)
@@ -68,7 +68,7 @@
 	}
 	if err != nil {
 		_ = f.Close()
-		_ = os.Remove(f.Name()) // The first error tells more.
+		_ = os.Remove(f.Name()) // The first error is the useful one.
 	}
 	return errors.Trace(err)
 }
@@ -79,8 +79,8 @@
 	key         crypto.Signer
 }
 
-// NewAuthority makes an authority that is valid for a time from now on, and the
-// pair to keep it in.
+// NewAuthority creates an authority that is valid from now for the given time. The returned
+// pair holds its certificate and key.
 func NewAuthority(name string, now time.Time, validity time.Duration) (*Authority, KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -106,8 +106,8 @@
 	return a, pair, nil
 }
 
-// ReadAuthority reads an authority from its files. The first certificate in the
-// file is the one to sign with; others may follow it during a rotation.
+// ReadAuthority reads an authority from its files. The first certificate in the file is the
+// one to sign with; others may follow it during a rotation.
 func ReadAuthority(certificateFile, keyFile string) (*Authority, error) {
 	key, err := configurer.ReadSecret(keyFile)
 	if err != nil {
@@ -128,7 +128,8 @@
 	return &Authority{certificate: pair.Leaf, key: signer}, nil
 }
 
-// Issue makes a process's certificate, valid for a time from now on.
+// Issue creates a certificate for a process, valid from now for the given time. It fails if
+// the identity is invalid, or if the certificate would outlast the authority's.
 func (a *Authority) Issue(i Identity, now time.Time, validity time.Duration) (KeyPair, error) {
 	names := i.uris()
 	if read, err := IdentityOf(&x509.Certificate{URIs: names}); err != nil || read.Node != i.Node {
@@ -153,7 +154,7 @@
 	return pair, errors.Trace(err)
 }
 
-// sign makes the certificate of a key.
+// sign creates the certificate of a key, and returns it in DER and as a pair.
 func (a *Authority) sign(template *x509.Certificate, key *ecdsa.PrivateKey) ([]byte, KeyPair, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key.Public(), a.key)
 	if err != nil {
--- a/internal/transport/sealer/metrics.go
+++ b/internal/transport/sealer/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// The outcomes by which handshakes are counted.
+// The values of the outcome label of handshakes.
 const (
 	outcomeAccepted = "Accepted"
 	outcomeRefused  = "Refused"
@@ -10,7 +10,7 @@
 
 const namespace = "marigoldpoint_peers"
 
-// metrics are those of a process's connections to its peers.
+// metrics are the metrics of a process's connections to its peers.
 type metrics struct {
 	handshakes *prometheus.CounterVec
 	messages   prometheus.Counter
--- a/internal/transport/sealer/sealer.go
+++ b/internal/transport/sealer/sealer.go
@@ -19,54 +19,54 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// DefaultHandshakeTimeout bounds the handshake of an accepted connection. It is
-// longer than the diallers wait, so that a loaded host is given up by them, who
-// then know that nothing was sent.
+// DefaultHandshakeTimeout limits the handshake of an accepted connection. It is longer than
+// the diallers' own limit, so that with a loaded host the dialler gives up first and then
+// knows that nothing was sent.
 const DefaultHandshakeTimeout = 3 * time.Second
 
-// complaintInterval is the least time between two log lines on refused peers or
-// files: whoever reaches the port could otherwise fill the log's disk.
-const complaintInterval = time.Second
+// minLogInterval is the shortest time between two log lines about refused peers or about
+// files: otherwise anyone who can reach the port could fill the disk with logs.
+const minLogInterval = time.Second
 
 // Settings are the options of a Sealer.
 type Settings struct {
-	// Files hold the process's certificate, its key and the authority. Required.
+	// Files are the files of the process's certificate, its key and the authority.
+	// Required.
 	Files configurer.PeersSettings
-	// Node and Roles are the process's own. Its certificate must carry them.
+	// Node and Roles are those of this process. Its certificate must contain them.
 	Node  string
 	Roles []configurer.Role
-	// HandshakeTimeout bounds the handshake of an accepted connection; 0 means
+	// HandshakeTimeout limits the handshake of an accepted connection; 0 means
 	// DefaultHandshakeTimeout.
 	HandshakeTimeout time.Duration
-	// Registerer takes the metrics; nil means none.
+	// Registerer registers the metrics; nil means none.
 	Registerer prometheus.Registerer
 	Log        zerolog.Logger
-	// Now is the clock by which certificates are valid; nil means time.Now.
+	// Now is the clock for the validity of certificates; nil means time.Now.
 	Now func() time.Time
 }
 
-// DialFunc opens a connection.
+// DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Sealer makes the authenticated connections of one process. It may be used by
-// several goroutines.
+// Sealer opens and accepts the authenticated connections of one process. It is safe for
+// concurrent use.
 type Sealer struct {
 	settings Settings
 	metrics  *metrics
-	// refused and unread thin out the log.
-	refused rate.Sometimes
-	unread  rate.Sometimes
+	// refusalLog and reloadLog limit the rate of log lines.
+	refusalLog rate.Sometimes
+	reloadLog  rate.Sometimes
 
 	mu sync.Mutex
-	// material is what the files held last; guarded by mu.
+	// material is the last valid content of the files; guarded by mu.
 	material *material
-	// seen are the stamps of the files that material was read from; guarded by
-	// mu.
-	seen stamps
+	// fileStamps are the stamps of the files that material was read from; guarded by mu.
+	fileStamps stamps
 }
 
-// NewSealer reads the files. It fails where they don't fit each other or the
-// process, or where the certificate is not valid now.
+// NewSealer reads the files. It fails if they don't match each other or the process, or if
+// the certificate is not valid now.
 func NewSealer(s Settings) (*Sealer, error) {
 	s.HandshakeTimeout = cmp.Or(s.HandshakeTimeout, DefaultHandshakeTimeout)
 	if s.Now == nil {
@@ -74,22 +74,22 @@
 	}
 	r := &Sealer{
 		settings: s, metrics: newMetrics(s.Registerer),
-		refused: rate.Sometimes{Interval: complaintInterval}, unread: rate.Sometimes{Interval: complaintInterval},
+		refusalLog: rate.Sometimes{Interval: minLogInterval}, reloadLog: rate.Sometimes{Interval: minLogInterval},
 	}
-	seen, err := stampsOf(s.Files)
+	fileStamps, err := stampsOf(s.Files)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	m, err := r.read()
+	m, err := r.loadMaterial()
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	r.take(m, seen)
+	r.setMaterial(m, fileStamps)
 	return r, nil
 }
 
-// read reads the files, whose certificate must be this process's.
-func (s *Sealer) read() (*material, error) {
+// loadMaterial reads the files and checks that the certificate is this process's.
+func (s *Sealer) loadMaterial() (*material, error) {
 	m, err := load(s.settings.Files, s.settings.Now())
 	if err != nil {
 		return nil, err
@@ -105,41 +105,40 @@
 	return m, nil
 }
 
-// take puts files that were read to use. The caller holds mu, or is the only one
-// to know s.
-func (s *Sealer) take(m *material, seen stamps) {
-	s.material, s.seen = m, seen
+// setMaterial puts material into use. The caller holds mu, or has the only reference to s.
+func (s *Sealer) setMaterial(m *material, fileStamps stamps) {
+	s.material, s.fileStamps = m, fileStamps
 	s.metrics.expiry.Set(float64(m.certificate.Leaf.NotAfter.Unix()))
 }
 
-// current returns what the files hold, reading them again when they have
-// changed. The stamps are taken before the files are read: files replaced in
-// between are read once more by the next handshake.
+// current returns the material, and reloads it if the files have changed. The stamps are
+// taken before the files are read, so that files replaced in between are reloaded by the
+// next handshake.
 func (s *Sealer) current() *material {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen, err := stampsOf(s.settings.Files)
-	if err == nil && seen == s.seen {
+	fileStamps, err := stampsOf(s.settings.Files)
+	if err == nil && fileStamps == s.fileStamps {
 		return s.material
 	}
 	var m *material
 	if err == nil {
-		m, err = s.read()
+		m, err = s.loadMaterial()
 	}
 	if err != nil {
-		s.unread.Do(func() {
-			s.settings.Log.Warn().Err(err).Msg("changed certificate files can't be used; the former ones stay in use")
+		s.reloadLog.Do(func() {
+			s.settings.Log.Warn().Err(err).Msg("could not use the changed certificate files; the previous ones stay in use")
 		})
 		return s.material
 	}
-	s.take(m, seen)
-	s.settings.Log.Info().Time("NotAfter", m.certificate.Leaf.NotAfter).Msg("certificate files read again")
+	s.setMaterial(m, fileStamps)
+	s.settings.Log.Info().Time("NotAfter", m.certificate.Leaf.NotAfter).Msg("certificate files reloaded")
 	return m
 }
 
-// server returns the configuration of an accepting end.
-func (m *material) server(now func() time.Time) *tls.Config {
-	c := m.common(now)
+// serverConfig returns the TLS configuration of an accepting end.
+func (m *material) serverConfig(now func() time.Time) *tls.Config {
+	c := m.baseConfig(now)
 	c.ClientAuth = tls.RequireAndVerifyClientCert
 	c.ClientCAs = m.authority
 	c.VerifyConnection = func(state tls.ConnectionState) error {
@@ -149,15 +148,15 @@
 	return c
 }
 
-// client returns the configuration of an end that dials a process with a role.
-func (m *material) client(role configurer.Role, now func() time.Time) *tls.Config {
-	c := m.common(now)
+// clientConfig returns the TLS configuration for dialling a process with a role.
+func (m *material) clientConfig(role configurer.Role, now func() time.Time) *tls.Config {
+	c := m.baseConfig(now)
 	c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-		// By itself the library sends none to a listener that trusts another
-		// authority, which then can't tell its operators what was wrong.
+		// The library's default sends no certificate to a listener that trusts another
+		// authority, which then can't log what was wrong.
 		return &m.certificate, nil
 	}
-	// The name that the library would check is that of a host. Ours are URIs:
+	// The library would check the name of a host, but the names here are URIs.
 	// VerifyConnection checks the chain and the role instead.
 	c.InsecureSkipVerify = true
 	c.VerifyConnection = func(state tls.ConnectionState) error {
@@ -176,11 +175,11 @@
 	return c
 }
 
-// common returns what both ends share. There are no session tickets: a process
-// that restarted has forgotten its ticket keys, and restarts are what most
-// handshakes follow. Records have their full size from the start, since messages
-// are read whole: small first records only cost writes.
-func (m *material) common(now func() time.Time) *tls.Config {
+// baseConfig returns the configuration that both ends share. There are no session tickets:
+// most handshakes follow a restart, after which a process no longer has its ticket keys.
+// Records have their full size from the start: messages are processed only once complete,
+// so that small first records would only cost more writes.
+func (m *material) baseConfig(now func() time.Time) *tls.Config {
 	return &tls.Config{
 		Certificates:                []tls.Certificate{m.certificate},
 		MinVersion:                  tls.VersionTLS13,
@@ -190,20 +189,20 @@
 	}
 }
 
-// Dial returns a function that dials by the given one and then makes sure that
-// the other end has the role, and has accepted this process.
+// Dial returns a function that opens a connection by dial and then verifies that the other
+// end has the role and has accepted this process.
 func (s *Sealer) Dial(role configurer.Role, dial DialFunc) DialFunc {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		network, err := dial(ctx, address)
 		if err != nil {
 			return nil, err
 		}
-		c, err := open(ctx, tls.Client(network, s.current().client(role, s.settings.Now)), awaitAcceptance)
+		c, err := establish(ctx, tls.Client(network, s.current().clientConfig(role, s.settings.Now)), awaitAcceptance)
 		if ctx.Err() != nil {
-			// A dial that was given up says nothing about certificates.
+			// A cancelled dial says nothing about certificates, so it is not counted.
 			return nil, errors.Annotate(ctx.Err(), "handshake")
 		}
-		s.count(err, "dialling", address)
+		s.countHandshake(err, "dialling", address)
 		if err != nil {
 			return nil, errors.Annotate(err, "handshake")
 		}
@@ -211,31 +210,31 @@
 	}
 }
 
-// Allow decides whether the other end of a connection may send a message. It is
-// for messenger.Settings.Allow.
+// Allow returns nil if the other end of a connection may send a message, and otherwise a
+// *messenger.Refusal. It is used as messenger.Settings.Allow.
 func (s *Sealer) Allow(network net.Conn, m messenger.Method, params json.RawMessage) error {
 	c, ok := network.(*Conn)
 	if !ok {
-		return messenger.NewRefusal(messenger.ReasonForbidden, "the connection is not authenticated")
+		return messenger.NewRefusal(messenger.ReasonForbidden, "connection is not authenticated")
 	}
 	err := Authorize(c.peer, m, params)
 	if err != nil {
 		s.metrics.messages.Inc()
-		s.refused.Do(func() {
+		s.refusalLog.Do(func() {
 			s.settings.Log.Warn().Err(err).Str("Peer", c.RemoteAddr().String()).Msg("message refused")
 		})
 	}
 	return err
 }
 
-// count counts a handshake and tells of a refused one.
-func (s *Sealer) count(err error, doing, address string) {
+// countHandshake counts a handshake, and logs a failed one.
+func (s *Sealer) countHandshake(err error, action, address string) {
 	if err == nil {
 		s.metrics.handshakes.WithLabelValues(outcomeAccepted).Inc()
 		return
 	}
 	s.metrics.handshakes.WithLabelValues(outcomeRefused).Inc()
-	s.refused.Do(func() {
-		s.settings.Log.Warn().Err(err).Str("Peer", address).Msg(doing + ": handshake failed")
+	s.refusalLog.Do(func() {
+		s.settings.Log.Warn().Err(err).Str("Peer", address).Msg(action + ": handshake failed")
 	})
 }
--- a/internal/transport/sealer/sealer_test.go
+++ b/internal/transport/sealer/sealer_test.go
@@ -21,15 +21,15 @@
 	entry     = configurer.RoleEntry
 	companion = configurer.RoleCompanion
 	control   = configurer.RoleControl
-	// testLimit bounds what a test waits for; it is no measure of speed.
-	testLimit = 30 * time.Second
+	// testTimeout limits the waits of a test; it is no measure of speed.
+	testTimeout = 30 * time.Second
 )
 
 func tcp(ctx context.Context, address string) (net.Conn, error) {
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// serve answers all calls that s allows, and returns the address.
+// serve answers all calls that s allows, and returns its address.
 func serve(s *sealer.Sealer) string {
 	GinkgoHelper()
 	network, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,8 +42,8 @@
 	return l.Address()
 }
 
-// connected returns the connection of a dial that succeeds.
-func connected(ctx context.Context, s *sealer.Sealer, role configurer.Role, address string) *sealer.Conn {
+// mustDial returns the connection of a dial that must succeed.
+func mustDial(ctx context.Context, s *sealer.Sealer, role configurer.Role, address string) *sealer.Conn {
 	GinkgoHelper()
 	c, err := s.Dial(role, tcp)(ctx, address)
 	Expect(err).NotTo(HaveOccurred())
@@ -51,20 +51,20 @@
 	return c.(*sealer.Conn)
 }
 
-func refused(ctx context.Context, s *sealer.Sealer, role configurer.Role, address, why string) {
+func expectRefused(ctx context.Context, s *sealer.Sealer, role configurer.Role, address, reason string) {
 	GinkgoHelper()
 	_, err := s.Dial(role, tcp)(ctx, address)
-	Expect(err).To(MatchError(ContainSubstring(why)))
+	Expect(err).To(MatchError(ContainSubstring(reason)))
 }
 
-var _ = Describe("a sealed connection", func() {
+var _ = Describe("an authenticated connection", func() {
 	var d *deployment
 	BeforeEach(func() { d = newDeployment(GinkgoT().TempDir(), "first") })
 
-	It("carries what the peer's roles allow, and answers the rest with a refusal", func(ctx SpecContext) {
+	It("allows the messages of the peer's roles, and refuses the others", func(ctx SpecContext) {
 		address := serve(d.seal("engine-1", nil, companion))
 		call := func(node string, m messenger.Method, roles ...configurer.Role) (a messenger.Accepted, err error) {
-			c := messenger.NewConn(connected(ctx, d.seal(node, nil, roles...), companion, address), messenger.Settings{})
+			c := messenger.NewConn(mustDial(ctx, d.seal(node, nil, roles...), companion, address), messenger.Settings{})
 			defer c.Close()
 			err = c.Call(ctx, m, nil, &a)
 			return a, err
@@ -73,8 +73,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Incarnation).To(Equal("served"))
 
-		// Symptom: a companion's host that was broken into has requests run on all
-		// engines, since their companions take orders from whoever connects.
+		// Guards against an intruder on a companion's host who runs requests on all
+		// engines, because their companions accept dispatches from any peer.
 		_, err = call("engine-2", messenger.MethodDispatch, companion)
 		var refusal *messenger.Refusal
 		Expect(errors.As(err, &refusal)).To(BeTrue())
@@ -82,31 +82,31 @@
 			Reason: messenger.ReasonForbidden,
 			Detail: "Companion.Dispatch is for Entry, and came from marigoldpoint://companion/engine-2",
 		}))
-	}, NodeTimeout(testLimit))
+	}, NodeTimeout(testTimeout))
 
-	// Symptom: a request that a misconfigured entry sent ends as Unknown, though
-	// no companion read it. Sequence: the entry's handshake ends; it sends; the
-	// companion refuses its certificate. Cause: a dialler in TLS 1.3 is done before
-	// the listener has seen its certificate.
-	It("fails to open where the listener doesn't trust the dialler", func(ctx SpecContext) {
+	// Guards against requests of a misconfigured entry that end as Unknown although no
+	// companion has read them. In TLS 1.3 the dialler's handshake ends before the listener
+	// has seen its certificate, so the entry sends before the companion refuses the
+	// certificate.
+	It("fails to open if the listener doesn't trust the dialler", func(ctx SpecContext) {
 		other := newDeployment(GinkgoT().TempDir(), "second")
 		address := serve(d.seal("engine-1", nil, companion))
 		other.put("entry-1", other.issue("entry-1", time.Hour/2, entry), d)
 		s, err := sealer.NewSealer(sealer.Settings{Files: other.files("entry-1"), Node: "entry-1", Roles: []configurer.Role{entry}})
 		Expect(err).NotTo(HaveOccurred())
-		refused(ctx, s, companion, address, "not accepted: remote error: tls: unknown certificate authority")
-	}, NodeTimeout(testLimit))
+		expectRefused(ctx, s, companion, address, "not accepted: remote error: tls: unknown certificate authority")
+	}, NodeTimeout(testTimeout))
 
-	It("fails to open where the dialler doesn't trust the listener", func(ctx SpecContext) {
+	It("fails to open if the dialler doesn't trust the listener", func(ctx SpecContext) {
 		other := newDeployment(GinkgoT().TempDir(), "second")
 		address := serve(other.seal("engine-1", nil, companion))
-		refused(ctx, d.seal("entry-1", nil, entry), companion, address, "signed by unknown authority")
-	}, NodeTimeout(testLimit))
+		expectRefused(ctx, d.seal("entry-1", nil, entry), companion, address, "signed by unknown authority")
+	}, NodeTimeout(testTimeout))
 
-	It("fails to open where the listener has another role", func(ctx SpecContext) {
+	It("fails to open if the listener has another role", func(ctx SpecContext) {
 		address := serve(d.seal("engine-1", nil, companion))
-		refused(ctx, d.seal("engine-2", nil, companion), control, address, "engine-1 where the role Control is wanted")
-	}, NodeTimeout(testLimit))
+		expectRefused(ctx, d.seal("engine-2", nil, companion), control, address, "engine-1 where the role Control is wanted")
+	}, NodeTimeout(testTimeout))
 
 	It("fails to open with a certificate that has expired", func(ctx SpecContext) {
 		d.put("engine-1", d.issue("engine-1", time.Hour/2+5*time.Minute, companion))
@@ -115,30 +115,29 @@
 			Files: d.files("engine-1"), Node: "engine-1", Roles: []configurer.Role{companion}, Now: later,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		refused(ctx, d.seal("entry-1", nil, entry), companion, serve(engine), "not accepted: remote error: tls: expired certificate")
-	}, NodeTimeout(testLimit))
+		expectRefused(ctx, d.seal("entry-1", nil, entry), companion, serve(engine), "not accepted: remote error: tls: expired certificate")
+	}, NodeTimeout(testTimeout))
 
-	// Symptom: nobody can connect any more. Sequence: something opens connections
-	// and says nothing, as a load balancer's probe does. Cause: one handshake at a
-	// time.
-	It("opens while others say nothing, whom Close doesn't wait for", func(ctx SpecContext) {
+	// Guards against a listener that serializes handshakes and so accepts nobody while
+	// silent connections are open, such as those of a load balancer's probe.
+	It("opens while other connections are silent, and Close doesn't wait for these", func(ctx SpecContext) {
 		address := serve(d.seal("engine-1", nil, companion))
 		for range 10 {
 			c, err := tcp(ctx, address)
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(c.Close)
 		}
-		Expect(connected(ctx, d.seal("entry-1", nil, entry), companion, address).Identity().Node).To(Equal("engine-1"))
-	}, NodeTimeout(testLimit))
+		Expect(mustDial(ctx, d.seal("entry-1", nil, entry), companion, address).Identity().Node).To(Equal("engine-1"))
+	}, NodeTimeout(testTimeout))
 
-	// Symptom: a process can't connect in the seconds in which its files are being
-	// replaced, or not until its restart. Sequence: the certificate is replaced, a
-	// handshake begins, the key is replaced.
-	It("takes up files that were replaced, once they fit each other", func(ctx SpecContext) {
+	// Guards against a process that can't connect while its files are being replaced, or
+	// until its restart: the certificate is replaced, a handshake begins, and then the key
+	// is replaced.
+	It("reloads replaced files once they match each other", func(ctx SpecContext) {
 		address := serve(d.seal("engine-1", nil, companion))
 		client := d.seal("entry-1", nil, entry)
 		seen := func() time.Time {
-			return connected(ctx, client, companion, address).ConnectionState().PeerCertificates[0].NotAfter
+			return mustDial(ctx, client, companion, address).ConnectionState().PeerCertificates[0].NotAfter
 		}
 		before := seen()
 		next, files := d.issue("engine-1", 50*time.Minute, companion), d.files("engine-1")
@@ -146,9 +145,9 @@
 		Expect(seen()).To(Equal(before))
 		d.write(files.KeyFile, []byte(next.Key.Reveal()))
 		Expect(seen()).To(BeTemporally(">", before))
-	}, NodeTimeout(testLimit))
+	}, NodeTimeout(testTimeout))
 
-	It("moves to another authority without a refused handshake", func(ctx SpecContext) {
+	It("rotates to another authority without a refused handshake", func(ctx SpecContext) {
 		next := newDeployment(d.folder, "second")
 		next.writes = 100
 		address := serve(d.seal("engine-1", nil, companion))
@@ -160,16 +159,16 @@
 		}
 		for _, step := range steps {
 			step("engine-1", companion)
-			connected(ctx, client, companion, address)
+			mustDial(ctx, client, companion, address)
 			step("entry-1", entry)
-			connected(ctx, client, companion, address)
+			mustDial(ctx, client, companion, address)
 		}
-		refused(ctx, d.seal("entry-2", nil, entry), companion, address, "unknown authority")
-	}, NodeTimeout(testLimit))
+		expectRefused(ctx, d.seal("entry-2", nil, entry), companion, address, "unknown authority")
+	}, NodeTimeout(testTimeout))
 })
 
 var _ = Describe("NewSealer", func() {
-	DescribeTable("refuses files that other processes would refuse",
+	DescribeTable("rejects files that other processes would reject",
 		func(node string, role configurer.Role, age time.Duration, change func(configurer.PeersSettings), why string) {
 			d := newDeployment(GinkgoT().TempDir(), "first")
 			d.put("entry-1", d.issue("entry-1", time.Minute, entry))
@@ -184,7 +183,7 @@
 		Entry("of another authority", "entry-1", entry, 0*time.Second, func(f configurer.PeersSettings) {
 			Expect(os.WriteFile(f.AuthorityFile, newDeployment("", "second").root.Certificate, 0o600)).To(Succeed())
 		}, "unknown authority"),
-		Entry("with a key that others may read", "entry-1", entry, 0*time.Second, func(f configurer.PeersSettings) {
+		Entry("with a key that others can read", "entry-1", entry, 0*time.Second, func(f configurer.PeersSettings) {
 			Expect(os.Chmod(f.KeyFile, 0o644)).To(Succeed())
 		}, "mode 0644"),
 	)
--- a/internal/transport/sealer/suite_test.go
+++ b/internal/transport/sealer/suite_test.go
@@ -14,7 +14,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/sealer"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func TestSealer(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -51,8 +51,8 @@
 	return p
 }
 
-// write puts a file in place, each later than the one before: a file system's
-// clock may not tell two writes of a test apart.
+// write writes a file with a modification time later than that of the previous one, since
+// two writes of a test may fall into one tick of the file system's clock.
 func (d *deployment) write(path string, data []byte) {
 	GinkgoHelper()
 	Expect(os.WriteFile(path, data, 0o600)).To(Succeed())
@@ -61,7 +61,7 @@
 	Expect(os.Chtimes(path, later, later)).To(Succeed())
 }
 
-// put writes all files of a node; it trusts the authorities given besides its own.
+// put writes all files of a node, which trusts its own authority and those of others.
 func (d *deployment) put(node string, p sealer.KeyPair, others ...*deployment) {
 	GinkgoHelper()
 	trusted := d.root.Certificate
@@ -74,7 +74,7 @@
 	d.write(files.CertificateFile, p.Certificate)
 }
 
-// seal makes the sealer of a node with a new certificate.
+// seal returns the sealer of a node with a new certificate.
 func (d *deployment) seal(node string, now func() time.Time, roles ...configurer.Role) *sealer.Sealer {
 	GinkgoHelper()
 	d.put(node, d.issue(node, time.Hour/2, roles...))
