--- a/internal/transport/attendant/admission.go
+++ b/internal/transport/attendant/admission.go
@@ -60,7 +60,7 @@
 		return messenger.Admitted{Version: adm.version}, nil
 	case adm.refused == nil:
 		a.remove(adm)
-		adm.refused = messenger.NewRefusal(messenger.ReasonDeadline, "adapter was not ready within the wait limit")
+		adm.refused = messenger.NewRefusal(messenger.ReasonDeadline, "the adapter was not ready in time")
 	}
 	a.metrics.refused.Inc()
 	a.settings.Log.Info().Str("Request", adm.msg.Request).Str("Version", adm.name).Dur("Waited", waited).
@@ -76,19 +76,19 @@
 	now := a.settings.Now()
 	if _, released := a.earlyReleases[m.Request]; released {
 		delete(a.earlyReleases, m.Request)
-		return nil, messenger.NewRefusal(messenger.ReasonCancelled, "request was released before its admission arrived")
+		return nil, messenger.NewRefusal(messenger.ReasonCancelled, "released before it was admitted")
 	}
 	switch {
 	case a.closed:
-		return nil, messenger.NewRefusal(messenger.ReasonStopping, "companion is stopping")
+		return nil, messenger.NewRefusal(messenger.ReasonStopping, "the companion stops")
 	case a.table == nil || !a.reachable:
-		return nil, messenger.NewRefusal(messenger.ReasonUnavailable, "engine is not reachable")
+		return nil, messenger.NewRefusal(messenger.ReasonUnavailable, "the engine was not seen lately")
 	case m.Incarnation != "" && a.incarnation != "" && m.Incarnation != a.incarnation:
-		return nil, messenger.NewRefusal(messenger.ReasonStaleEpoch, "engine has another incarnation")
+		return nil, messenger.NewRefusal(messenger.ReasonStaleEpoch, "another life of the engine")
 	case m.Model != "" && !a.report.hasModel(m.Model) && a.orderedModel != m.Model:
-		return nil, messenger.NewRefusal(messenger.ReasonUnavailable, "engine has not loaded the model")
+		return nil, messenger.NewRefusal(messenger.ReasonUnavailable, "the engine does not hold the model")
 	case a.admissions[m.Request] != nil:
-		return nil, messenger.NewRefusal(messenger.ReasonMalformed, "request is already admitted")
+		return nil, messenger.NewRefusal(messenger.ReasonMalformed, "the request is admitted already")
 	}
 	if refusal := a.checkExpectedWait(m); refusal != nil {
 		return nil, refusal
@@ -124,7 +124,7 @@
 		return nil
 	}
 	a.metrics.sentBack.Inc()
-	r := messenger.NewRefusal(messenger.ReasonMisled, "request would wait much longer than its entry expected")
+	r := messenger.NewRefusal(messenger.ReasonMisled, "the request would wait much longer than expected")
 	r.RetryAfterMillis = wait.Milliseconds()
 	return r
 }
@@ -241,7 +241,7 @@
 	}
 	if !adm.admitted {
 		a.remove(adm)
-		adm.refused = messenger.NewRefusal(messenger.ReasonCancelled, "request was released while it waited")
+		adm.refused = messenger.NewRefusal(messenger.ReasonCancelled, "released while it waited")
 		close(adm.done)
 		return
 	}
--- a/internal/transport/attendant/observing.go
+++ b/internal/transport/attendant/observing.go
@@ -97,7 +97,7 @@
 			adm.inTable = false
 			a.apply(a.table.Drop(a.settings.Now(), adm.msg.Request))
 		}
-		a.refuse(adm, messenger.NewRefusal(messenger.ReasonStopping, "engine is leaving"))
+		a.refuse(adm, messenger.NewRefusal(messenger.ReasonStopping, "the engine leaves"))
 	}
 }
 
--- a/internal/transport/attendant/ordering.go
+++ b/internal/transport/attendant/ordering.go
@@ -128,13 +128,13 @@
 		if pending {
 			missing = 0
 		} else if missing++; missing > maxMissingReports {
-			return errors.New("engine dropped the load")
+			return errors.New("the engine gave the load up")
 		}
 		if a.settings.Now().Sub(began) > a.settings.LoadTimeout {
-			return errors.New("load timed out")
+			return errors.New("the load took too long")
 		}
 	}
-	return errors.New("companion is stopping")
+	return errors.New("the companion stops")
 }
 
 // maxMissingReports is the number of successive reports without an accepted load after
@@ -255,7 +255,7 @@
 	case r.satisfied(o):
 		return true, false, nil
 	case o.Kind == OrderLoad && o.Adapter != "" && !r.hasModel(o.Model):
-		return false, false, errors.New("engine has not loaded the model")
+		return false, false, errors.New("the engine does not hold the model")
 	case o.Kind == OrderLoad && o.Adapter != "" && len(r.slots()) >= a.slotCount():
 		// An order for more adapters than fit would crash the engine.
 		return false, false, errNoSlot
@@ -267,7 +267,7 @@
 	case reply == ReplyAccepted, reply == ReplyAlreadyDone:
 		return true, true, nil
 	default:
-		return reply == ReplyFenced || reply == ReplyInvalid, true, errors.Errorf("engine refused the order: %s", reply)
+		return reply == ReplyFenced || reply == ReplyInvalid, true, errors.Errorf("the engine answered %s", reply)
 	}
 }
 
--- a/internal/transport/companion/dispatch.go
+++ b/internal/transport/companion/dispatch.go
@@ -78,7 +78,7 @@
 		}
 		return accepted, refusal
 	case errors.Is(err, streamer.ErrBarred):
-		return messenger.Accepted{}, messenger.NewRefusal(messenger.ReasonNeverSeen, "the attempt has been declared never seen")
+		return messenger.Accepted{}, messenger.NewRefusal(messenger.ReasonNeverSeen, "declared never seen")
 	default:
 		// This attempt has not run, but the request may have.
 		return messenger.Accepted{}, messenger.NewRefusal(messenger.ReasonOutcomeUnknown, err.Error())
--- a/internal/transport/companion/drain_test.go
+++ b/internal/transport/companion/drain_test.go
@@ -28,7 +28,8 @@
 	})
 
 	It("ends a membership whose join completes after the leave", func() {
-		// Guards against a membership that keeps serving because its join was in progress during the leave.
+		// Guards against a membership that keeps serving because its join was in progress
+		// during the leave.
 		b := newBench(generator.Settings{})
 		joins := b.control.joins.Load()
 		b.control.joinGate = make(chan struct{})
--- a/internal/transport/companion/faults_test.go
+++ b/internal/transport/companion/faults_test.go
@@ -186,7 +186,7 @@
 		b.companion.cancelJob(messenger.Cancel{Request: "r1", Attempt: 1})
 		Expect(l.wait("r1").Reason).To(Equal(messenger.ReasonCancelled))
 		Expect(b.engine.Record().Runs[0].Outcome).To(Equal(generator.Cancelled))
-		// A cancellation that overtakes its dispatch keeps it from running.
+		// A cancellation that overtakes its dispatch prevents it from running.
 		b.companion.cancelJob(messenger.Cancel{Request: "r2", Attempt: 1})
 		Expect(l.refused(b.call("r2", "w/a@1", 5)).Reason).To(Equal(messenger.ReasonNeverSeen))
 	})
--- a/internal/transport/sealer/conn.go
+++ b/internal/transport/sealer/conn.go
@@ -56,7 +56,7 @@
 func awaitAcceptance(network net.Conn) error {
 	var first [1]byte
 	if _, err := io.ReadFull(network, first[:]); err != nil {
-		return errors.Annotate(err, "certificate of this process was not accepted")
+		return errors.Annotate(err, "this process's certificate was not accepted")
 	}
 	if first[0] != acceptance {
 		return errors.NotValidf("first byte %d of a listener", first[0])
--- a/internal/transport/sealer/sealer.go
+++ b/internal/transport/sealer/sealer.go
@@ -215,7 +215,7 @@
 func (s *Sealer) Allow(network net.Conn, m messenger.Method, params json.RawMessage) error {
 	c, ok := network.(*Conn)
 	if !ok {
-		return messenger.NewRefusal(messenger.ReasonForbidden, "connection is not authenticated")
+		return messenger.NewRefusal(messenger.ReasonForbidden, "the connection is not authenticated")
 	}
 	err := Authorize(c.peer, m, params)
 	if err != nil {
--- a/internal/transport/subscriber/client.go
+++ b/internal/transport/subscriber/client.go
@@ -216,7 +216,7 @@
 		case <-ctx.Done():
 			return nil, nil, errors.Trace(ctx.Err())
 		case <-c.ctx.Done():
-			return nil, nil, errors.New("client is closed")
+			return nil, nil, errors.New("the client is closed")
 		}
 	}
 }
