--- a/internal/transport/attendant/engine.go
+++ b/internal/transport/attendant/engine.go
@@ -28,7 +28,7 @@
 type Report struct {
 	// Sequence is the number of orders that this incarnation of the engine has accepted.
 	Sequence uint64
-	// Born is when this incarnation started, in Unix milliseconds; 0 if not reported.
+	// Born is when this incarnation started, in milliseconds since 1970; 0 if not reported.
 	Born uint64
 	// Busy reports whether an order for a whole model is in progress.
 	Busy    bool
--- a/internal/transport/companion/faults_test.go
+++ b/internal/transport/companion/faults_test.go
@@ -98,13 +98,13 @@
 		// engine.
 		b := newBench(slow)
 		l := newLink(b.companion)
-		life := b.companion.engine.Incarnation
+		incarnation := b.companion.engine.Incarnation
 		l.send(b.call("long", "w/a@1", 5000))
 		l.waitForText("long")
 		b.engine.Inject(generator.Faults{Restart: true})
 		end := l.wait("long")
 		Expect(end.Outcome).To(Equal(messenger.OutcomeUnknown))
-		Expect(end.EndedLives).To(Equal([]string{life}))
+		Expect(end.EndedLives).To(Equal([]string{incarnation}))
 		l.send(b.call("short", "w/a@1", 5))
 		Expect(l.wait("short").EndedLives).To(BeEmpty())
 	})
