--- a/internal/transport/companion/faults_test.go
+++ b/internal/transport/companion/faults_test.go
@@ -98,13 +98,13 @@
 		// engine.
 		b := newBench(slow)
 		l := newLink(b.companion)
-		life := b.companion.engine.Incarnation
+		incarnation := b.companion.engine.Incarnation
 		l.send(b.call("long", "w/a@1", 5000))
 		l.waitForText("long")
 		b.engine.Inject(generator.Faults{Restart: true})
 		end := l.wait("long")
 		Expect(end.Outcome).To(Equal(messenger.OutcomeUnknown))
-		Expect(end.EndedLives).To(Equal([]string{life}))
+		Expect(end.EndedLives).To(Equal([]string{incarnation}))
 		l.send(b.call("short", "w/a@1", 5))
 		Expect(l.wait("short").EndedLives).To(BeEmpty())
 	})
@@ -186,7 +186,7 @@
 		b.companion.cancelJob(messenger.Cancel{Request: "r1", Attempt: 1})
 		Expect(l.wait("r1").Reason).To(Equal(messenger.ReasonCancelled))
 		Expect(b.engine.Record().Runs[0].Outcome).To(Equal(generator.Cancelled))
-		// A cancellation that overtakes its dispatch keeps it from running.
+		// A cancellation that overtakes its dispatch prevents it from running.
 		b.companion.cancelJob(messenger.Cancel{Request: "r2", Attempt: 1})
 		Expect(l.refused(b.call("r2", "w/a@1", 5)).Reason).To(Equal(messenger.ReasonNeverSeen))
 	})
