--- a/internal/transport/controller/administration.go
+++ b/internal/transport/controller/administration.go
@@ -38,14 +38,6 @@
 //
 // notAccepted reports whether an error of ChangeGroup proves that the change has no
 // effect.
-//
-//	GET    /api/v1/control             the group, as one of its hosts sees it
-//	PUT    /api/v1/control/hosts/{id}  add a host; body {"Address","FailureDomain","Voter"}
-//	DELETE /api/v1/control/hosts/{id}  remove a host
-//	POST   /api/v1/control/transfer    hand leadership to another host
-//
-// NotAccepted reports whether an error of ChangeGroup proves that the change has
-// no effect.
 func Administration(group GroupClient, notAccepted func(error) bool) http.Handler {
 	a := administration{group: group, notAccepted: notAccepted}
 	mux := http.NewServeMux()
--- a/internal/transport/controller/control.go
+++ b/internal/transport/controller/control.go
@@ -46,9 +46,10 @@
 	stopping bool
 
 	knowledgeMu sync.Mutex
-	// knowledge tracks the age of this host's knowledge; guarded by knowledgeMu.
+	// knowledge records up to when this host is known to hold everything accepted;
+	// guarded by knowledgeMu.
 	knowledge distributor.Lease
-	// term is the highest leader's term received; guarded by knowledgeMu.
+	// term is the highest term in the pulses received; guarded by knowledgeMu.
 	term uint64
 
 	lastHeartbeats lastHeartbeats
--- a/internal/transport/controller/member.go
+++ b/internal/transport/controller/member.go
@@ -63,7 +63,7 @@
 		return
 	}
 	if d := c.currentDuties(); d != nil {
-		c.notifyVoid(d.renew(batch))
+		c.notifyMembershipEnd(d.renew(batch))
 		return
 	}
 	leader, ok := c.agreement.Leader()
@@ -82,11 +82,11 @@
 			c.settings.Log.Debug().Err(err).Str("Leader", leader.Address).Msg("failed to forward lease renewals to the leader")
 			return
 		}
-		c.notifyVoid(answer)
+		c.notifyMembershipEnd(answer)
 	})
 }
 
-// renewHere serves MethodRenewBatch.
+// serveRenewBatch serves MethodRenewBatch.
 func (c *Control) serveRenewBatch(b registrar.RenewBatch) (registrar.RenewAnswer, error) {
 	d := c.currentDuties()
 	if d == nil {
@@ -95,8 +95,9 @@
 	return d.renew(b), nil
 }
 
-// notifyVoid notifies the companions connected here whose memberships have ended.
-func (c *Control) notifyVoid(a registrar.RenewAnswer) {
+// notifyMembershipEnd notifies the companions connected here whose memberships have
+// ended.
+func (c *Control) notifyMembershipEnd(a registrar.RenewAnswer) {
 	for _, m := range a.Void {
 		conn := c.relay.companion(m.Name)
 		if conn == nil {
--- a/internal/transport/controller/pulse.go
+++ b/internal/transport/controller/pulse.go
@@ -18,7 +18,7 @@
 	s := c.settings
 	ticker := time.NewTicker(s.TickInterval)
 	defer ticker.Stop()
-	var lastDigest, lastPulse, lastRenew, lastHosts time.Time
+	var lastDigest, lastPulse, lastRenew, lastHostPulse time.Time
 	lastTerm := uint64(0)
 	for {
 		select {
@@ -27,11 +27,11 @@
 		case <-ticker.C:
 		}
 		now := s.Now()
-		hosts := now.Sub(lastHosts) >= s.PulseInterval/hostPulsesPerNodePulse
-		if hosts {
-			lastHosts = now
+		pulseHosts := now.Sub(lastHostPulse) >= s.PulseInterval/hostPulsesPerNodePulse
+		if pulseHosts {
+			lastHostPulse = now
 		}
-		if c.refreshKnowledge(now, hosts); c.knownTerm() != lastTerm {
+		if c.refreshKnowledge(now, pulseHosts); c.knownTerm() != lastTerm {
 			// Companions report their permits to a new leader once they know its term.
 			// Pulsing at once lets loads continue earlier.
 			lastTerm, lastPulse = c.knownTerm(), time.Time{}
@@ -57,9 +57,9 @@
 	}
 }
 
-// refreshKnowledge updates the age of this host's knowledge of what is in force. A leader
-// also sends pulses to the other hosts if hosts is set.
-func (c *Control) refreshKnowledge(now time.Time, hosts bool) {
+// refreshKnowledge updates the age of this host's knowledge of what is in force. If
+// pulseHosts is set, a leader also sends pulses to the other hosts.
+func (c *Control) refreshKnowledge(now time.Time, pulseHosts bool) {
 	status := c.agreement.Status()
 	c.links.updateMembers(status.Members)
 	if age, ok := c.knowledgeAge(); ok {
@@ -78,7 +78,7 @@
 	// does not know.
 	p := distributor.Pulse{Term: status.Term, Revision: c.store.Revision()}
 	c.applyPulse(now, p)
-	if !hosts {
+	if !pulseHosts {
 		return
 	}
 	for _, address := range c.otherHosts() {
--- a/internal/transport/controller/reader.go
+++ b/internal/transport/controller/reader.go
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// barrierHere serves MethodBarrier.
+// serveBarrier serves MethodBarrier.
 func (c *Control) serveBarrier(ctx context.Context, b distributor.Barrier) (distributor.BarrierPassed, error) {
 	ctx, cancel := bounded(ctx, b.TimeoutMillis)
 	defer cancel()
