--- a/internal/coordination/router/prefix.go
+++ b/internal/coordination/router/prefix.go
@@ -53,8 +53,7 @@
 	return hasher.Mix(prefix ^ version)
 }
 
-// recordPrefix records that the backend server has the prefix. The caller holds the
-// shard's lock.
+// recordPrefix records that the backend server has the prefix. The caller holds mu.
 func (s *shard) recordPrefix(b *backend, prefix uint64) {
 	s.prefixes[prefix%prefixCount] = prefixPlace{prefix: prefix, index: b.index, generation: b.generation, gaps: b.cache.gaps.Load()}
 }
@@ -68,7 +67,7 @@
 }
 
 // prefixHolder returns the backend server that has the prefix, or nil. The caller holds
-// the shard's lock.
+// mu.
 func (s *shard) prefixHolder(w *view, prefix uint64) *backend {
 	place := &s.prefixes[prefix%prefixCount]
 	if prefix == 0 || place.prefix != prefix {
--- a/internal/coordination/router/router.go
+++ b/internal/coordination/router/router.go
@@ -84,7 +84,7 @@
 func (r *Router) shard(hash uint64) *shard { return &r.shards[hash%shardCount] }
 
 // version returns the state of the version, creating it if necessary. The caller holds
-// the shard's lock.
+// mu.
 func (s *shard) version(w *view, name string, hash uint64, limit int, now time.Time) *version {
 	v := s.versions[name]
 	if v == nil {
