--- a/internal/transport/attendant/ordering.go
+++ b/internal/transport/attendant/ordering.go
@@ -61,7 +61,7 @@
 }
 
 // load orders an adapter, waits until the engine has loaded it, and reports the outcome to
-// the table.
+// the table under mu.
 func (a *Attendant) load(l loader.LoadAction) {
 	began := a.settings.Now()
 	model, adapter, version := splitVersion(l.Version)
@@ -142,7 +142,7 @@
 const maxMissingReports = 6
 
 // unload orders the engine to unload a version, waits until it has, and reports the outcome
-// to the table.
+// to the table under mu.
 func (a *Attendant) unload(u loader.UnloadAction) {
 	model, adapter, _ := splitVersion(u.Version)
 	outcome := loader.OutcomeDone
