--- a/internal/transport/starter/process.go
+++ b/internal/transport/starter/process.go
@@ -83,7 +83,7 @@
 	// at any time before Close.
 	companionMu sync.Mutex
 	// companionSettings are the companion's settings, completed by the announcement that
-	// started it.
+	// started it; guarded by companionMu.
 	companionSettings configurer.CompanionSettings
 	// incarnation is the one in the backend server's last announcement.
 	incarnation string
