--- a/internal/transport/controller/administration.go
+++ b/internal/transport/controller/administration.go
@@ -122,7 +122,7 @@
 func (a administration) host(w http.ResponseWriter, r *http.Request) (uint64, bool) {
 	id, err := strconv.ParseUint(r.PathValue(wildcardHost), 10, 64)
 	if err != nil || id == 0 {
-		answerJSON(w, http.StatusBadRequest, AdministrationProblem{Reason: "the host ID must be a positive integer", Accepted: acceptedNo})
+		answerJSON(w, http.StatusBadRequest, AdministrationProblem{Reason: "a host's id is a number above 0", Accepted: acceptedNo})
 		return 0, false
 	}
 	return id, true
--- a/internal/transport/controller/announcing.go
+++ b/internal/transport/controller/announcing.go
@@ -14,7 +14,7 @@
 
 // ErrNoLeaderContact is returned by a host that may be partitioned from the leader. The
 // sender should retry at another host.
-const ErrNoLeaderContact = errors.ConstError("this control host has no recent contact with a leader")
+const ErrNoLeaderContact = errors.ConstError("this control host is not in touch with a leader")
 
 // maxLeaderContactAge is the maximum knowledge age at which this host acknowledges
 // heartbeats: two pulse intervals of a leader, with time for one pulse to be late. A
--- a/internal/transport/controller/duties.go
+++ b/internal/transport/controller/duties.go
@@ -239,7 +239,7 @@
 func (d *duties) requestPermit(ctx context.Context, r permitter.Request) (permitter.Grant, error) {
 	if _, member := d.control.store.Get(storer.Key{Kind: storer.KindMember, Name: r.Companion}); !member {
 		// The next leader would not know that this companion may hold a permit.
-		return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonUnavailable, "the companion is not a member")
+		return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonUnavailable, "no member of that name")
 	}
 	key := permitKey{companion: r.Companion, version: r.Version}
 	granted := make(chan permitter.Grant, 1)
@@ -274,7 +274,7 @@
 	if d.ctx.Err() != nil {
 		return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonUnavailable, "leadership ended")
 	}
-	return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonDeadline, "no permit became available before the deadline")
+	return permitter.Grant{}, messenger.NewRefusal(messenger.ReasonDeadline, "no permit within the time")
 }
 
 func (d *duties) finishPermit(f permitter.Finish) {
--- a/internal/transport/controller/enlisting.go
+++ b/internal/transport/controller/enlisting.go
@@ -146,7 +146,7 @@
 	old, found := replicator.Configuration{Members: agreement.Status().Members}.Find(replicator.HostID(e.Host.ID))
 	if found && old.Voter && old.Incarnation != e.Incarnation {
 		if err := agreement.RemoveMember(ctx, old.ID); err != nil {
-			return errors.Annotate(err, "remove the voter whose disk is lost")
+			return errors.Annotate(err, "remove the host's lost disk")
 		}
 	}
 	return errors.Trace(agreement.AddMember(ctx, replicator.Member{
--- a/internal/transport/controller/forward.go
+++ b/internal/transport/controller/forward.go
@@ -54,7 +54,7 @@
 		case forwarded:
 			return c.notLeader()
 		case status.Leader == 0:
-			err = messenger.NewRefusal(messenger.ReasonUnavailable, "the control group has no known leader")
+			err = messenger.NewRefusal(messenger.ReasonUnavailable, "no leader is known")
 		default:
 			err = c.forward(ctx, status.Leader, remote)
 		}
@@ -77,7 +77,7 @@
 func (c *Control) forward(ctx context.Context, leader replicator.HostID, remote func(ctx context.Context, conn *messenger.Conn) error) error {
 	address := c.links.address(leader)
 	if address == "" {
-		return messenger.NewRefusal(messenger.ReasonUnavailable, "the leader's address is unknown")
+		return messenger.NewRefusal(messenger.ReasonUnavailable, "the leader's address is not known")
 	}
 	conn, err := c.pool.Conn(ctx, address)
 	if err != nil {
--- a/internal/transport/controller/permits.go
+++ b/internal/transport/controller/permits.go
@@ -14,7 +14,7 @@
 	err = c.onLeader(ctx, a.Forwarded, func(ctx context.Context) error {
 		d := c.currentDuties()
 		if d == nil {
-			return messenger.NewRefusal(messenger.ReasonUnavailable, "the leader is not ready to grant permits")
+			return messenger.NewRefusal(messenger.ReasonUnavailable, "the leader takes up its duties")
 		}
 		var err error
 		grant, err = d.requestPermit(ctx, a.Request)
--- a/internal/transport/controller/proposal.go
+++ b/internal/transport/controller/proposal.go
@@ -66,7 +66,7 @@
 	}
 	result, ok := answer.(storer.Result)
 	if !ok {
-		return storer.Result{}, errors.Errorf("unexpected result type %T of the store", answer)
+		return storer.Result{}, errors.Errorf("the store answered with %T", answer)
 	}
 	c.metrics.proposals.WithLabelValues(outcomeAccepted).Inc()
 	if result.Verdict == storer.VerdictAccepted && result.Resource != nil && !result.Replayed {
--- a/internal/transport/controller/reader.go
+++ b/internal/transport/controller/reader.go
@@ -118,7 +118,7 @@
 		return nil
 	}
 	if err := c.store.Wait(ctx, passed.Revision-1); err != nil {
-		return messenger.NewRefusal(messenger.ReasonUnavailable, "this host has not caught up with the leader")
+		return messenger.NewRefusal(messenger.ReasonUnavailable, "this host is behind")
 	}
 	return nil
 }
--- a/internal/transport/controller/reports.go
+++ b/internal/transport/controller/reports.go
@@ -52,7 +52,7 @@
 	select {
 	case <-b.done:
 	case <-ctx.Done():
-		return bucketer.Answer{}, messenger.NewRefusal(messenger.ReasonUnavailable, "the sender of the report disconnected")
+		return bucketer.Answer{}, messenger.NewRefusal(messenger.ReasonUnavailable, "the report's sender has left")
 	case <-r.control.ctx.Done():
 		return bucketer.Answer{}, messenger.NewRefusal(messenger.ReasonStopping, "")
 	}
--- a/internal/transport/operator/change.go
+++ b/internal/transport/operator/change.go
@@ -34,7 +34,7 @@
 	// read, which serves as a condition too.
 	if revision := resource.Metadata.Revision; revision != 0 && !c.ifNoneMatch {
 		if c.ifMatch != 0 && c.ifMatch != revision {
-			a.writeProblem(w, newProblem(ReasonInvalid, "If-Match and Metadata.Revision contain different revisions"))
+			a.writeProblem(w, newProblem(ReasonInvalid, "If-Match and Metadata.Revision differ"))
 			return
 		}
 		c.ifMatch = revision
@@ -61,7 +61,7 @@
 		return
 	}
 	if c.ifNoneMatch {
-		a.writeProblem(w, newProblem(ReasonInvalid, "If-None-Match is not allowed in a deletion"))
+		a.writeProblem(w, newProblem(ReasonInvalid, "If-None-Match of a deletion"))
 		return
 	}
 	result, p := a.change(w, r, storer.DeleteResource{Key: key, IfMatch: c.ifMatch})
@@ -84,9 +84,9 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, newProblem(ReasonTooLarge, "the body exceeds the size limit")
+		return nil, newProblem(ReasonTooLarge, "the body is longer than allowed")
 	case err != nil:
-		return nil, newProblem(ReasonInvalid, "the body is incomplete")
+		return nil, newProblem(ReasonInvalid, "the body did not arrive whole")
 	default:
 		return data, nil
 	}
@@ -106,9 +106,9 @@
 	result, err := a.settings.Control.Propose(ctx, e)
 	switch {
 	case err != nil && a.settings.NotAccepted(err):
-		return result, newProblem(ReasonNotAccepted, "the change did not take effect: "+err.Error())
+		return result, newProblem(ReasonNotAccepted, "the change has not taken effect: "+err.Error())
 	case err != nil:
-		return result, newProblem(ReasonOutcomeUnknown, "the change may have taken effect; repeat it with the same Idempotency-Key: "+err.Error())
+		return result, newProblem(ReasonOutcomeUnknown, "the change may have taken effect; ask again with the same Idempotency-Key: "+err.Error())
 	}
 	if result.Replayed {
 		w.Header().Set(headerReplayed, "true")
@@ -134,7 +134,7 @@
 	digest := sha256.Sum256(data)
 	key := r.Header.Get(headerIdempotencyKey)
 	if len(key) > storer.MaxIdempotencyKey {
-		return storer.Envelope{}, errors.Errorf("%s has %d bytes; at most %d are allowed", headerIdempotencyKey, len(key), storer.MaxIdempotencyKey)
+		return storer.Envelope{}, errors.Errorf("%s of %d bytes; up to %d are allowed", headerIdempotencyKey, len(key), storer.MaxIdempotencyKey)
 	}
 	if key == "" {
 		key = a.settings.NewKey()
--- a/internal/transport/operator/document.go
+++ b/internal/transport/operator/document.go
@@ -127,11 +127,11 @@
 	}
 	switch {
 	case b.Kind != nil && *b.Kind != key.Kind:
-		return storer.Resource{}, errors.Errorf("Kind is %v, but the path is that of a %v", *b.Kind, key.Kind)
+		return storer.Resource{}, errors.Errorf("Kind is %v, the path that of a %v", *b.Kind, key.Kind)
 	case b.Metadata.Workspace != "" && b.Metadata.Workspace != key.Workspace:
-		return storer.Resource{}, errors.Errorf("Metadata.Workspace is %q, but the path has %q", b.Metadata.Workspace, key.Workspace)
+		return storer.Resource{}, errors.Errorf("Metadata.Workspace is %q, that of the path %q", b.Metadata.Workspace, key.Workspace)
 	case b.Metadata.Name != "" && b.Metadata.Name != key.Name:
-		return storer.Resource{}, errors.Errorf("Metadata.Name is %q, but the path has %q", b.Metadata.Name, key.Name)
+		return storer.Resource{}, errors.Errorf("Metadata.Name is %q, that of the path %q", b.Metadata.Name, key.Name)
 	case len(b.Spec) == 0:
 		return storer.Resource{}, errors.New("the body has no Spec")
 	}
@@ -154,18 +154,18 @@
 	var k keyBody
 	if err := storer.UnmarshalStrict(data, &k); err != nil {
 		// The error could quote the body, and a secret must not be returned.
-		return nil, errors.New("only the fields Secret, Hash and Disabled are allowed")
+		return nil, errors.New("the fields are Secret or Hash, and Disabled")
 	}
 	if k.Secret == "" {
 		return storer.KeySpec{Hash: k.Hash, Disabled: k.Disabled}, nil
 	}
 	if len(k.Secret) < minSecretBytes || len(k.Secret) > maxSecretBytes {
-		return nil, errors.Errorf("Secret has %d bytes; %d to %d are allowed", len(k.Secret), minSecretBytes, maxSecretBytes)
+		return nil, errors.Errorf("Secret of %d bytes; %d to %d are allowed", len(k.Secret), minSecretBytes, maxSecretBytes)
 	}
 	sum := sha256.Sum256([]byte(k.Secret))
 	hash := hex.EncodeToString(sum[:])
 	if k.Hash != "" && k.Hash != hash {
-		return nil, errors.New("Hash does not match Secret")
+		return nil, errors.New("Hash is not that of Secret")
 	}
 	return storer.KeySpec{Hash: hash, Disabled: k.Disabled}, nil
 }
--- a/internal/transport/operator/header.go
+++ b/internal/transport/operator/header.go
@@ -43,7 +43,7 @@
 func parseETag(tag string) (uint64, error) {
 	revision, err := strconv.ParseUint(strings.Trim(tag, `"`), 10, 64)
 	if err != nil || revision == 0 {
-		return 0, errors.Errorf("%q is not a revision", tag)
+		return 0, errors.Errorf("%q is no revision", tag)
 	}
 	return revision, nil
 }
@@ -67,12 +67,12 @@
 	}
 	if tag := h.Get(headerIfNoneMatch); tag != "" {
 		if tag != anyRevision {
-			return c, errors.Errorf("%s of a change must be *, not %q", headerIfNoneMatch, tag)
+			return c, errors.Errorf("%s of a change is *, not %q", headerIfNoneMatch, tag)
 		}
 		c.ifNoneMatch = true
 	}
 	if c.ifMatch != 0 && c.ifNoneMatch {
-		return c, errors.Errorf("%s and %s can't be combined", headerIfMatch, headerIfNoneMatch)
+		return c, errors.Errorf("%s and %s exclude each other", headerIfMatch, headerIfNoneMatch)
 	}
 	return c, nil
 }
--- a/internal/transport/operator/read.go
+++ b/internal/transport/operator/read.go
@@ -99,7 +99,7 @@
 	number, name, _ := strings.Cut(text, cursorSeparator)
 	count, err := strconv.ParseUint(number, 10, 32)
 	if err != nil {
-		return listCursor{}, errors.Errorf("%s=%s is not a position in a list", queryContinue, text)
+		return listCursor{}, errors.Errorf("%s=%s is no place in a list", queryContinue, text)
 	}
 	return listCursor{count: count, name: name}, nil
 }
@@ -147,7 +147,7 @@
 	}
 	n, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
-		return 0, errors.Errorf("%s=%s is not a valid number", name, text)
+		return 0, errors.Errorf("%s=%s is no number", name, text)
 	}
 	return n, nil
 }
--- a/internal/transport/operator/watch.go
+++ b/internal/transport/operator/watch.go
@@ -63,7 +63,7 @@
 func (a *API) watch(w http.ResponseWriter, r *http.Request, key storer.Key) {
 	wanted, err := strconv.ParseBool(r.URL.Query().Get(queryWatch))
 	if err != nil || !wanted {
-		a.writeProblem(w, newProblem(ReasonInvalid, "Watch must be true or absent"))
+		a.writeProblem(w, newProblem(ReasonInvalid, "Watch is true or left out"))
 		return
 	}
 	after, err := parseCount(r.URL.Query(), queryAfter)
@@ -134,7 +134,7 @@
 			s.endWith(problemFromError(ReasonUnavailable, err))
 			return
 		case answer.Compacted:
-			p := newProblem(ReasonCompacted, "the history no longer contains the revision: list again, and watch from the revision of the list")
+			p := newProblem(ReasonCompacted, "the history no longer reaches back to the revision: list again, and watch from there")
 			p.Revision = answer.Revision
 			s.endWith(p)
 			return
--- a/internal/transport/starter/announce.go
+++ b/internal/transport/starter/announce.go
@@ -20,7 +20,7 @@
 	// Close stops what is running. A companion started afterwards would hold its address
 	// and its membership permanently.
 	if p.stopping.Load() || p.runCtx.Err() != nil {
-		return &announcer.Answer{Reason: announcer.ReasonUnavailable, Detail: "the process is shutting down"}
+		return &announcer.Answer{Reason: announcer.ReasonUnavailable, Detail: "the process is ending"}
 	}
 	m, err := mergeAnnouncement(p.companionSettings, a)
 	if err != nil {
@@ -49,13 +49,13 @@
 	address := m.BackendAddress()
 	switch {
 	case m.Kind != a.Kind:
-		return m, announcer.Conflict(announcer.FieldKind, "the companion is configured for a backend server of kind "+m.Kind.String())
+		return m, announcer.Conflict(announcer.FieldKind, "the companion stands beside a backend server of kind "+m.Kind.String())
 	case address != "" && address != a.Address:
-		return m, announcer.Conflict(announcer.FieldAddress, "the companion is configured for the backend server at "+address)
+		return m, announcer.Conflict(announcer.FieldAddress, "the companion stands beside the backend server at "+address)
 	case m.BaseModel != "" && a.Kind == configurer.BackendKindEngine && m.BaseModel != a.BaseModel:
-		return m, announcer.Conflict(announcer.FieldBaseModel, "the companion is configured for an engine with base model "+m.BaseModel)
+		return m, announcer.Conflict(announcer.FieldBaseModel, "the companion stands beside an engine with "+m.BaseModel)
 	case m.ServiceName != "" && a.Kind == configurer.BackendKindService && m.ServiceName != a.Service:
-		return m, announcer.Conflict(announcer.FieldService, "the companion is configured for the service "+m.ServiceName)
+		return m, announcer.Conflict(announcer.FieldService, "the companion stands beside the service "+m.ServiceName)
 	case address != "":
 		return m, nil
 	}
@@ -66,7 +66,7 @@
 	}
 	ip, err := netip.ParseAddrPort(a.Address)
 	if err != nil || !m.ChecksFencing && !ip.Addr().IsLoopback() {
-		return m, announcer.Conflict(announcer.FieldAddress, "not a loopback address, which is required for an engine unless Companion.ChecksFencing is set")
+		return m, announcer.Conflict(announcer.FieldAddress, "not on the loopback, which an engine needs unless Companion.ChecksFencing is set")
 	}
 	m.ChecksFencing = m.ChecksFencing && a.ChecksFencing
 	m.EngineAddress, m.BaseModel = a.Address, a.BaseModel
