--- a/internal/coordination/suspecter/suspecter_test.go
+++ b/internal/coordination/suspecter/suspecter_test.go
@@ -228,12 +228,12 @@
 			}
 			c.apply(e)
 			table.Sync(c.tracker.View())
-			if since++; since < storer.SuspectLives {
+			if since++; since < storer.QuarantineThreshold {
 				if _, is := table.Quarantine(c.tracker.View(), start, id); is {
 					t.Fatalf("kept away after %d ends since its last answer", since)
 				}
 			}
-			if since == storer.SuspectLives-1 || rapid.Bool().Draw(t, "answered") {
+			if since == storer.QuarantineThreshold-1 || rapid.Bool().Draw(t, "answered") {
 				if table.RecordAnswer(c.tracker.View(), id) {
 					c.apply(storer.ClearSuspects{Names: []string{id.String()}})
 				}
--- a/internal/state/explainer/call.go
+++ b/internal/state/explainer/call.go
@@ -15,19 +15,19 @@
 	// a slot, a place, or its engine's model.
 	CauseSlot // waited for a slot
 	// CauseReading means that its prompt was read late, or slowly.
-	CauseReading // waited for a reading
+	CausePrefill // waited for a reading
 	// CauseServing means that a plain service took longer than was wanted.
-	CauseServing // waited for a service
+	CauseService // waited for a service
 	// CauseTwice means that a second backend server was tried.
-	CauseTwice // tried twice
+	CauseRetried // tried twice
 	// CauseLost means that a backend server was lost, or gave no answer.
-	CauseLost // a backend server was lost
+	CauseBackendLost // a backend server was lost
 	// CauseFailed means that a backend server answered with a failure.
-	CauseFailed // a backend server failed
+	CauseBackendFailed // a backend server failed
 	// CauseRefused means that the entry refused it as not run.
 	CauseRefused // refused by its entry
 	// CausePaused means that the first event came in time, and the caller left later.
-	CausePaused // left in the middle
+	CauseAbandoned // left in the middle
 )
 
 // Messages of the lines that tell something of calls and loads.
@@ -56,23 +56,23 @@
 	}
 	switch {
 	case line.Outcome == outcomeAnswered && line.Status >= 500:
-		return CauseFailed
+		return CauseBackendFailed
 	case line.Outcome == outcomeAnswered && (line.Target <= 0 || first <= line.Target):
 		return CauseNone
 	case line.Outcome == outcomeRefused && line.Status != 502 && line.Status != 504:
 		return CauseRefused
 	case line.Outcome == outcomeLeft && line.First > 0 && (line.Target <= 0 || line.First <= line.Target):
-		return CausePaused
+		return CauseAbandoned
 	case line.Waited >= first/2:
 		return waitCause(line, loads)
 	case line.Outcome != outcomeAnswered && line.Outcome != outcomeLeft:
-		return CauseLost
+		return CauseBackendLost
 	case len(line.Tried) > 0:
-		return CauseTwice
+		return CauseRetried
 	case line.Adapter == "":
-		return CauseServing
+		return CauseService
 	default:
-		return CauseReading
+		return CausePrefill
 	}
 }
 
--- a/internal/state/explainer/cause_string.go
+++ b/internal/state/explainer/cause_string.go
@@ -11,13 +11,13 @@
 	_ = x[CauseNone-0]
 	_ = x[CauseLoad-1]
 	_ = x[CauseSlot-2]
-	_ = x[CauseReading-3]
-	_ = x[CauseServing-4]
-	_ = x[CauseTwice-5]
-	_ = x[CauseLost-6]
-	_ = x[CauseFailed-7]
+	_ = x[CausePrefill-3]
+	_ = x[CauseService-4]
+	_ = x[CauseRetried-5]
+	_ = x[CauseBackendLost-6]
+	_ = x[CauseBackendFailed-7]
 	_ = x[CauseRefused-8]
-	_ = x[CausePaused-9]
+	_ = x[CauseAbandoned-9]
 }
 
 const _Cause_name = "in timewaited for a loadwaited for a slotwaited for a readingwaited for a servicetried twicea backend server was losta backend server failedrefused by its entryleft in the middle"
--- a/internal/state/explainer/load.go
+++ b/internal/state/explainer/load.go
@@ -14,7 +14,7 @@
 	// LoadCopy is one where another engine had loaded the version before.
 	LoadCopy // copy
 	// LoadAgain is one at an engine that had loaded the version before.
-	LoadAgain // again
+	LoadRepeated // again
 	// LoadWarm is one out of the engine's own memory.
 	LoadWarm // warm
 )
@@ -48,7 +48,7 @@
 		case line.Took < warmMillis:
 			d.cause = LoadWarm
 		case at[line.Backend+" "+version]:
-			d.cause = LoadAgain
+			d.cause = LoadRepeated
 		case versions[version]:
 			d.cause = LoadCopy
 		}
--- a/internal/state/explainer/loadcause_string.go
+++ b/internal/state/explainer/loadcause_string.go
@@ -10,7 +10,7 @@
 	var x [1]struct{}
 	_ = x[LoadFirst-0]
 	_ = x[LoadCopy-1]
-	_ = x[LoadAgain-2]
+	_ = x[LoadRepeated-2]
 	_ = x[LoadWarm-3]
 }
 
--- a/internal/state/storer/announcements.go
+++ b/internal/state/storer/announcements.go
@@ -38,7 +38,7 @@
 		} else {
 			p.supersede(c.Name, was.Incarnation)
 		}
-		if was.SameBut(c.Member) {
+		if was.Equivalent(c.Member) {
 			return accepted(old)
 		}
 	}
@@ -50,11 +50,11 @@
 }
 
 // Of returns what the backend server keeps over its lives.
-func (s MemberSpec) Of() string { return cmp.Or(s.Instance, s.Incarnation) }
+func (s MemberSpec) ServerID() string { return cmp.Or(s.Instance, s.Incarnation) }
 
 // SameBut reports whether two memberships differ in nothing but the messages that they
 // come from.
-func (s MemberSpec) SameBut(other MemberSpec) bool {
+func (s MemberSpec) Equivalent(other MemberSpec) bool {
 	s.Sequence, other.Sequence = 0, 0
 	return s == other
 }
--- a/internal/state/storer/command.go
+++ b/internal/state/storer/command.go
@@ -146,7 +146,7 @@
 
 // Ends reports whether the command ends a membership.
 func (c RetireMember) Ends(m MemberSpec) bool {
-	return m.Incarnation == c.Incarnation || c.Instance != "" && m.Of() == c.Instance
+	return m.Incarnation == c.Incarnation || c.Instance != "" && m.ServerID() == c.Instance
 }
 
 func (PutResource) command()    {}
--- a/internal/state/storer/suspects.go
+++ b/internal/state/storer/suspects.go
@@ -14,7 +14,7 @@
 	// end says nothing, two befall whatever is sent on to a second server in a failure
 	// that goes round, and a third that no run was answered before hardly happens by
 	// chance.
-	SuspectLives = 3
+	QuarantineThreshold = 3
 	// endWeight is what one end counts, and progressWeight what it counts where a part of
 	// the answer had come: a request that ends servers does so when it begins, and what
 	// has long begun is most of what is in progress.
@@ -24,14 +24,14 @@
 	// each bring.
 	MaxSuspects = 4096
 	// maxSuspectLives bounds the lives that are remembered of one: more than are needed.
-	maxSuspectLives = 2 * SuspectLives
+	maxSuspectLives = 2 * QuarantineThreshold
 	// MaxEnded bounds the requests of one CountEnds.
 	MaxEnded = 256
 )
 
 // SuspectLife is one life of a backend server that ended while the request was in progress
 // there.
-type SuspectLife struct {
+type IncarnationEnd struct {
 	// Life is a hash of the backend server's name and incarnation.
 	Life uint64 `cbor:"1,keyasint"`
 	// Progressed means that a part of the answer had come.
@@ -46,7 +46,7 @@
 	Place uint64 `cbor:"2,keyasint,omitempty"`
 	// Lives are the lives, at most maxSuspectLives of them, since its last run that was
 	// answered or its last quarantine. The slice is never changed.
-	Lives []SuspectLife `cbor:"3,keyasint,omitempty"`
+	Lives []IncarnationEnd `cbor:"3,keyasint,omitempty"`
 	// Quarantined means that no backend server is to get it.
 	Quarantined bool `cbor:"4,keyasint,omitempty"`
 	// Times counts its quarantines.
@@ -56,9 +56,9 @@
 func (SuspectSpec) spec() {}
 
 // Ended returns the spec with one more end. A life counts once, as it was seen worst.
-func (s SuspectSpec) Ended(l SuspectLife) SuspectSpec {
+func (s SuspectSpec) RecordEnd(l IncarnationEnd) SuspectSpec {
 	lives := slices.Clone(s.Lives)
-	i := slices.IndexFunc(lives, func(o SuspectLife) bool { return o.Life == l.Life })
+	i := slices.IndexFunc(lives, func(o IncarnationEnd) bool { return o.Life == l.Life })
 	switch {
 	case i >= 0:
 		lives[i].Progressed = lives[i].Progressed && l.Progressed
@@ -87,7 +87,7 @@
 	if s.Times > 0 {
 		return weight >= endWeight
 	}
-	return weight >= SuspectLives*endWeight
+	return weight >= QuarantineThreshold*endWeight
 }
 
 // EndedRequest is a request that was in progress at a backend server when it ended.
@@ -142,7 +142,7 @@
 			if exists {
 				spec = old.Spec.(SuspectSpec)
 			}
-			next := spec.Ended(SuspectLife{Life: c.Life, Progressed: request.Progressed})
+			next := spec.RecordEnd(IncarnationEnd{Life: c.Life, Progressed: request.Progressed})
 			if exists && equalSpecs(spec, next) {
 				continue
 			}
--- a/internal/state/storer/suspects_test.go
+++ b/internal/state/storer/suspects_test.go
@@ -29,7 +29,7 @@
 		m.must(endUnder(1, false))
 		Expect(m.do(endUnder(1, true)).Verdict).To(Equal(VerdictStale))
 		spec, _ := suspectOf(m)
-		Expect(spec).To(Equal(SuspectSpec{Service: "s", Place: 7, Lives: []SuspectLife{{Life: 1}}}))
+		Expect(spec).To(Equal(SuspectSpec{Service: "s", Place: 7, Lives: []IncarnationEnd{{Life: 1}}}))
 	})
 
 	It("survives a snapshot, in quarantine and with what it has proved before", func() {
--- a/internal/state/tracker/routing.go
+++ b/internal/state/tracker/routing.go
@@ -46,7 +46,7 @@
 	// come.
 	Target time.Duration
 	// Gap is the longest pause between two events of a stream that is in time.
-	Gap time.Duration
+	MaxEventGap time.Duration
 	// Priority is the rank, 0 first.
 	Priority int
 	// MaxAttempts bounds the backend servers that one call is handed to.
--- a/internal/state/tracker/workspace.go
+++ b/internal/state/tracker/workspace.go
@@ -48,9 +48,9 @@
 	Name string
 	Keys []KeyDigest
 	// Priority goes before that of the route where Ranked is set.
-	Priority int
-	Ranked   bool
-	Quota    Quota
+	Priority    int
+	HasPriority bool
+	Quota       Quota
 }
 
 // Workspace returns the one that holds a key, or nil.
--- a/internal/transport/controller/announcing.go
+++ b/internal/transport/controller/announcing.go
@@ -39,7 +39,7 @@
 			c.settings.Log.Info().Str("Backend", name).Stringer("State", m.State).Uint64("Sequence", m.Sequence).Msg("ignored a reordered heartbeat")
 			return nil
 		}
-		if held.SameBut(m) {
+		if held.Equivalent(m) {
 			return c.renewAnnouncedLease(name, held.Epoch)
 		}
 		m.Epoch = 0
--- a/internal/transport/relayer/keys.go
+++ b/internal/transport/relayer/keys.go
@@ -113,7 +113,7 @@
 // priority returns the priority of the call, where 0 comes first: that of the workspace
 // if it has one, or else that of the route.
 func (j *job) priority() int {
-	if j.workspace != nil && j.workspace.Ranked {
+	if j.workspace != nil && j.workspace.HasPriority {
 		return j.workspace.Priority
 	}
 	return j.route.Priority
--- a/internal/transport/relayer/keys_test.go
+++ b/internal/transport/relayer/keys_test.go
@@ -74,7 +74,7 @@
 
 func keyed(key string) []tracker.Workspace {
 	return []tracker.Workspace{{
-		Name: "w", Keys: []tracker.KeyDigest{tracker.DigestKey(key)}, Priority: 7, Ranked: true,
+		Name: "w", Keys: []tracker.KeyDigest{tracker.DigestKey(key)}, Priority: 7, HasPriority: true,
 		Quota: tracker.Quota{Rate: 10, Burst: 10, Tokens: true},
 	}}
 }
