--- a/internal/coordination/suspecter/table.go
+++ b/internal/coordination/suspecter/table.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		o.spec.Service, o.spec.Place, o.last = c.Service, request.Place, now
-		o.spec = o.spec.RecordEnd(storer.IncarnationEnd{Life: c.Life, Progressed: request.Progressed})
+		o.spec = o.spec.Ended(storer.IncarnationEnd{Life: c.Life, Progressed: request.Progressed})
 		t.put(id, o)
 	}
 }
@@ -139,7 +139,7 @@
 	defer t.mu.Unlock()
 	if o, ok := t.own[id]; ok && now.Sub(o.last) <= t.settings.Memory {
 		for _, l := range o.spec.Lives {
-			spec = spec.RecordEnd(l)
+			spec = spec.Ended(l)
 		}
 	}
 	return t.settings.QuarantineTime(spec.Times), spec.Quarantined
--- a/internal/state/storer/suspects.go
+++ b/internal/state/storer/suspects.go
@@ -56,7 +56,7 @@
 func (SuspectSpec) spec() {}
 
 // Ended returns the spec with one more end. A life counts once, as it was seen worst.
-func (s SuspectSpec) RecordEnd(l IncarnationEnd) SuspectSpec {
+func (s SuspectSpec) Ended(l IncarnationEnd) SuspectSpec {
 	lives := slices.Clone(s.Lives)
 	i := slices.IndexFunc(lives, func(o IncarnationEnd) bool { return o.Life == l.Life })
 	switch {
@@ -142,7 +142,7 @@
 			if exists {
 				spec = old.Spec.(SuspectSpec)
 			}
-			next := spec.RecordEnd(IncarnationEnd{Life: c.Life, Progressed: request.Progressed})
+			next := spec.Ended(IncarnationEnd{Life: c.Life, Progressed: request.Progressed})
 			if exists && equalSpecs(spec, next) {
 				continue
 			}
--- a/internal/transport/relayer/suspect_test.go
+++ b/internal/transport/relayer/suspect_test.go
@@ -22,7 +22,7 @@
 func (e *entry) addSuspect(lives int) {
 	spec := storer.SuspectSpec{Service: "s", Place: sentRequest.Place()}
 	for life := range uint64(lives) {
-		spec = spec.RecordEnd(storer.IncarnationEnd{Life: life})
+		spec = spec.Ended(storer.IncarnationEnd{Life: life})
 	}
 	e.put(storer.KindSuspect, identifier.Identify(sentRequest).String(), spec)
 }
