--- a/internal/state/storer/announcements.go
+++ b/internal/state/storer/announcements.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// announceMember begins a membership, or brings it up to date. A message of an
-// incarnation that was replaced or has ended is stale, and one of an incarnation
-// that leaves doesn't make it serve again: a network that was cut delivers such
-// messages seconds later, and requests would be sent to what is gone.
+// announceMember begins or updates a membership. A message of an incarnation that
+// was replaced or has ended is stale, and a message of a leaving incarnation does
+// not make it serve again: after a partition, the network delivers such messages
+// seconds late, and requests would be sent to a backend server that no longer exists.
 func (s *Store) announceMember(index uint64, c AnnounceMember) Result {
 	r := Resource{Kind: KindMember, Metadata: Metadata{Name: c.Name, Revision: index}, Spec: c.Member}
 	if err := Validate(r); err != nil {
@@ -18,7 +18,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.space("")
-	reason := p.overtaken(c)
+	reason := p.staleReason(c)
 	if c.Member.State == MemberStateLeaving {
 		// A stale leave is recorded too: the membership that superseded this incarnation may
 		// end before a delayed heartbeat of this incarnation arrives.
@@ -30,37 +30,37 @@
 	old, exists := p.get(KindMember, c.Name)
 	c.Member.Epoch = index
 	if exists {
-		was := old.Spec.(MemberSpec)
-		if was.Incarnation == c.Member.Incarnation {
-			c.Member.Epoch = was.Epoch
-			c.Member.State = max(c.Member.State, was.State)
-			c.Member.Sequence = max(c.Member.Sequence, was.Sequence)
+		previous := old.Spec.(MemberSpec)
+		if previous.Incarnation == c.Member.Incarnation {
+			c.Member.Epoch = previous.Epoch
+			c.Member.State = max(c.Member.State, previous.State)
+			c.Member.Sequence = max(c.Member.Sequence, previous.Sequence)
 		} else {
-			p.supersede(c.Name, was.Incarnation)
+			p.supersede(c.Name, previous.Incarnation)
 		}
-		if was.Equivalent(c.Member) {
+		if previous.Equivalent(c.Member) {
 			return accepted(old)
 		}
 	}
-	changes := p.endFormer(index, c)
+	changes := p.endPreviousMemberships(index, c)
 	r.Spec = c.Member
 	p.put(r)
 	s.publish(index, append(changes, Change{Revision: index, Resource: r})...)
 	return accepted(r)
 }
 
-// Of returns what the backend server keeps over its lives.
+// ServerID returns the identifier of the backend server: Instance, which is the same for all
+// its incarnations, or Incarnation if Instance is empty.
 func (s MemberSpec) ServerID() string { return cmp.Or(s.Instance, s.Incarnation) }
 
-// SameBut reports whether two memberships differ in nothing but the messages that they
-// come from.
+// Equivalent reports whether two memberships are equal except for Sequence.
 func (s MemberSpec) Equivalent(other MemberSpec) bool {
 	s.Sequence, other.Sequence = 0, 0
 	return s == other
 }
 
-// overtaken tells why an announcement is a late one, or nothing.
-func (p *space) overtaken(c AnnounceMember) string {
+// staleReason returns the reason why an announcement is stale, or an empty string.
+func (p *space) staleReason(c AnnounceMember) string {
 	d, departed := p.departures[c.Member.Incarnation]
 	held, exists := p.get(KindMember, c.Name)
 	current := exists && held.Spec.(MemberSpec).Incarnation == c.Member.Incarnation
@@ -85,12 +85,13 @@
 	return ""
 }
 
-// endFormer ends the earlier lives of a backend server at other addresses.
+// endPreviousMemberships ends the memberships of earlier incarnations of a backend server at
+// other addresses.
 //
-// A backend server that starts again under its name at another address leaves a
-// membership behind which nothing ends until its lease runs out: calls would be sent
-// there meanwhile, or to whoever has the address next.
-func (p *space) endFormer(index uint64, c AnnounceMember) []Change {
+// If a backend server restarts at another address, its previous membership would otherwise
+// exist until its lease expires: calls would be sent to the old address, or to another
+// process that uses this address.
+func (p *space) endPreviousMemberships(index uint64, c AnnounceMember) []Change {
 	if c.Member.Instance == "" {
 		return nil
 	}
--- a/internal/state/storer/bench_test.go
+++ b/internal/state/storer/bench_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// filled returns a store with n adapters of two versions each in n/60
-// workspaces, and the index of its last command.
-func filled(b *testing.B, n int) (*Store, uint64) {
+// populatedStore returns a store with n adapters of two versions each in n/60
+// workspaces, and the index of the last command.
+func populatedStore(b *testing.B, n int) (*Store, uint64) {
 	b.Helper()
 	s := NewStore(Settings{})
 	index := uint64(0)
@@ -41,13 +41,13 @@
 
 var sizes = []int{3000, 15000, 61000}
 
-// BenchmarkStoreHeap gives the heap in MB of a store, its history with it.
+// BenchmarkStoreHeap reports the heap size in MB of a store with its history.
 func BenchmarkStoreHeap(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("adapters=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				before := heapInUse()
-				s, _ := filled(b, n)
+				s, _ := populatedStore(b, n)
 				b.ReportMetric(float64(heapInUse()-before)/1e6, "MB")
 				runtime.KeepAlive(s)
 			}
@@ -70,8 +70,8 @@
 	}
 }
 
-// BenchmarkStoreRecordHeap gives the heap in MB of the answers kept to n changes
-// with keys, and of the names kept of n deleted versions.
+// BenchmarkStoreRecordHeap reports the heap size in MB of the idempotency records of
+// n changes, and of the names of n deleted versions.
 func BenchmarkStoreRecordHeap(b *testing.B) {
 	for _, n := range []int{10_000, 50_000, 200_000} {
 		b.Run(fmt.Sprintf("answers=%d", n), func(b *testing.B) {
@@ -117,7 +117,7 @@
 
 func BenchmarkStoreApply(b *testing.B) {
 	for _, n := range sizes {
-		s, index := filled(b, n)
+		s, index := populatedStore(b, n)
 		rewrite := func(i int) Command {
 			m := Metadata{Workspace: fmt.Sprintf("workspace-%04d", i%max(1, n/60)), Name: fmt.Sprintf("adapter-%05d", i)}
 			return PutResource{Resource: Resource{Kind: KindAdapter, Metadata: m, Spec: AdapterSpec{BaseModel: "clearance-8b", Current: "v1"}}}
@@ -141,12 +141,11 @@
 	})
 }
 
-// BenchmarkStoreSnapshot gives the time for which a snapshot stops the log, the
-// time to write and to restore one, and
-// its size.
+// BenchmarkStoreSnapshot measures the time for which a snapshot blocks the log, the
+// times to write and to restore it, and its size.
 func BenchmarkStoreSnapshot(b *testing.B) {
 	for _, n := range sizes {
-		s, index := filled(b, n)
+		s, index := populatedStore(b, n)
 		var w bytes.Buffer
 		b.Run(fmt.Sprintf("freeze/adapters=%d", n), func(b *testing.B) {
 			for b.Loop() {
@@ -172,7 +171,7 @@
 	}
 }
 
-// BenchmarkStamp gives what the leader spends on stamping a change.
+// BenchmarkStamp measures the time that the leader needs to stamp a change.
 func BenchmarkStamp(b *testing.B) {
 	data, err := Encode(Envelope{
 		IdempotencyKey: strings.Repeat("k", 36), Digest: make([]byte, 32),
--- a/internal/state/storer/claims.go
+++ b/internal/state/storer/claims.go
@@ -6,7 +6,7 @@
 	"github.com/juju/errors"
 )
 
-// claimCall reserves the one run of a call.
+// claimCall reserves the single execution of a call for its holder.
 func (s *Store) claimCall(index uint64, c ClaimCall) Result {
 	if err := validateClaim(c.Workspace, c.Key, c.Holder); err != nil {
 		return invalid(err)
@@ -15,7 +15,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.space(c.Workspace)
-	defer h.sweep(c.Workspace)
+	defer h.removeIfEmpty(c.Workspace)
 	old, exists := p.claims[c.Key]
 	switch {
 	case exists && !bytes.Equal(old.Digest, c.Digest):
@@ -25,15 +25,15 @@
 	case exists && old.Holder == c.Holder && old.State == ClaimStateClaimed:
 		return claimResult(VerdictAccepted, "", old)
 	case exists && old.State == ClaimStateReleased && old.Holder == c.Holder:
-		// A proposal that was late, or sent twice, arrives after its holder has
-		// given up and released. The holder is gone: were the claim its again,
-		// nobody would settle it, and the key would stay blocked until it expires.
+		// A delayed or duplicate proposal arrived after its holder had released the
+		// claim. The holder no longer exists: if it acquired the claim again, nobody
+		// would settle it, and the key would be blocked until the claim expires.
 		return claimResult(VerdictHeld, "the holder has given the claim back", old)
 	case exists && old.State != ClaimStateReleased:
-		// The holder itself asks again after the end: it must not run the call
+		// The holder claims again after the call has ended: it must not run the call
 		// a second time.
 		return claimResult(VerdictHeld, "the call has ended", old)
-	case !exists && s.claims.live >= s.retention.MaxRecords:
+	case !exists && s.claims.count >= s.retention.MaxRecords:
 		return Result{Verdict: VerdictFull, Reason: "too many claims"}
 	}
 	return claimResult(VerdictAccepted, "", s.writeClaim(p, Claim{
@@ -47,7 +47,7 @@
 	}))
 }
 
-// settleClaim records how the claimed call ended.
+// settleClaim records the outcome of a claimed call.
 func (s *Store) settleClaim(index uint64, c SettleClaim) Result {
 	if c.State <= ClaimStateClaimed || c.State > ClaimStateUnknown {
 		return invalid(errors.Errorf("a claim does not end as %d", int(c.State)))
@@ -67,7 +67,7 @@
 		return claimResult(VerdictHeld, "another holder has the claim", old)
 	case old.State == c.State:
 		return claimResult(VerdictAccepted, "", old)
-	case !old.State.leadsTo(c.State):
+	case !old.State.canBecome(c.State):
 		return claimResult(VerdictConflict, "the call has ended otherwise", old)
 	}
 	old.State, old.Backend, old.Request = c.State, c.Backend, c.Request
@@ -75,10 +75,10 @@
 	return claimResult(VerdictAccepted, "", s.writeClaim(p, old))
 }
 
-// leadsTo reports whether a claim may pass from c to next. An unknown outcome
-// may still become known as done, when the answer turns up; it never becomes
-// known as not run, because the call may have begun.
-func (c ClaimState) leadsTo(next ClaimState) bool {
+// canBecome reports whether a claim may change from the state c to next. Unknown may
+// become done, if the answer arrives later, but never released, because the call may
+// have started.
+func (c ClaimState) canBecome(next ClaimState) bool {
 	switch c {
 	case ClaimStateClaimed:
 		return true
@@ -89,13 +89,13 @@
 	}
 }
 
-// writeClaim stores c. The caller holds the lock of p's shard.
+// writeClaim stores and returns c. The caller holds the lock of p's shard.
 func (s *Store) writeClaim(p *space, c Claim) Claim {
 	if _, ok := p.claims[c.Key]; !ok {
-		s.claims.live++
+		s.claims.count++
 	}
 	p.claims[c.Key] = c
-	s.claims.push(aged{workspace: c.Workspace, key: c.Key, index: c.Index, time: c.Time})
+	s.claims.push(expiryEntry{workspace: c.Workspace, key: c.Key, index: c.Index, time: c.Time})
 	return c
 }
 
--- a/internal/state/storer/codec.go
+++ b/internal/state/storer/codec.go
@@ -5,16 +5,16 @@
 	"github.com/juju/errors"
 )
 
-// maxNesting bounds the depth of what is decoded. The deepest form is a
+// maxNesting limits the nesting depth of decoded data. The deepest data is a
 // resource within a command within an envelope.
 const maxNesting = 16
 
-// encoding writes the one canonical form of a value (RFC 8949, section 4.2.1),
-// so that equal states have equal bytes.
+// encoding is the deterministic encoding of RFC 8949, section 4.2.1, so that
+// equal states are encoded to equal bytes.
 var encoding = mustEncMode(cbor.CoreDetEncOptions())
 
-// decoding refuses duplicate map keys; unknown ones are passed over, so that a
-// host may read the entries of a newer one.
+// decoding refuses duplicate map keys. It ignores unknown keys, so that a host can
+// read the entries of a newer version.
 var decoding = mustDecMode(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: maxNesting})
 
 func mustEncMode(o cbor.EncOptions) cbor.EncMode {
@@ -33,8 +33,8 @@
 	return m
 }
 
-// commandKind tells commands apart in the log. The numbers are part of the
-// log's format and never change their meaning.
+// commandKind identifies the type of a command in the log. The numbers are part of
+// the log format and never change their meaning.
 type commandKind int
 
 const (
@@ -55,7 +55,7 @@
 	commandReviewSuspects commandKind = 15
 )
 
-// wireEnvelope is an Envelope in the log.
+// wireEnvelope is the encoded form of an Envelope in the log.
 type wireEnvelope struct {
 	Time           Instant         `cbor:"1,keyasint"`
 	IdempotencyKey string          `cbor:"2,keyasint,omitempty"`
@@ -64,7 +64,7 @@
 	Command        cbor.RawMessage `cbor:"5,keyasint"`
 }
 
-// wireResource is a Resource in the log and in snapshots.
+// wireResource is the encoded form of a Resource in the log and in snapshots.
 type wireResource struct {
 	Kind      Kind            `cbor:"1,keyasint"`
 	Workspace string          `cbor:"2,keyasint,omitempty"`
@@ -73,7 +73,7 @@
 	Spec      cbor.RawMessage `cbor:"5,keyasint"`
 }
 
-// Encode returns the form of e which goes into the log.
+// Encode encodes e for the log.
 func Encode(e Envelope) ([]byte, error) {
 	kind, err := kindOfCommand(e.Command)
 	if err != nil {
@@ -106,8 +106,8 @@
 	return Envelope{Time: w.Time, IdempotencyKey: w.IdempotencyKey, Digest: w.Digest, Command: command}, nil
 }
 
-// Stamp returns an encoded envelope with its Time set to t. It does not look into
-// the command; its error tells that data is no envelope.
+// Stamp returns an encoded envelope with its Time set to t. It does not decode the
+// command. It returns an error if data is not an envelope.
 func Stamp(data []byte, t Instant) ([]byte, error) {
 	var w wireEnvelope
 	if err := decoding.Unmarshal(data, &w); err != nil {
@@ -201,7 +201,8 @@
 	return c, nil
 }
 
-// MarshalCBOR encodes the resource with the form of its kind's spec.
+// MarshalCBOR encodes the resource. It returns an error if the type of the spec does
+// not belong to the kind.
 func (r Resource) MarshalCBOR() ([]byte, error) {
 	if !specFits(r.Kind, r.Spec) {
 		return nil, errors.Errorf("spec %T does not belong to kind %v", r.Spec, r.Kind)
@@ -237,7 +238,7 @@
 	return nil
 }
 
-// specFits reports whether spec has the type which belongs to kind.
+// specFits reports whether spec has the type that belongs to kind.
 func specFits(kind Kind, spec Spec) bool {
 	var want Kind
 	switch spec.(type) {
@@ -265,7 +266,7 @@
 	return want != KindNone && want == kind
 }
 
-// decodeSpec returns a spec of the type which belongs to kind, filled by
+// decodeSpec returns a spec of the type that belongs to kind, decoded by
 // unmarshal.
 func decodeSpec(kind Kind, unmarshal func(v any) error) (Spec, error) {
 	switch kind {
--- a/internal/state/storer/command.go
+++ b/internal/state/storer/command.go
@@ -2,14 +2,14 @@
 
 // Envelope carries one command through the replicated log.
 type Envelope struct {
-	// Time is the clock of the leader which took the change in; what a proposer
-	// writes here is replaced. The state's own time follows it, but never goes
-	// back and never leaps: see Retention.
+	// Time is the clock of the leader that accepted the command; the leader
+	// overwrites the proposer's value. The state's own time follows it, but
+	// never decreases and advances by a limited step: see Retention.
 	Time Instant
-	// IdempotencyKey identifies a resent change; empty means none.
+	// IdempotencyKey identifies a change that may be resent; empty means none.
 	IdempotencyKey string
-	// Digest is the SHA-256 of the change as the operator sent it. A key reused
-	// with another digest is refused.
+	// Digest is the SHA-256 of the change as the operator sent it. Reuse of the
+	// key with another digest is refused.
 	Digest  []byte
 	Command Command
 }
@@ -23,61 +23,65 @@
 // PutResource writes a resource.
 type PutResource struct {
 	Resource Resource `cbor:"1,keyasint,omitempty"`
-	// IfMatch is the revision the writer last read; 0 means no condition.
+	// IfMatch is the revision that the writer last read; 0 means no condition.
 	IfMatch uint64 `cbor:"2,keyasint,omitempty"`
-	// IfNoneMatch makes the write create, and fail where the resource exists.
+	// IfNoneMatch makes the write fail if the resource exists.
 	IfNoneMatch bool `cbor:"3,keyasint,omitempty"`
 }
 
-// DeleteResource ends a resource.
+// DeleteResource deletes a resource.
 type DeleteResource struct {
 	Key     Key    `cbor:"1,keyasint,omitempty"`
 	IfMatch uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ClaimCall reserves the single run of a non-idempotent call for its holder.
+// ClaimCall reserves the single execution of a non-idempotent call for its
+// holder.
 type ClaimCall struct {
 	Workspace string `cbor:"1,keyasint,omitempty"`
 	// Key is the caller's idempotency key.
 	Key string `cbor:"2,keyasint,omitempty"`
 	// Digest is the SHA-256 of the call.
 	Digest []byte `cbor:"3,keyasint,omitempty"`
-	// Holder names the entry and request which may dispatch the call.
+	// Holder identifies the entry and request that may dispatch the call.
 	Holder string `cbor:"4,keyasint,omitempty"`
 }
 
 //go:generate stringer -type=ClaimState -trimprefix=ClaimState
 
-// ClaimState tells how far a claimed call has come.
+// ClaimState is the state of a claimed call.
 type ClaimState int
 
 // The states of a claim.
 const (
 	// ClaimStateClaimed means that the holder may have dispatched the call.
 	ClaimStateClaimed ClaimState = iota
-	// ClaimStateReleased means that the call provably did not run; another
+	// ClaimStateReleased means that the call definitely did not run; another
 	// holder may claim the key.
 	ClaimStateReleased
-	// ClaimStateDone means that the call ran and its answer was seen whole.
+	// ClaimStateDone means that the call ran and that its complete answer was
+	// received.
 	ClaimStateDone
 	// ClaimStateUnknown means that the call may have run.
 	ClaimStateUnknown
 )
 
-// SettleClaim records the outcome of a claimed call. Only the holder may.
+// SettleClaim records the outcome of a claimed call. It is accepted from the
+// holder of the claim only.
 type SettleClaim struct {
 	Workspace string     `cbor:"1,keyasint,omitempty"`
 	Key       string     `cbor:"2,keyasint,omitempty"`
 	Holder    string     `cbor:"3,keyasint,omitempty"`
 	State     ClaimState `cbor:"4,keyasint,omitempty"`
-	// Backend names the member which may hold the kept answer, Request the id
-	// under which it is kept there.
+	// Backend is the name of the member that may hold the retained answer,
+	// Request the ID under which the answer is retained there.
 	Backend string `cbor:"5,keyasint,omitempty"`
 	Request string `cbor:"6,keyasint,omitempty"`
 }
 
 // JoinMember begins or renews a backend server's membership under a name. A
-// join with another incarnation or another companion ends the former one.
+// join with another incarnation or another companion replaces the previous
+// membership.
 type JoinMember struct {
 	Name   string     `cbor:"1,keyasint,omitempty"`
 	Member MemberSpec `cbor:"2,keyasint,omitempty"`
@@ -86,47 +90,48 @@
 // LeaveMember marks a membership as leaving, or ends it.
 type LeaveMember struct {
 	Name string `cbor:"1,keyasint,omitempty"`
-	// Epoch is the membership meant; a later one is left alone.
+	// Epoch identifies the membership; a later membership is not changed.
 	Epoch uint64 `cbor:"2,keyasint,omitempty"`
-	// Ended removes the membership instead of marking it.
+	// Ended removes the membership instead of marking it as leaving.
 	Ended bool `cbor:"3,keyasint,omitempty"`
 }
 
-// MemberEpoch names one membership.
+// MemberEpoch identifies one membership.
 type MemberEpoch struct {
 	Name  string `cbor:"1,keyasint,omitempty"`
 	Epoch uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ExpireMembers ends the memberships whose leases ran out.
+// ExpireMembers ends memberships whose leases have expired.
 type ExpireMembers struct {
 	Members []MemberEpoch `cbor:"1,keyasint,omitempty"`
 }
 
-// SetRetention writes the bounds of what the state remembers. The leader
-// proposes it when its settings differ from what the state holds.
+// SetRetention sets the retention limits. The leader proposes it if its settings
+// differ from the retention in the state.
 type SetRetention struct {
 	Retention Retention `cbor:"1,keyasint"`
 }
 
-// PutRouting declares a whole routing configuration. The highest number takes
-// effect; an equal or lower one is accepted and changes nothing.
+// PutRouting declares a complete routing configuration. The highest number takes
+// effect; an equal or lower one is accepted without effect.
 type PutRouting struct {
 	Number uint64 `cbor:"1,keyasint,omitempty"`
-	// Document is in the form of package packer.
+	// Document is the configuration as packed by package packer.
 	Document []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// NameNewest names the newest version of an adapter, or of a model, that no
-// workspace owns. A lower number than the one held changes nothing.
+// NameNewest sets the newest version of an adapter, or of a model, that no
+// workspace owns. An equal or lower version than the stored one is accepted
+// without effect.
 type NameNewest struct {
 	Name    string `cbor:"1,keyasint,omitempty"`
 	Version uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// AnnounceMember is a backend server's own word that it is there, under the name
-// of its address. In contrast to JoinMember it never takes back that an
-// incarnation leaves or has ended: such a message is a late one.
+// AnnounceMember is a backend server's own announcement, under the name of its
+// address. Unlike JoinMember, it never reverts the leave or the end of an
+// incarnation: such an announcement was delayed.
 type AnnounceMember struct {
 	Name   string     `cbor:"1,keyasint,omitempty"`
 	Member MemberSpec `cbor:"2,keyasint,omitempty"`
--- a/internal/state/storer/departures.go
+++ b/internal/state/storer/departures.go
@@ -34,14 +34,14 @@
 	if incarnation == "" || known && (leaving || !old.Leaving) {
 		return
 	}
-	e := aged{key: incarnation, index: index, time: s.now}
+	e := expiryEntry{key: incarnation, index: index, time: s.now}
 	p.departures[incarnation] = departure{Incarnation: incarnation, Index: index, Time: s.now, Leaving: leaving}
 	if known {
 		s.departures.push(e)
 		return
 	}
-	if s.departures.live >= maxDepartures {
-		s.departures.dropOldest(func(e aged) bool {
+	if s.departures.count >= maxDepartures {
+		s.departures.removeOldest(func(e expiryEntry) bool {
 			// The departure was recorded again at a later index, or has been dropped.
 			if p.departures[e.key].Index != e.index {
 				return false
@@ -50,11 +50,11 @@
 			return true
 		})
 	}
-	s.departures.restore(e)
+	s.departures.add(e)
 }
 
-func (s *Store) forgetDeparture(e aged) bool {
-	return forget(s.shard(e.workspace), e, func(p *space) (map[string]departure, uint64) {
+func (s *Store) removeExpiredDeparture(e expiryEntry) bool {
+	return removeIfUnchanged(s.shard(e.workspace), e, func(p *space) (map[string]departure, uint64) {
 		return p.departures, p.departures[e.key].Index
 	})
 }
--- a/internal/state/storer/departures_test.go
+++ b/internal/state/storer/departures_test.go
@@ -19,106 +19,106 @@
 		m.do(ExpireMembers{Members: []MemberEpoch{{Name: name, Epoch: r.Spec.(MemberSpec).Epoch}}})
 	}
 
-	It("is remembered where its lease had run out", func() {
+	It("is recorded after its lease has expired", func() {
 		// Guards against requests to a backend server that ended while it had no membership.
 		m := newMachine(Retention{})
-		m.do(announced("i-1", MemberStateServing))
+		m.do(announce("i-1", MemberStateServing))
 		expire(m)
 		m.do(RetireMember{Incarnation: "i-1", Instance: "i-1"})
 		for _, state := range []MemberState{MemberStateServing, MemberStateLeaving} {
-			Expect(m.do(announced("i-1", state)).Verdict).To(Equal(VerdictStale))
-			Expect(m.restarted().do(announced("i-1", state)).Verdict).To(Equal(VerdictStale), "after a snapshot")
+			Expect(m.do(announce("i-1", state)).Verdict).To(Equal(VerdictStale))
+			Expect(m.restoreFromSnapshot().do(announce("i-1", state)).Verdict).To(Equal(VerdictStale), "after a snapshot")
 		}
 		Expect(serving(m)).To(BeFalse())
 	})
 
-	It("is remembered where it was never announced", func() {
+	It("is recorded if it was never announced", func() {
 		// Guards against requests to a backend server whose announcement arrives after its end.
 		m := newMachine(Retention{})
 		m.do(RetireMember{Incarnation: "i-1"})
-		Expect(m.do(announced("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
-		Expect(m.do(announced("i-2", MemberStateServing)).Verdict).To(Equal(VerdictAccepted), "another incarnation at its address")
+		Expect(m.do(announce("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
+		Expect(m.do(announce("i-2", MemberStateServing)).Verdict).To(Equal(VerdictAccepted), "another incarnation at its address")
 	})
 
-	It("is remembered when the next one at its address has ended too", func() {
+	It("stays recorded when the next one at its address has ended too", func() {
 		// Guards against a departure that is lost when the membership of another incarnation ends.
 		m := newMachine(Retention{})
-		m.do(announced("i-1", MemberStateServing))
+		m.do(announce("i-1", MemberStateServing))
 		m.do(RetireMember{Name: name, Incarnation: "i-1"})
-		m.do(announced("i-2", MemberStateServing))
+		m.do(announce("i-2", MemberStateServing))
 		expire(m)
-		Expect(m.do(announced("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
+		Expect(m.do(announce("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
 	})
 
-	It("is not undone by a late heartbeat when the lease expires after a leave", func() {
+	It("is not reverted by a late heartbeat when the lease expires after a leave", func() {
 		// Guards against requests to a backend server whose leave was acknowledged before its lease expired.
 		m := newMachine(Retention{})
-		m.do(announced("i-1", MemberStateServing))
-		m.do(announced("i-1", MemberStateLeaving))
+		m.do(announce("i-1", MemberStateServing))
+		m.do(announce("i-1", MemberStateLeaving))
 		expire(m)
-		for _, replica := range []*machine{m, m.restarted()} {
-			Expect(replica.do(announced("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
+		for _, replica := range []*machine{m, m.restoreFromSnapshot()} {
+			Expect(replica.do(announce("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
 			Expect(serving(replica)).To(BeFalse())
-			Expect(replica.do(announced("i-1", MemberStateLeaving)).Verdict).To(Equal(VerdictAccepted))
-			Expect(replica.do(announced("i-1", MemberStateServing)).Verdict).To(Equal(VerdictAccepted))
+			Expect(replica.do(announce("i-1", MemberStateLeaving)).Verdict).To(Equal(VerdictAccepted))
+			Expect(replica.do(announce("i-1", MemberStateServing)).Verdict).To(Equal(VerdictAccepted))
 			Expect(serving(replica)).To(BeFalse())
 			replica.do(RetireMember{Incarnation: "i-1"})
-			Expect(replica.do(announced("i-1", MemberStateLeaving)).Verdict).To(Equal(VerdictStale))
-			Expect(replica.departures.live).To(Equal(1))
+			Expect(replica.do(announce("i-1", MemberStateLeaving)).Verdict).To(Equal(VerdictStale))
+			Expect(replica.departures.count).To(Equal(1))
 		}
 	})
 
 	It("does not replace another incarnation's membership when a leave arrives late", func() {
 		// Guards against a late leave that ends the membership of another incarnation at the same address.
 		m := newMachine(Retention{})
-		m.do(announced("i-1", MemberStateServing))
-		m.do(announced("i-1", MemberStateLeaving))
+		m.do(announce("i-1", MemberStateServing))
+		m.do(announce("i-1", MemberStateLeaving))
 		expire(m)
-		m.do(announced("i-2", MemberStateServing))
-		Expect(m.do(announced("i-1", MemberStateLeaving)).Verdict).To(Equal(VerdictStale))
-		Expect(m.do(announced("i-2", MemberStateServing)).Verdict).To(Equal(VerdictAccepted))
+		m.do(announce("i-2", MemberStateServing))
+		Expect(m.do(announce("i-1", MemberStateLeaving)).Verdict).To(Equal(VerdictStale))
+		Expect(m.do(announce("i-2", MemberStateServing)).Verdict).To(Equal(VerdictAccepted))
 		Expect(serving(m)).To(BeTrue())
 	})
 
 	It("is announced by a leave that arrives after a message with a higher sequence number", func() {
 		// Guards against a leave that is acknowledged but does not take effect.
 		m := newMachine(Retention{})
-		m.do(life("a", 1, 5))
-		leaving := life("a", 1, 3)
+		m.do(announceIncarnation("a", 1, 5))
+		leaving := announceIncarnation("a", 1, 3)
 		leaving.Member.State = MemberStateLeaving
-		for _, c := range []AnnounceMember{leaving, life("a", 1, 4), life("a", 1, 6)} {
+		for _, c := range []AnnounceMember{leaving, announceIncarnation("a", 1, 4), announceIncarnation("a", 1, 6)} {
 			m.do(c)
 			r, _ := m.Get(Key{Kind: KindMember, Name: "a"})
 			Expect(r.Spec.(MemberSpec).State).To(Equal(MemberStateLeaving))
 		}
 	})
 
-	It("ends the incarnation that is named, or all where only the backend server is named", func() {
+	It("applies to the given incarnation, or to all incarnations of the given backend server", func() {
 		// Guards against a delayed end of one incarnation that ends the membership of a later one.
 		m := newMachine(Retention{})
-		m.do(life("a", 2, 1))
+		m.do(announceIncarnation("a", 2, 1))
 		m.do(RetireMember{Incarnation: "i 1"})
 		_, ok := m.Get(Key{Kind: KindMember, Name: "a"})
 		Expect(ok).To(BeTrue(), "a later incarnation")
 		Expect(m.do(RetireMember{Incarnation: "i", Instance: "i"}).Verdict).To(Equal(VerdictAccepted))
 		_, ok = m.Get(Key{Kind: KindMember, Name: "a"})
 		Expect(ok).To(BeFalse())
-		Expect(m.do(life("a", 2, 2)).Verdict).To(Equal(VerdictStale))
-		Expect(m.do(life("a", 3, 1)).Verdict).To(Equal(VerdictAccepted))
+		Expect(m.do(announceIncarnation("a", 2, 2)).Verdict).To(Equal(VerdictStale))
+		Expect(m.do(announceIncarnation("a", 3, 1)).Verdict).To(Equal(VerdictAccepted))
 	})
 
-	It("is forgotten after departureAge, and not sooner", func() {
+	It("is dropped after departureAge, and not sooner", func() {
 		// Guards against departures that are dropped early, and against ones that are never dropped.
 		m := newMachine(Retention{MinEntries: 1})
 		m.do(RetireMember{Incarnation: "i-1"})
 		for range int(Instant(departureAge) / maxTimeStep) {
 			m.now += maxTimeStep
-			Expect(m.do(announced("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
+			Expect(m.do(announce("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
 		}
 		m.now += maxTimeStep
-		Expect(m.do(announced("i-1", MemberStateServing)).Verdict).To(Equal(VerdictAccepted))
-		Expect(m.departures.live).To(BeZero())
-		Expect(m.departures.queue).To(BeEmpty())
+		Expect(m.do(announce("i-1", MemberStateServing)).Verdict).To(Equal(VerdictAccepted))
+		Expect(m.departures.count).To(BeZero())
+		Expect(m.departures.entries).To(BeEmpty())
 	})
 
 	It("replaces the oldest one beyond maxDepartures", func() {
@@ -127,8 +127,8 @@
 		for i := range maxDepartures + 1 {
 			m.do(RetireMember{Incarnation: fmt.Sprint("i-", i)})
 		}
-		Expect(m.departures.live).To(Equal(maxDepartures))
-		Expect(m.do(announced("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
-		Expect(m.do(announced("i-0", MemberStateServing)).Verdict).To(Equal(VerdictAccepted))
+		Expect(m.departures.count).To(Equal(maxDepartures))
+		Expect(m.do(announce("i-1", MemberStateServing)).Verdict).To(Equal(VerdictStale))
+		Expect(m.do(announce("i-0", MemberStateServing)).Verdict).To(Equal(VerdictAccepted))
 	})
 })
--- a/internal/state/storer/fuzz_test.go
+++ b/internal/state/storer/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzApply feeds a store what a log may hold after damage: it must answer and
-// go on, and what it takes in must survive a snapshot.
+// FuzzApply applies possibly damaged log entries to a store: it must not panic, and
+// its state must be the same after a snapshot is restored.
 func FuzzApply(f *testing.F) {
 	for _, c := range []Command{
 		put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}),
@@ -19,7 +19,7 @@
 		LeaveMember{Name: "engine-1", Epoch: 1},
 		ExpireMembers{Members: []MemberEpoch{{Name: "engine-1", Epoch: 1}}},
 		SetRetention{Retention: Retention{MaxRecords: 1}},
-		endUnder(1, false),
+		countEnd(1, false),
 		ClearSuspects{Names: []string{suspectName}},
 		ReviewSuspects{Suspects: []SuspectRevision{{Name: suspectName, Revision: 1}}},
 	} {
@@ -43,12 +43,12 @@
 			t.Fatal(err)
 		}
 		if err := other.Snapshot(&again); err != nil || !bytes.Equal(b.Bytes(), again.Bytes()) {
-			t.Fatal("a snapshot changed on its way")
+			t.Fatal("the snapshot of a restored state differs")
 		}
 	})
 }
 
-// FuzzRestore feeds a store damaged snapshots.
+// FuzzRestore restores possibly damaged snapshots.
 func FuzzRestore(f *testing.F) {
 	var b bytes.Buffer
 	if err := NewStore(Settings{}).Snapshot(&b); err != nil {
@@ -60,7 +60,8 @@
 	})
 }
 
-// FuzzResourceJSON checks that a resource which is taken in comes out the same.
+// FuzzResourceJSON checks that a decoded resource is the same after it is encoded and
+// decoded again.
 func FuzzResourceJSON(f *testing.F) {
 	f.Add([]byte(`{"Kind":"Adapter","Metadata":{"Workspace":"w","Name":"a"},"Spec":{"BaseModel":"m"}}`))
 	f.Add([]byte(`{"Kind":"Member","Spec":{"Kind":"Service","State":"Leaving"}}`))
@@ -74,7 +75,7 @@
 			t.Fatal(err)
 		}
 		if err := json.Unmarshal(text, &back); err != nil || !equalSpecs(r.Spec, back.Spec) {
-			t.Fatalf("%s came back as %v, %v", text, back, err)
+			t.Fatalf("%s was decoded as %v, %v", text, back, err)
 		}
 	})
 }
--- a/internal/state/storer/history.go
+++ b/internal/state/storer/history.go
@@ -12,35 +12,36 @@
 // history keeps the latest changes for watchers.
 type history struct {
 	mu sync.RWMutex
-	// changes rise by revision; guarded by mu.
+	// changes are sorted by revision; guarded by mu.
 	changes []Change
-	// floor is the highest revision whose changes were dropped; guarded by mu.
-	// A watcher which has seen less must take the whole state.
+	// floor is the highest revision of which changes were dropped; guarded by mu.
+	// A watcher at a lower revision must read the whole state.
 	floor uint64
-	// woken is closed and replaced at each new revision; guarded by mu.
-	woken chan struct{}
+	// changed is closed and replaced at each new revision; guarded by mu.
+	changed chan struct{}
 }
 
-// init has no lock of its own. Nobody else has it yet: it is not shared.
-func (h *history) init() { h.woken = make(chan struct{}) }
+// init initializes h without its lock, as h is not shared yet.
+func (h *history) init() { h.changed = make(chan struct{}) }
 
-// append adds the changes of one revision and keeps at most limit changes.
+// append adds the changes of one revision and drops the oldest changes beyond limit.
 func (h *history) append(limit int, changes []Change) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.changes = append(h.changes, changes...)
-	h.cut(limit)
+	h.dropOldest(limit)
 }
 
 func (h *history) trim(limit int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.cut(limit)
+	h.dropOldest(limit)
 }
 
-// cut drops the oldest changes until limit or fewer are left. What may be left
-// of the revision at the floor is given to nobody. The caller holds mu.
-func (h *history) cut(limit int) {
+// dropOldest drops the oldest changes until at most limit are left. Remaining
+// changes of the revision at the floor are not returned to watchers any more. The
+// caller holds mu.
+func (h *history) dropOldest(limit int) {
 	n := len(h.changes) - limit
 	if n <= 0 {
 		return
@@ -50,15 +51,15 @@
 	h.changes = h.changes[n:]
 }
 
-// wake ends the waits for a new revision.
-func (h *history) wake() {
+// notify wakes the goroutines that wait for a new revision.
+func (h *history) notify() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	close(h.woken)
-	h.woken = make(chan struct{})
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
-// replace takes over the changes and the floor of a restored state.
+// replace sets the changes and the floor to those of a restored state.
 func (h *history) replace(changes []Change, floor uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,13 +72,13 @@
 	return slices.Clone(h.changes), h.floor
 }
 
-func (h *history) waker() <-chan struct{} {
+func (h *history) changedChannel() <-chan struct{} {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
-	return h.woken
+	return h.changed
 }
 
-// since returns copies of the changes after a revision, whole revisions only.
+// since implements Store.Since. It returns copies of the changes.
 func (h *history) since(after uint64, limit int) (changes []Change, upTo uint64, ok bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -98,25 +99,25 @@
 	return slices.Clone(h.changes[from:to]), h.changes[to-1].Revision, true
 }
 
-// Since returns the changes after a revision in their order, at most limit of
-// them (0 means all), except that the changes of one revision always come
-// together. upTo is the revision which a reader holds who applies them. It
-// reports !ok when the history no longer reaches back to after; the reader then
-// takes All.
+// Since returns the changes after a revision in order. It returns at most limit
+// changes (0 means all), except that the changes of one revision are never split.
+// upTo is the revision of a reader after it has applied them. ok is false if the
+// history no longer contains all changes after the revision; the reader must then
+// read the whole state with All.
 func (s *Store) Since(after uint64, limit int) (changes []Change, upTo uint64, ok bool) {
 	return s.history.since(after, limit)
 }
 
-// Wait returns when the store's revision is above after, or with the context's
-// error.
+// Wait blocks until the store's revision is higher than after. It returns the
+// context's error if ctx ends first.
 func (s *Store) Wait(ctx context.Context, after uint64) error {
 	for {
-		woken := s.history.waker()
+		changed := s.history.changedChannel()
 		if s.Revision() > after {
 			return nil
 		}
 		select {
-		case <-woken:
+		case <-changed:
 		case <-ctx.Done():
 			return errors.Trace(ctx.Err())
 		}
--- a/internal/state/storer/json.go
+++ b/internal/state/storer/json.go
@@ -9,16 +9,17 @@
 	"github.com/juju/errors"
 )
 
-// jsonResource is a Resource whose spec is not yet typed.
+// jsonResource is a Resource whose spec is not decoded yet.
 type jsonResource struct {
 	Kind     Kind
 	Metadata Metadata
 	Spec     json.RawMessage
 }
 
-// UnmarshalJSON decodes {"Kind": ..., "Metadata": ..., "Spec": ...}, with the
-// spec's type taken from Kind. Unknown fields are refused: a mistyped one would
-// otherwise be dropped in silence, and the operator would believe it in force.
+// UnmarshalJSON decodes {"Kind": ..., "Metadata": ..., "Spec": ...}. Kind
+// determines the type of the spec. Unknown fields are an error: otherwise a
+// misspelled field would be ignored silently, and the operator would assume that
+// it is in force.
 func (r *Resource) UnmarshalJSON(data []byte) error {
 	var j jsonResource
 	if err := UnmarshalStrict(data, &j); err != nil {
@@ -36,14 +37,14 @@
 }
 
 // UnmarshalSpec decodes the JSON of a spec of the given kind. Unknown fields
-// are refused.
+// are an error.
 func UnmarshalSpec(kind Kind, data []byte) (Spec, error) {
 	return decodeSpec(kind, func(v any) error { return UnmarshalStrict(data, v) })
 }
 
-// UnmarshalStrict decodes one JSON value. It refuses unknown fields, fields given
-// twice (the standard library takes the last one, an operator may mean the
-// first) and text after the value.
+// UnmarshalStrict decodes one JSON value. Unknown fields, duplicate fields and text
+// after the value are errors. The standard library uses the last of duplicate
+// fields, but an operator may mean the first.
 func UnmarshalStrict(data []byte, v any) error {
 	if err := checkFields(json.NewDecoder(bytes.NewReader(data))); err != nil {
 		return errors.Trace(err)
@@ -53,7 +54,8 @@
 	return errors.Trace(d.Decode(v))
 }
 
-// checkFields reads one value and checks the names in its objects.
+// checkFields reads one value and checks that no object in it has duplicate fields
+// and that no text follows it.
 func checkFields(d *json.Decoder) error {
 	if err := checkValue(d, 0); err != nil {
 		return errors.Trace(err)
@@ -94,15 +96,15 @@
 	return errors.Annotate(err, "JSON")
 }
 
-// checkName reads a field's name. Names that differ in case only are the same
-// field to the standard library.
+// checkName reads a field's name and checks that it is not in names yet. The
+// standard library treats names that differ only in case as the same field.
 func checkName(d *json.Decoder, names map[string]struct{}) error {
 	token, err := d.Token()
 	if err != nil {
 		return errors.Annotate(err, "JSON")
 	}
 	name, _ := token.(string)
-	// By way of the capitals, so that letters with two small forms meet too.
+	// Converting to upper case first makes letters with two lower-case forms equal.
 	folded := strings.ToLower(strings.ToUpper(name))
 	if _, ok := names[folded]; ok {
 		return errors.Errorf("field %.40q is given twice", name)
--- a/internal/state/storer/kind.go
+++ b/internal/state/storer/kind.go
@@ -4,12 +4,12 @@
 
 //go:generate stringer -type=Kind -trimprefix=Kind
 
-// Kind tells the sorts of resources apart.
+// Kind is the type of a resource.
 type Kind int
 
-// The kinds of resources. Members are written by the registrar alone, the
-// routing, the named versions and suspects by commands of their own; all others are
-// declared by operators one by one.
+// The kinds of resources. Members, the routing configuration, newest versions and
+// suspects are written by their own commands; all others are declared individually
+// by operators.
 const (
 	KindNone Kind = iota
 	KindWorkspace
@@ -19,12 +19,12 @@
 	KindService
 	KindKey
 	KindMember
-	// KindRouting is the whole routing configuration, one document.
+	// KindRouting is the complete routing configuration, as one document.
 	KindRouting
 	// KindNewest is the newest version of an adapter or model that no workspace
 	// owns.
 	KindNewest
-	// KindSuspect is a request under which backend servers ended.
+	// KindSuspect is a request during which backend servers ended.
 	KindSuspect
 
 	// kindLast is the last kind.
@@ -36,7 +36,8 @@
 	return k == KindMember || k == KindRouting || k == KindNewest || k == KindSuspect
 }
 
-// PathSegment returns the plural under which operators address the kind.
+// PathSegment returns the path segment of the kind in the operators' API, or an
+// empty string for an unknown kind.
 func (k Kind) PathSegment() string {
 	switch k {
 	case KindWorkspace:
@@ -64,7 +65,8 @@
 	}
 }
 
-// ParsePathSegment returns the kind which operators address by segment.
+// ParsePathSegment returns the kind with the given path segment in the operators'
+// API.
 func ParsePathSegment(segment string) (Kind, error) {
 	for k := KindWorkspace; k <= kindLast; k++ {
 		if k.PathSegment() == segment {
--- a/internal/state/storer/members.go
+++ b/internal/state/storer/members.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-// joinMember begins a membership, or renews it for the same incarnation behind
-// the same companion. A renewed one keeps its epoch, so that what fences by the
-// epoch and what is known to be resident stay valid.
+// joinMember begins a membership, or renews it for the same incarnation and the
+// same companion. A renewed membership keeps its epoch, so that fencing by the
+// epoch and the known resident adapters stay valid.
 func (s *Store) joinMember(index uint64, c JoinMember) Result {
 	r := Resource{Kind: KindMember, Metadata: Metadata{Name: c.Name}, Spec: c.Member}
 	if err := Validate(r); err != nil {
@@ -19,17 +19,17 @@
 	c.Member.Epoch = index
 	old, exists := p.get(KindMember, c.Name)
 	if exists {
-		was := old.Spec.(MemberSpec)
+		previous := old.Spec.(MemberSpec)
 		switch {
-		case was.Incarnation == c.Member.Incarnation && was.Address == c.Member.Address:
-			c.Member.Epoch = was.Epoch
-			if equalSpecs(was, c.Member) {
+		case previous.Incarnation == c.Member.Incarnation && previous.Address == c.Member.Address:
+			c.Member.Epoch = previous.Epoch
+			if equalSpecs(previous, c.Member) {
 				return accepted(old)
 			}
 		case slices.Contains(p.superseded[c.Name], c.Member.Incarnation):
 			return refused(VerdictStale, "a later incarnation has joined", old)
-		case was.Incarnation != c.Member.Incarnation:
-			p.supersede(c.Name, was.Incarnation)
+		case previous.Incarnation != c.Member.Incarnation:
+			p.supersede(c.Name, previous.Incarnation)
 		}
 	}
 	r.Spec = c.Member
@@ -39,8 +39,8 @@
 	return accepted(r)
 }
 
-// supersede remembers a replaced incarnation, forgetting the oldest when there
-// are too many.
+// supersede records a replaced incarnation of a member name. It keeps the latest
+// maxSupersededPerMember incarnations.
 func (p *space) supersede(name, incarnation string) {
 	known := append(slices.Clone(p.superseded[name]), incarnation)
 	p.superseded[name] = known[max(0, len(known)-maxSupersededPerMember):]
@@ -77,13 +77,13 @@
 	return accepted(r)
 }
 
-// endMember removes a member and returns the change that tells of it.
+// endMember removes a member and returns the change for the history.
 func (p *space) endMember(index uint64, r Resource) Change {
 	p.remove(KindMember, r.Metadata.Name)
 	return Change{Revision: index, Resource: r, Deleted: true}
 }
 
-// expireMembers ends the memberships named, as far as they still last.
+// expireMembers ends those of the given memberships that still exist.
 func (s *Store) expireMembers(index uint64, c ExpireMembers) Result {
 	h := s.shard("")
 	h.mu.Lock()
--- a/internal/state/storer/model_test.go
+++ b/internal/state/storer/model_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is the state as one map, without indexes, shards or expiry.
+// model is a reference implementation of the state, without indexes, shards or expiry.
 type model struct {
 	resources map[Key]Resource
 	// retired holds the contents of deleted versions.
@@ -20,7 +20,7 @@
 	records map[string]record
 }
 
-// content is what a version's answers depend on.
+// content returns everything that a version's answers depend on.
 func (m *model) content(r Resource) string {
 	adapter, _, _ := strings.Cut(r.Metadata.Name, "@")
 	a := m.resources[Key{Kind: KindAdapter, Workspace: r.Metadata.Workspace, Name: adapter}]
@@ -65,7 +65,7 @@
 		if _, ok := m.resources[Key{Kind: KindAdapter, Workspace: k.Workspace, Name: adapter}]; !ok || exists {
 			return VerdictInvalid
 		}
-		if was, ok := m.retired[k]; ok && was != m.content(c.Resource) {
+		if oldContent, ok := m.retired[k]; ok && oldContent != m.content(c.Resource) {
 			return VerdictInvalid
 		}
 	case KeySpec:
@@ -136,10 +136,10 @@
 func (m *model) join(index uint64, c JoinMember) Verdict {
 	k := Key{Kind: KindMember, Name: c.Name}
 	old, ok := m.resources[k]
-	was, _ := old.Spec.(MemberSpec)
+	previous, _ := old.Spec.(MemberSpec)
 	c.Member.Epoch = index
-	if ok && was.Incarnation == c.Member.Incarnation && was.Address == c.Member.Address {
-		if c.Member.Epoch = was.Epoch; c.Member == was {
+	if ok && previous.Incarnation == c.Member.Incarnation && previous.Address == c.Member.Address {
+		if c.Member.Epoch = previous.Epoch; c.Member == previous {
 			return VerdictAccepted
 		}
 	}
@@ -171,8 +171,8 @@
 	}
 }
 
-// applyOnce answers a resent change with what the first one was answered.
-func (m *model) applyOnce(index uint64, e Envelope) (v Verdict, replayed bool) {
+// applyIdempotent applies a change, or returns the first verdict if the change was resent.
+func (m *model) applyIdempotent(index uint64, e Envelope) (v Verdict, replayed bool) {
 	k := workspaceOf(e.Command) + "/" + e.IdempotencyKey
 	if first, ok := m.records[k]; ok && e.IdempotencyKey != "" {
 		if !bytes.Equal(first.Digest, e.Digest) {
@@ -192,7 +192,7 @@
 func drawResource(t *rapid.T) Resource {
 	r := Resource{Metadata: Metadata{Workspace: sample(t, "workspace", "a", "b")}}
 	adapter, version := sample(t, "adapter", "x", "y"), sample(t, "version", "1", "2")
-	// Adapters and versions refer to each other: most faults hide there.
+	// Adapters and versions refer to each other, so most faults are expected there.
 	r.Kind = sample(t, "kind", KindAdapter, KindAdapter, KindAdapter, KindVersion, KindVersion, KindVersion, KindWorkspace, KindPriorityRule, KindService, KindKey)
 	switch r.Kind {
 	case KindWorkspace:
@@ -231,7 +231,7 @@
 	}
 }
 
-// replica follows the changes, as a watcher does.
+// replica follows the changes as a watcher does.
 type replica struct {
 	revision  uint64
 	resources map[Key]Resource
@@ -270,9 +270,9 @@
 	return b.Bytes()
 }
 
-// TestPropertyStoreFollowsModel runs commands on a store, on a second one that
-// is now and then replaced by a copy restored from the first's snapshot, and on
-// the model, and has a watcher follow.
+// TestPropertyStoreFollowsModel applies commands to a store, to a second store that
+// is sometimes replaced by a copy restored from the first one's snapshot, and to the
+// model, and compares them and a watcher that follows the changes.
 func TestPropertyStoreFollowsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		retention := Retention{HistoryChanges: sample(t, "history", 3, 1000)}
@@ -297,9 +297,9 @@
 			}
 			got := a.Apply(index, data).(Result)
 			if other := b.Apply(index, data).(Result); !reflect.DeepEqual(got, other) {
-				t.Fatalf("two stores answer %+v and %+v", got, other)
+				t.Fatalf("results of two stores differ: %+v and %+v", got, other)
 			}
-			if v, replayed := m.applyOnce(index, e); got.Verdict != v || got.Replayed != replayed {
+			if v, replayed := m.applyIdempotent(index, e); got.Verdict != v || got.Replayed != replayed {
 				t.Fatalf("%+v: got %v (%s) replayed %v, want %v replayed %v", e, got.Verdict, got.Reason, got.Replayed, v, replayed)
 			}
 			if rs, _ := a.All(); !reflect.DeepEqual(keyed(rs), m.resources) {
@@ -322,7 +322,7 @@
 			w.follow(t, b)
 		}
 		if !maps.EqualFunc(w.resources, m.resources, func(x, y Resource) bool { return reflect.DeepEqual(x, y) }) {
-			t.Fatalf("a watcher holds %v, want %v", w.resources, m.resources)
+			t.Fatalf("resources of the watcher: %v, want %v", w.resources, m.resources)
 		}
 	})
 }
--- a/internal/state/storer/reader.go
+++ b/internal/state/storer/reader.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Revision returns the index of the last command that changed a resource.
+// Revision returns the log index of the last command that changed a resource.
 func (s *Store) Revision() uint64 { return s.revision.Load() }
 
-// Applied returns the index of the last command applied.
+// Applied returns the log index of the last applied command.
 func (s *Store) Applied() uint64 {
 	s.applying.Lock()
 	defer s.applying.Unlock()
 	return s.applied
 }
 
-// Retention returns the bounds in force of what the state remembers.
+// Retention returns the retention limits in force.
 func (s *Store) Retention() Retention {
 	s.applying.Lock()
 	defer s.applying.Unlock()
 	return s.retention
 }
 
-// Get returns a resource.
+// Get returns a resource, or false if it does not exist.
 func (s *Store) Get(k Key) (Resource, bool) {
 	k = k.normalized()
 	if k.Kind <= KindNone || k.Kind > kindLast {
@@ -38,10 +38,10 @@
 	return p.get(k.Kind, k.Name)
 }
 
-// List returns the resources of a kind in a workspace, sorted by name, and a
-// revision from which a watcher may go on. Members and workspaces are listed
-// over the whole state, whatever the workspace; an empty workspace lists any
-// other kind over all workspaces.
+// List returns the resources of a kind in a workspace, sorted by name, and the
+// revision from which a watcher can continue. Workspaces, and kinds that belong
+// to no workspace, are listed over the whole state, whatever the workspace; an
+// empty workspace lists any other kind over all workspaces.
 func (s *Store) List(kind Kind, workspace string) (rs []Resource, revision uint64) {
 	if kind <= KindNone || kind > kindLast {
 		return nil, s.Revision()
@@ -60,8 +60,8 @@
 	return rs, s.Revision()
 }
 
-// All returns all resources, sorted by kind, workspace and name, and the
-// revision which they are at.
+// All returns all resources, sorted by kind, workspace and name, and their
+// common revision.
 func (s *Store) All() (rs []Resource, revision uint64) {
 	rs, revision = s.collect(KindWorkspace, kindLast)
 	slices.SortFunc(rs, compareResources)
@@ -69,7 +69,7 @@
 }
 
 // collect returns the resources of the kinds from first to last at one
-// revision, in no order.
+// revision, unsorted.
 func (s *Store) collect(first, last Kind) (rs []Resource, revision uint64) {
 	s.lockShards()
 	defer s.unlockShards()
@@ -96,7 +96,8 @@
 	}
 }
 
-// lockShards takes all shards for reading, which makes one consistent cut.
+// lockShards acquires the read locks of all shards, so that a consistent state
+// can be read.
 func (s *Store) lockShards() {
 	for i := range s.shards {
 		s.shards[i].mu.RLock()
@@ -117,7 +118,7 @@
 	)
 }
 
-// Claim returns the claim of a call.
+// Claim returns the claim of a call, or false if there is none.
 func (s *Store) Claim(workspace, key string) (Claim, bool) {
 	h := s.shard(workspace)
 	h.mu.RLock()
--- a/internal/state/storer/readers_test.go
+++ b/internal/state/storer/readers_test.go
@@ -7,14 +7,12 @@
 	"testing"
 )
 
-// TestReadersSeeOneRevision has readers take the whole state while commands are
-// applied, and follow the changes from the revision that came with it. Each
-// resource is put and deleted by turns, so a change that is missed shows at the
-// next one.
+// TestReadersSeeOneRevision lets readers read the whole state while commands are
+// applied, and follow the changes from the returned revision. Each resource is
+// alternately put and deleted, so that a missed change is detected at the next one.
 //
-// Symptom: a watcher keeps for ever what was deleted while it read. Sequence: it
-// reads the state of one shard, a change goes to that shard, it reads the
-// revision. Cause: state and revision were not of one moment.
+// It guards against a watcher that keeps a resource which was deleted while it read
+// the state: the state of a shard and the revision must be read consistently.
 func TestReadersSeeOneRevision(t *testing.T) {
 	const commands = 4000
 	s := NewStore(Settings{})
@@ -26,7 +24,7 @@
 				if reads%2 == 0 {
 					rs, revision := s.All()
 					if w.resources != nil && revision < w.revision {
-						t.Errorf("went back from %d to %d", w.revision, revision)
+						t.Errorf("the revision decreased from %d to %d", w.revision, revision)
 						return
 					}
 					w.resources, w.revision = keyed(rs), revision
@@ -46,7 +44,7 @@
 				w.revision = upTo
 			}
 			if rs, _ := s.All(); !maps.EqualFunc(w.resources, keyed(rs), func(a, b Resource) bool { return reflect.DeepEqual(a, b) }) {
-				t.Error("the state followed is not the state")
+				t.Error("the state of the watcher differs from the store")
 			}
 		})
 	}
--- a/internal/state/storer/resource.go
+++ b/internal/state/storer/resource.go
@@ -4,33 +4,34 @@
 	"time"
 )
 
-// Key names one resource.
+// Key identifies one resource.
 type Key struct {
 	Kind Kind `cbor:"1,keyasint,omitempty"`
-	// Workspace is empty for a member: backend servers are shared.
+	// Workspace is empty for kinds that belong to no workspace, such as members:
+	// backend servers are shared.
 	Workspace string `cbor:"2,keyasint,omitempty"`
 	// Name is unique within the kind and the workspace. A version's name is
-	// ADAPTER@VERSION; a workspace's own Workspace and Name are equal.
+	// ADAPTER@VERSION; for a workspace, Workspace and Name are equal.
 	Name string `cbor:"3,keyasint,omitempty"`
 }
 
-// Metadata is the part of a resource which every kind has.
+// Metadata is the part of a resource that every kind has.
 type Metadata struct {
 	Workspace string
 	Name      string
-	// Revision is the log index of the command which last wrote the resource.
+	// Revision is the log index of the command that last wrote the resource.
 	Revision uint64
 }
 
-// Resource is one declared thing. Its Spec is what the operator asked for.
+// Resource is one declared object. Its Spec is the declared content.
 type Resource struct {
 	Kind     Kind
 	Metadata Metadata
-	// Spec has the type which belongs to Kind.
+	// Spec has the type that belongs to Kind.
 	Spec Spec
 }
 
-// Key returns the name under which the resource is stored.
+// Key returns the key under which the resource is stored.
 func (r Resource) Key() Key {
 	return Key{Kind: r.Kind, Workspace: r.Metadata.Workspace, Name: r.Metadata.Name}
 }
@@ -42,23 +43,25 @@
 
 // WorkspaceSpec declares a workspace and its share of the engines.
 type WorkspaceSpec struct {
-	// Share weighs the workspace in queues, slots and load permits; 0 means 1.
+	// Share is the weight of the workspace in queues, slots and load permits; 0
+	// means 1.
 	Share int `cbor:"1,keyasint,omitempty"`
-	// MaxInFlight bounds the workspace's requests in progress at one entry; 0
+	// MaxInFlight limits the workspace's requests in progress at one entry; 0
 	// means the entry's own limit.
 	MaxInFlight int `cbor:"2,keyasint,omitempty"`
 	// TokenRate is the workspace's quota over all entries together, in tokens of prompts and
-	// answers a second; 0 means no limit.
+	// answers per second; 0 means no limit.
 	TokenRate int64 `cbor:"3,keyasint,omitempty"`
-	// TokenBurst is what of the quota may be saved up, in tokens; 0 means that of a second.
+	// TokenBurst is the capacity of the quota's token bucket, in tokens; 0 means the tokens
+	// of one second.
 	TokenBurst int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // AdapterSpec declares an adapter of a base model.
 type AdapterSpec struct {
 	BaseModel string `cbor:"1,keyasint,omitempty"`
-	// Current is the version which answers calls naming no version. It may be
-	// empty; then such calls are refused.
+	// Current is the version that answers calls without a version. If it is
+	// empty, such calls are refused.
 	Current string `cbor:"2,keyasint,omitempty"`
 }
 
@@ -72,26 +75,26 @@
 	SizeBytes int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// PriorityRuleSpec decides whose work comes first inside a workspace. The rule
-// with the most specific match wins: adapter and key, adapter, key, neither;
-// among equals the one with the smaller name.
+// PriorityRuleSpec sets the priority of calls within a workspace. The rule with
+// the most specific match applies: adapter and key, adapter, key, neither; among
+// equally specific rules the one whose name sorts first.
 type PriorityRuleSpec struct {
 	// Adapter limits the rule to one adapter; empty means all.
 	Adapter string `cbor:"1,keyasint,omitempty"`
-	// Key limits the rule to callers with one key's name; empty means all.
+	// Key limits the rule to callers with the key of this name; empty means all.
 	Key string `cbor:"2,keyasint,omitempty"`
-	// Priority ranges from 0, last, to 9, first.
+	// Priority ranges from 0, served last, to 9, served first.
 	Priority int `cbor:"3,keyasint,omitempty"`
-	// DeadlineMillis is the deadline given to calls which bring none; 0 means
-	// the entry's own.
+	// DeadlineMillis is the deadline, in milliseconds, of calls without one; 0
+	// means the entry's own.
 	DeadlineMillis int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// ServiceSpec declares a plain service. Calls which match neither list are
+// ServiceSpec declares a plain service. Calls that match neither list are
 // non-idempotent.
 type ServiceSpec struct {
 	IdempotentMethods []string `cbor:"1,keyasint,omitempty"`
-	// IdempotentPaths are path prefixes below the service.
+	// IdempotentPaths are path prefixes relative to the service.
 	IdempotentPaths []string `cbor:"2,keyasint,omitempty"`
 }
 
@@ -104,7 +107,7 @@
 
 //go:generate stringer -type=MemberKind -trimprefix=MemberKind
 
-// MemberKind tells what a backend server runs.
+// MemberKind is the kind of workload that a backend server runs.
 type MemberKind int
 
 // The kinds of backend servers.
@@ -115,14 +118,14 @@
 
 //go:generate stringer -type=MemberState -trimprefix=MemberState
 
-// MemberState tells whether a backend server takes new work.
+// MemberState reports whether a backend server accepts new work.
 type MemberState int
 
 // The states of a backend server's membership.
 const (
-	// MemberStateServing takes new work.
+	// MemberStateServing accepts new work.
 	MemberStateServing MemberState = iota
-	// MemberStateLeaving finishes what it has and takes nothing new.
+	// MemberStateLeaving finishes its work in progress and accepts no new work.
 	MemberStateLeaving
 )
 
@@ -130,7 +133,7 @@
 type MemberSpec struct {
 	Kind  MemberKind  `cbor:"1,keyasint,omitempty"`
 	State MemberState `cbor:"2,keyasint,omitempty"`
-	// Address is the companion's address for entries, IP:port.
+	// Address is the companion's address for entries, as IP:port.
 	Address       string `cbor:"3,keyasint,omitempty"`
 	Region        string `cbor:"4,keyasint,omitempty"`
 	FailureDomain string `cbor:"5,keyasint,omitempty"`
@@ -142,32 +145,32 @@
 	MaxBatch      int    `cbor:"9,keyasint,omitempty"`
 	ChecksFencing bool   `cbor:"10,keyasint,omitempty"`
 	Incarnation   string `cbor:"11,keyasint,omitempty"`
-	// Epoch is the log index of the command which began this membership. It
+	// Epoch is the log index of the command that began this membership. It
 	// fences orders: a later membership has a higher epoch.
 	Epoch uint64 `cbor:"12,keyasint,omitempty"`
-	// Instance is what a backend server keeps over its lives, and Born when this one
-	// began, in milliseconds since 1970; both are empty where a life is known by its
-	// Incarnation alone.
+	// Instance identifies the backend server over its incarnations, and Born is the
+	// start time of this incarnation, in milliseconds since 1970. Both are empty if
+	// only Incarnation identifies it.
 	Instance string `cbor:"13,keyasint,omitempty"`
 	Born     uint64 `cbor:"14,keyasint,omitempty"`
-	// Sequence is that of the message which the rest comes from; it rises within a
-	// life. 0 means not told.
+	// Sequence is the sequence number of the message from which this content was
+	// taken; it increases within an incarnation. 0 means unknown.
 	Sequence uint64 `cbor:"15,keyasint,omitempty"`
 }
 
-// RoutingName is the name of the one routing configuration.
+// RoutingName is the resource name of the only routing configuration.
 const RoutingName = "routing"
 
-// RoutingSpec is a whole routing configuration.
+// RoutingSpec is a complete routing configuration.
 type RoutingSpec struct {
-	// Number is the operator's; the highest is in force.
+	// Number is assigned by the operator; the highest is in force.
 	Number uint64 `cbor:"1,keyasint,omitempty"`
-	// Document is the configuration as the operator sent it, in the form of package
+	// Document is the configuration as the operator sent it, packed by package
 	// packer.
 	Document []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// NewestSpec names the newest version of an adapter or model.
+// NewestSpec is the newest version of an adapter or model.
 type NewestSpec struct {
 	Version uint64 `cbor:"1,keyasint,omitempty"`
 }
@@ -182,17 +185,17 @@
 func (RoutingSpec) spec()      {}
 func (NewestSpec) spec()       {}
 
-// Change is one step of the resource history: a resource as written, or its
+// Change is one entry of the resource history: a resource as written, or its
 // deletion.
 type Change struct {
 	Revision uint64   `cbor:"1,keyasint,omitempty"`
 	Resource Resource `cbor:"2,keyasint,omitempty"`
-	// Deleted means that the resource ended at Revision; Resource then holds
-	// its last content.
+	// Deleted means that the resource was deleted at Revision; Resource is its
+	// last content.
 	Deleted bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Instant is a leader's wall clock reading in nanoseconds since 1970, UTC.
+// Instant is a leader's wall clock reading, in nanoseconds since 1970, UTC.
 type Instant int64
 
 // InstantOf returns t as an Instant.
--- a/internal/state/storer/resources.go
+++ b/internal/state/storer/resources.go
@@ -8,8 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// putResource writes a resource. Members are written by the registrar's
-// commands only.
+// putResource writes a resource. Kinds that belong to no workspace, such as
+// members, are written by their own commands only.
 func (s *Store) putResource(index uint64, c PutResource) Result {
 	r := c.Resource
 	r.Metadata.Workspace = r.Key().normalized().Workspace
@@ -23,7 +23,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.space(r.Metadata.Workspace)
-	defer h.sweep(r.Metadata.Workspace)
+	defer h.removeIfEmpty(r.Metadata.Workspace)
 	old, exists := p.get(r.Kind, r.Metadata.Name)
 	if result, ok := checkCondition(c, old, exists); !ok {
 		return result
@@ -40,7 +40,8 @@
 	return s.write(index, p, r)
 }
 
-// checkCondition checks the revision on which the writer based the write.
+// checkCondition checks the condition of a write on the resource's existence or
+// revision.
 func checkCondition(c PutResource, old Resource, exists bool) (Result, bool) {
 	switch {
 	case c.IfNoneMatch && exists:
@@ -54,7 +55,7 @@
 	}
 }
 
-// checkReferences checks a write against other resources.
+// checkReferences checks a write against the resources to which it refers.
 func (s *Store) checkReferences(p *space, r, old Resource, exists bool) (Result, bool) {
 	switch spec := r.Spec.(type) {
 	case AdapterSpec:
@@ -63,7 +64,7 @@
 				return invalid(errors.Errorf("Spec.Current: adapter %q has no version %q", r.Metadata.Name, spec.Current)), false
 			}
 		}
-		if was, ok := old.Spec.(AdapterSpec); ok && exists && was.BaseModel != spec.BaseModel && p.versions[r.Metadata.Name] > 0 {
+		if previous, ok := old.Spec.(AdapterSpec); ok && exists && previous.BaseModel != spec.BaseModel && p.versions[r.Metadata.Name] > 0 {
 			return refused(VerdictInUse, "the adapter has versions of its base model", old), false
 		}
 	case VersionSpec:
@@ -72,7 +73,7 @@
 		if !ok {
 			return invalid(errors.Errorf("there is no adapter %q", adapter)), false
 		}
-		if was, ok := p.retired[r.Metadata.Name]; ok && !bytes.Equal(was.Content, versionContent(a, spec)) {
+		if previous, ok := p.retired[r.Metadata.Name]; ok && !bytes.Equal(previous.Content, versionDigest(a, spec)) {
 			return invalid(errors.New("a deleted version of this name held another content; declare a new version")), false
 		}
 	case KeySpec:
@@ -81,8 +82,8 @@
 	return Result{}, true
 }
 
-// checkHash refuses a bearer key which another resource declares: with two
-// holders it would be open to which workspace a caller belongs.
+// checkHash refuses a bearer key that another resource declares: the workspace of
+// a caller would be ambiguous.
 func (s *Store) checkHash(r Resource, spec KeySpec) (Result, bool) {
 	hash, err := ParseHash(spec.Hash)
 	if err != nil {
@@ -94,8 +95,8 @@
 	return Result{}, true
 }
 
-// versionContent returns a digest of all that decides a version's answers.
-func versionContent(adapter Resource, spec VersionSpec) []byte {
+// versionDigest returns a digest of everything that a version's answers depend on.
+func versionDigest(adapter Resource, spec VersionSpec) []byte {
 	base, _ := adapter.Spec.(AdapterSpec)
 	data, err := encoding.Marshal([]any{base.BaseModel, spec})
 	if err != nil {
@@ -105,29 +106,30 @@
 	return sum[:]
 }
 
-// write stores r, and the workspace too where r is the first thing in it. The
+// write stores r. It also creates the workspace if r is its first resource. The
 // caller holds the lock of p's shard.
 func (s *Store) write(index uint64, p *space, r Resource) Result {
 	changes := make([]Change, 0, 2)
 	workspace := r.Metadata.Workspace
 	if _, ok := p.get(KindWorkspace, workspace); !ok && r.Kind != KindWorkspace {
-		w := Resource{
+		created := Resource{
 			Kind:     KindWorkspace,
 			Metadata: Metadata{Workspace: workspace, Name: workspace, Revision: index},
 			Spec:     WorkspaceSpec{Share: 1},
 		}
-		p.put(w)
-		changes = append(changes, Change{Revision: index, Resource: w})
+		p.put(created)
+		changes = append(changes, Change{Revision: index, Resource: created})
 	}
 	r.Metadata.Revision = index
-	s.rehash(p, r.Key(), r.Spec)
+	s.updateHashes(p, r.Key(), r.Spec)
 	p.put(r)
 	s.publish(index, append(changes, Change{Revision: index, Resource: r})...)
 	return accepted(r)
 }
 
-// rehash keeps hashes in step with a key's spec; nil means that the key ends.
-func (s *Store) rehash(p *space, k Key, spec Spec) {
+// updateHashes updates s.hashes for the new spec of a key; nil means that the key
+// is deleted.
+func (s *Store) updateHashes(p *space, k Key, spec Spec) {
 	if k.Kind != KindKey {
 		return
 	}
@@ -143,8 +145,8 @@
 	}
 }
 
-// deleteResource ends a resource that nothing refers to. Of what is not declared one by one
-// an operator may end suspects.
+// deleteResource deletes a resource to which no other resource refers. Of the kinds that
+// belong to no workspace, operators can delete suspects only.
 func (s *Store) deleteResource(index uint64, c DeleteResource) Result {
 	k := c.Key.normalized()
 	if k.Kind.shared() && k.Kind != KindSuspect {
@@ -157,7 +159,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := h.space(k.Workspace)
-	defer h.sweep(k.Workspace)
+	defer h.removeIfEmpty(k.Workspace)
 	old, ok := p.get(k.Kind, k.Name)
 	if !ok {
 		return Result{Verdict: VerdictNotFound, Reason: "the resource does not exist"}
@@ -169,18 +171,18 @@
 		return refused(VerdictInUse, reason, old)
 	}
 	if k.Kind == KindVersion {
-		if s.retired.live >= s.retention.MaxRecords {
+		if s.retired.count >= s.retention.MaxRecords {
 			return Result{Verdict: VerdictFull, Reason: "too many names of deleted versions", Revision: old.Metadata.Revision}
 		}
-		s.retire(index, p, old)
+		s.recordRetiredVersion(index, p, old)
 	}
-	s.rehash(p, k, nil)
+	s.updateHashes(p, k, nil)
 	p.remove(k.Kind, k.Name)
 	s.publish(index, Change{Revision: index, Resource: old, Deleted: true})
 	return Result{Revision: index, Resource: &old}
 }
 
-// referrer tells what still needs the resource, or nothing.
+// referrer returns the reason why the resource is still in use, or an empty string.
 func (p *space) referrer(k Key) string {
 	switch k.Kind {
 	case KindWorkspace:
@@ -201,13 +203,13 @@
 	return ""
 }
 
-// accepted answers a command which left r as it is now.
+// accepted returns the result of an accepted command; r is the resource after it.
 func accepted(r Resource) Result { return Result{Revision: r.Metadata.Revision, Resource: &r} }
 
-// refused answers a command which had no effect on r.
+// refused returns the result of a command that had no effect on r.
 func refused(v Verdict, reason string, r Resource) Result {
 	return Result{Verdict: v, Reason: reason, Revision: r.Metadata.Revision, Resource: &r}
 }
 
-// equalSpecs reports whether two specs are the same.
+// equalSpecs reports whether two specs are deeply equal.
 func equalSpecs(a, b Spec) bool { return reflect.DeepEqual(a, b) }
--- a/internal/state/storer/retention.go
+++ b/internal/state/storer/retention.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of Retention.
+// Defaults of Retention, and limits that are not configurable.
 const (
 	DefaultIdempotencyAge  = 24 * time.Hour
 	DefaultClaimAge        = 30 * time.Minute
@@ -17,40 +17,40 @@
 	maxSupersededPerMember = 8
 )
 
-// Retention bounds what the state remembers beside the resources. It is itself
-// replicated state: hosts which forgot a record at different log positions
-// would answer a resent change differently, and their states would part.
+// Retention limits the records that the state keeps besides the resources. It is
+// itself replicated state: hosts that dropped a record at different log positions
+// would answer a resent change differently, and their states would diverge.
 //
-// A record is forgotten when it is older than its age by the state's time and
-// also MinEntries or more entries of the log came after it. Time alone would
-// let one leader whose clock runs ahead empty the memory at once; position
-// alone would let a rush push out, within seconds, what a caller still resends.
-// The state's time never goes back, and advances by at most a minute for each
-// entry: a single false stamp can't age anything by more, and a quiet log only
-// keeps records longer.
+// A record expires when it is older than its age by the state's time and at least
+// MinEntries log entries follow it. With the time alone, a leader whose clock
+// runs ahead would expire all records at once; with the position alone, a burst
+// of commands would within seconds expire records of changes that callers still
+// resend. The state's time never decreases, and advances by at most one minute
+// per entry: a single wrong timestamp ages records by no more than that, and in a
+// log with few entries records are only kept longer.
 //
 // The zero value of a field means its default.
 type Retention struct {
-	// IdempotencyAge is the time for which the first answer to a change with an
+	// IdempotencyAge is the time for which the first result of a change with an
 	// idempotency key is kept.
 	IdempotencyAge time.Duration `cbor:"1,keyasint,omitempty"`
 	// ClaimAge is the time for which a claim is kept after its last change.
 	ClaimAge time.Duration `cbor:"2,keyasint,omitempty"`
 	// VersionNameAge is the time for which the name of a deleted version stays
-	// bound to the content it had.
+	// bound to its content.
 	VersionNameAge time.Duration `cbor:"3,keyasint,omitempty"`
-	// MinEntries is the number of later log entries after which a record may be
-	// forgotten.
+	// MinEntries is the number of later log entries after which a record may
+	// expire.
 	MinEntries int `cbor:"4,keyasint,omitempty"`
-	// MaxRecords bounds the claims, the idempotency records and the names of
-	// deleted versions, each by itself. Beyond it new ones are refused with
-	// VerdictFull rather than old ones forgotten early.
+	// MaxRecords limits the claims, the idempotency records and the names of
+	// deleted versions, each separately. At the limit, new records are refused
+	// with VerdictFull; old ones are not dropped early.
 	MaxRecords int `cbor:"5,keyasint,omitempty"`
-	// HistoryChanges is the number of latest changes kept for watchers.
+	// HistoryChanges is the number of latest changes that are kept for watchers.
 	HistoryChanges int `cbor:"6,keyasint,omitempty"`
 }
 
-// withDefaults returns r with its zero fields filled.
+// withDefaults returns r with its zero fields replaced by the defaults.
 func (r Retention) withDefaults() Retention {
 	r.IdempotencyAge = cmp.Or(max(r.IdempotencyAge, 0), DefaultIdempotencyAge)
 	r.ClaimAge = cmp.Or(max(r.ClaimAge, 0), DefaultClaimAge)
@@ -61,8 +61,8 @@
 	return r
 }
 
-// expired reports whether a record made at index and time may be forgotten when
-// the log has come to head at the state's time now.
+// expired reports whether a record that was written at the given index and time
+// has expired when the last applied index is head and the state's time is now.
 func (r Retention) expired(age time.Duration, index uint64, at Instant, head uint64, now Instant) bool {
 	return now-at > Instant(age) && head-index >= uint64(r.MinEntries)
 }
--- a/internal/state/storer/routing.go
+++ b/internal/state/storer/routing.go
@@ -1,8 +1,8 @@
 package storer
 
-// putRouting replaces the routing configuration by one of a higher number. A
-// lower one is accepted without effect: its sender has been overtaken, and an
-// error would have it send the same again.
+// putRouting replaces the routing configuration by one with a higher number. An
+// equal or lower number is accepted without effect: a newer configuration exists,
+// and an error would make the sender retry.
 func (s *Store) putRouting(index uint64, c PutRouting) Result {
 	r := Resource{
 		Kind:     KindRouting,
@@ -12,7 +12,8 @@
 	return s.putShared(index, r, func(old Spec) bool { return old.(RoutingSpec).Number < c.Number })
 }
 
-// nameNewest names a newer version.
+// nameNewest sets the newest version of an adapter or model, if it is higher than
+// the stored one.
 func (s *Store) nameNewest(index uint64, c NameNewest) Result {
 	r := Resource{
 		Kind:     KindNewest,
@@ -22,8 +23,8 @@
 	return s.putShared(index, r, func(old Spec) bool { return old.(NewestSpec).Version < c.Version })
 }
 
-// putShared writes a resource of no workspace where it is newer than the one
-// held, and answers with the one that holds then.
+// putShared writes a resource that belongs to no workspace, if it is newer than the
+// stored one. The result contains the resource that is stored afterwards.
 func (s *Store) putShared(index uint64, r Resource, newer func(old Spec) bool) Result {
 	if err := Validate(r); err != nil {
 		return invalid(err)
--- a/internal/state/storer/shard.go
+++ b/internal/state/storer/shard.go
@@ -8,40 +8,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// shardCount is the number of parts of the state. It shows in nothing that is
-// replicated or written.
+// shardCount is the number of shards of the state. Neither replicated nor stored
+// data depends on it.
 const shardCount = 64
 
-// shard is the part of the state which belongs to the workspaces that hash to
+// shard is the part of the state that belongs to the workspaces that hash to
 // it. Only the goroutine that applies the log writes; readers are concurrent.
 type shard struct {
 	mu sync.RWMutex
-	// spaces holds the workspaces by name, and under the empty name what
-	// belongs to none; guarded by mu.
+	// spaces holds the content of each workspace by name, and under the empty
+	// name the resources that belong to no workspace; guarded by mu.
 	spaces map[string]*space
 }
 
-// space is what belongs to one workspace; guarded by its shard's mu.
+// space is the content of one workspace; guarded by its shard's mu.
 type space struct {
 	// resources holds the resources by kind and name.
 	resources [kindLast + 1]map[string]Resource
-	// versions counts the versions of each adapter that has some.
+	// versions counts the versions of each adapter that has at least one.
 	versions map[string]int
 	claims   map[string]Claim
-	// records holds the first answers to changes, by idempotency key.
+	// records holds the first results of changes, by idempotency key.
 	records map[string]record
-	// retired holds the content of deleted versions, by name.
+	// retired holds the content digests of deleted versions, by name.
 	retired map[string]retiredVersion
-	// superseded holds, by member name, the incarnations which a later one
-	// replaced, oldest first. A message of one of them that arrives late must
-	// not take the membership back.
+	// superseded holds, by member name, the incarnations that a later one
+	// replaced, oldest first. A delayed message of one of them must not restore
+	// its membership.
 	superseded map[string][]string
 	// departures holds the incarnations of backend servers that have ended, by
 	// incarnation.
 	departures map[string]departure
 }
 
-// record is the first answer to a change with an idempotency key.
+// record is the first result of a change with an idempotency key.
 type record struct {
 	Workspace string  `cbor:"1,keyasint,omitempty"`
 	Key       string  `cbor:"2,keyasint"`
@@ -51,9 +51,9 @@
 	Time      Instant `cbor:"6,keyasint"`
 }
 
-// retiredVersion remembers what a deleted version held. Engines and caches may
-// still hold weights under the name: declared again with another content, the
-// name would have callers answered from the old one.
+// retiredVersion records the content of a deleted version. Engines and caches may
+// still hold its weights: if the name were declared again with other content,
+// callers could get answers computed with the old weights.
 type retiredVersion struct {
 	Workspace string  `cbor:"1,keyasint"`
 	Name      string  `cbor:"2,keyasint"`
@@ -73,8 +73,8 @@
 	}
 }
 
-// space returns the workspace's part, made when it is missing. The caller holds
-// mu for writing.
+// space returns the workspace's space, and creates it if it is missing. The
+// caller holds mu for writing.
 func (h *shard) space(workspace string) *space {
 	p, ok := h.spaces[workspace]
 	if !ok {
@@ -113,7 +113,8 @@
 	}
 }
 
-// inUse reports whether the workspace holds more than itself.
+// inUse reports whether the workspace contains resources other than its own
+// declaration.
 func (p *space) inUse() bool {
 	for kind, rs := range p.resources {
 		if Kind(kind) != KindWorkspace && len(rs) > 0 {
@@ -123,7 +124,7 @@
 	return false
 }
 
-// empty reports whether nothing is left to keep the space for.
+// empty reports whether the space contains nothing, so that it can be dropped.
 func (p *space) empty() bool {
 	return !p.inUse() && len(p.resources[KindWorkspace])+len(p.claims)+len(p.records)+len(p.retired)+len(p.superseded)+len(p.departures) == 0
 }
--- a/internal/state/storer/snapshot.go
+++ b/internal/state/storer/snapshot.go
@@ -9,15 +9,15 @@
 	"github.com/juju/errors"
 )
 
-// snapshotFormat is the version of the snapshot's form. A host refuses a form
-// which it does not know.
+// snapshotFormat is the version of the snapshot format. A host refuses a format
+// that it does not support.
 const snapshotFormat = 1
 
-// snapshotMagic begins a snapshot.
+// snapshotMagic identifies a snapshot.
 const snapshotMagic = "marigoldpoint state"
 
-// snapshotHeader is the first of the CBOR items (RFC 8742) that make up a
-// snapshot. The items counted here follow in the order of the fields.
+// snapshotHeader is the first item of the CBOR sequence (RFC 8742) that forms a
+// snapshot. The items that it counts follow in the order of the fields.
 type snapshotHeader struct {
 	Magic      string    `cbor:"1,keyasint"`
 	Format     int       `cbor:"2,keyasint"`
@@ -35,14 +35,14 @@
 	Departures int       `cbor:"14,keyasint,omitempty"`
 }
 
-// supersededMember is the memory of a member name's replaced incarnations.
+// supersededMember lists the replaced incarnations of a member name.
 type supersededMember struct {
 	Name         string   `cbor:"1,keyasint"`
 	Incarnations []string `cbor:"2,keyasint"`
 }
 
-// snapshotContent is the state at one index, sorted so that equal states have
-// equal snapshots.
+// snapshotContent is the state at one index. It is sorted before it is written, so
+// that equal states have equal snapshots.
 type snapshotContent struct {
 	header     snapshotHeader
 	resources  []Resource
@@ -54,17 +54,17 @@
 	departures []departure
 }
 
-// Snapshot writes the state. Stores which applied the same commands write the
+// Snapshot writes the state to w. Stores that applied the same commands write the
 // same bytes.
 func (s *Store) Snapshot(w io.Writer) error { return s.Freeze()(w) }
 
-// Freeze returns a function which writes the state as it is now. Commands may be
-// applied before that function is called and while it runs: only the copying is
-// done here, which is a small part of the time that a snapshot takes.
+// Freeze copies the state and returns a function that writes the copy. Commands may
+// be applied before that function is called and while it runs. The copy takes a
+// small part of the time of a snapshot.
 func (s *Store) Freeze() func(w io.Writer) error {
 	c := s.copy()
 	return func(w io.Writer) error {
-		c.arrange()
+		c.sort()
 		return c.write(w)
 	}
 }
@@ -75,7 +75,7 @@
 	if err := e.Encode(c.header); err != nil {
 		return errors.Annotate(err, "write snapshot header")
 	}
-	if err := firstError(
+	if err := firstNonNil(
 		encodeAll(e, c.resources),
 		encodeAll(e, c.claims),
 		encodeAll(e, c.records),
@@ -89,7 +89,7 @@
 	return errors.Annotate(b.Flush(), "write snapshot")
 }
 
-func firstError(errs ...error) error { return cmp.Or(errs...) }
+func firstNonNil(errs ...error) error { return cmp.Or(errs...) }
 
 type itemEncoder interface{ Encode(v any) error }
 
@@ -108,7 +108,7 @@
 	if n < 0 {
 		return nil, errors.Errorf("count %d is negative", n)
 	}
-	// The count comes from outside: it must not reserve memory by itself.
+	// n is untrusted input: it must not determine how much memory is allocated.
 	items := make([]T, 0, min(n, 1<<16))
 	for range n {
 		var item T
@@ -120,7 +120,7 @@
 	return items, nil
 }
 
-// copy copies the state at one index, in no order.
+// copy returns a copy of the state at one index, unsorted.
 func (s *Store) copy() *snapshotContent {
 	s.applying.Lock()
 	defer s.applying.Unlock()
@@ -132,9 +132,9 @@
 			Now:       s.now,
 			Retention: s.retention,
 		},
-		claims:  make([]Claim, 0, s.claims.live),
-		records: make([]record, 0, s.records.live),
-		retired: make([]retiredVersion, 0, s.retired.live),
+		claims:  make([]Claim, 0, s.claims.count),
+		records: make([]record, 0, s.records.count),
+		retired: make([]retiredVersion, 0, s.retired.count),
 	}
 	c.resources, c.header.Revision = s.collect(KindWorkspace, kindLast)
 	for i := range s.shards {
@@ -166,9 +166,9 @@
 	}
 }
 
-// arrange puts the content into its one order. What expires goes by index, which
-// is the order of the queues too.
-func (c *snapshotContent) arrange() {
+// sort sorts the content into its canonical order. Items that expire are sorted by
+// index, which is also the order of the expiry queues.
+func (c *snapshotContent) sort() {
 	slices.SortFunc(c.resources, compareResources)
 	slices.SortFunc(c.claims, func(a, b Claim) int { return cmp.Compare(a.Index, b.Index) })
 	slices.SortFunc(c.records, func(a, b record) int { return cmp.Compare(a.Index, b.Index) })
@@ -182,9 +182,10 @@
 	c.header.Retired, c.header.Superseded, c.header.Changes = len(c.retired), len(c.superseded), len(c.changes)
 }
 
-// Restore replaces the state by a snapshot's. A snapshot that is damaged or cut
-// short leaves the state as it was. index is the position which the log gives
-// the snapshot; it must not lie before the last command that the snapshot holds.
+// Restore replaces the state by the state of a snapshot. A damaged or truncated
+// snapshot is an error and leaves the state unchanged. index is the log index of
+// the snapshot; it must not be lower than that of the last command that the
+// snapshot contains.
 func (s *Store) Restore(r io.Reader, index uint64) error {
 	c, err := readContent(r)
 	if err != nil {
@@ -194,8 +195,8 @@
 		return errors.Errorf("the snapshot of index %d holds the command of index %d", index, c.header.Applied)
 	}
 	fresh := NewStore(Settings{Retention: c.header.Retention})
-	fresh.fill(c)
-	s.adopt(fresh, c)
+	fresh.load(c)
+	s.replaceState(fresh, c)
 	return nil
 }
 
@@ -208,7 +209,7 @@
 	if c.header.Magic != snapshotMagic || c.header.Format != snapshotFormat {
 		return c, errors.NotSupportedf("snapshot %.20q of format %d", c.header.Magic, c.header.Format)
 	}
-	return c, firstError(
+	return c, firstNonNil(
 		decodeInto(d, c.header.Resources, &c.resources),
 		decodeInto(d, c.header.Claims, &c.claims),
 		decodeInto(d, c.header.Records, &c.records),
@@ -224,41 +225,42 @@
 	return err
 }
 
-// fill writes the content into an empty store which nobody else holds yet.
-func (s *Store) fill(c snapshotContent) {
+// load writes the content into an empty store that is not shared yet.
+func (s *Store) load(c snapshotContent) {
 	for _, r := range c.resources {
 		p := s.shard(r.Metadata.Workspace).space(r.Metadata.Workspace)
-		s.rehash(p, r.Key(), r.Spec)
+		s.updateHashes(p, r.Key(), r.Spec)
 		p.put(r)
 	}
 	for _, claim := range c.claims {
 		s.shard(claim.Workspace).space(claim.Workspace).claims[claim.Key] = claim
-		s.claims.restore(aged{workspace: claim.Workspace, key: claim.Key, index: claim.Index, time: claim.Time})
+		s.claims.add(expiryEntry{workspace: claim.Workspace, key: claim.Key, index: claim.Index, time: claim.Time})
 	}
 	for _, r := range c.records {
 		s.shard(r.Workspace).space(r.Workspace).records[r.Key] = r
-		s.records.restore(aged{workspace: r.Workspace, key: r.Key, index: r.Index, time: r.Time})
+		s.records.add(expiryEntry{workspace: r.Workspace, key: r.Key, index: r.Index, time: r.Time})
 	}
 	for _, r := range c.retired {
 		s.shard(r.Workspace).space(r.Workspace).retired[r.Name] = r
-		s.retired.restore(aged{workspace: r.Workspace, key: r.Name, index: r.Index, time: r.Time})
+		s.retired.add(expiryEntry{workspace: r.Workspace, key: r.Name, index: r.Index, time: r.Time})
 	}
 	for _, m := range c.superseded {
 		s.shard("").space("").superseded[m.Name] = m.Incarnations
 	}
 	for _, d := range c.departures {
 		s.shard("").space("").departures[d.Incarnation] = d
-		s.departures.restore(aged{key: d.Incarnation, index: d.Index, time: d.Time})
+		s.departures.add(expiryEntry{key: d.Incarnation, index: d.Index, time: d.Time})
 	}
 }
 
-func (a *aging) restore(e aged) {
+func (a *expiryQueue) add(e expiryEntry) {
 	a.push(e)
-	a.live++
+	a.count++
 }
 
-// adopt takes over the parts of fresh in one step, as readers see it.
-func (s *Store) adopt(fresh *Store, c snapshotContent) {
+// replaceState replaces the state by that of fresh. Readers see either the old or
+// the new state.
+func (s *Store) replaceState(fresh *Store, c snapshotContent) {
 	s.applying.Lock()
 	defer s.applying.Unlock()
 	for i := range s.shards {
@@ -275,5 +277,5 @@
 	for i := range s.shards {
 		s.shards[i].mu.Unlock()
 	}
-	s.history.wake()
+	s.history.notify()
 }
--- a/internal/state/storer/store.go
+++ b/internal/state/storer/store.go
@@ -9,8 +9,8 @@
 
 // Settings are a store's options. The zero value is ready for use.
 type Settings struct {
-	// Retention holds until a SetRetention command is applied. It must be the
-	// same on all hosts of a group.
+	// Retention is in force until a SetRetention command is applied. It must be
+	// the same on all hosts of a control group.
 	Retention Retention
 }
 
@@ -18,26 +18,28 @@
 // are called by one goroutine at a time; all other methods may be called by any
 // goroutine at any time.
 type Store struct {
-	// applying is held while a command is applied or the state replaced, and
+	// applying is held while a command is applied or the state is replaced, and
 	// guards the fields of this block.
 	applying sync.Mutex
-	// applied is the log index of the last command applied.
+	// applied is the log index of the last applied command.
 	applied uint64
-	// now is the state's time. It never goes back.
+	// now is the state's time. It never decreases.
 	now       Instant
 	retention Retention
-	// hashes holds the hash of every caller's key, over all workspaces: a
-	// bearer key must lead to one workspace only.
+	// hashes maps the hash of every caller's key, over all workspaces, to its
+	// resource: a bearer key must identify exactly one workspace.
 	hashes map[[hashLength]byte]Key
-	// claims, records, retired and departures count and age what expires.
-	claims, records, retired, departures aging
+	// claims, records, retired and departures count and order the items that
+	// expire.
+	claims, records, retired, departures expiryQueue
 
 	// shards hold the state; each has its own lock. A command writes to one
-	// shard, and publishes its revision while it holds that shard's lock: who
-	// holds a shard's lock sees a revision which covers all of the shard.
+	// shard, and publishes its revision while it holds that shard's lock: a
+	// reader that holds a shard's lock therefore reads a revision that covers
+	// all changes of the shard.
 	shards [shardCount]shard
 
-	// history has its own lock, taken after a shard's.
+	// history has its own lock, which is acquired after a shard's.
 	history history
 	// revision is the index of the last command that changed a resource.
 	revision atomic.Uint64
@@ -53,10 +55,10 @@
 	return st
 }
 
-// Apply applies the command encoded in data, which the log holds at index, and
-// returns a Result. An index which was applied before is passed over with
-// VerdictStale: a log may hand entries again that a snapshot already covers, and
-// what became of them the first time is not known any more.
+// Apply applies the command encoded in data, which has the given index in the
+// log, and returns a Result. An index that has already been applied is skipped
+// with VerdictStale: a log may replay entries that a snapshot already covers, and
+// the results of their first application are no longer known.
 func (s *Store) Apply(index uint64, data []byte) any {
 	e, err := Decode(data)
 	s.applying.Lock()
@@ -68,36 +70,38 @@
 	if err != nil {
 		return Result{Verdict: VerdictInvalid, Reason: err.Error()}
 	}
-	s.advance(e.Time)
+	s.advanceTime(e.Time)
 	s.expire()
-	return s.applyOnce(index, e)
+	return s.applyIdempotent(index, e)
 }
 
-// advance moves the state's time towards a leader's clock.
-func (s *Store) advance(t Instant) {
+// advanceTime advances the state's time towards a leader's clock, by at most
+// maxTimeStep.
+func (s *Store) advanceTime(t Instant) {
 	if s.now != 0 {
 		t = min(t, s.now+maxTimeStep)
 	}
 	s.now = max(s.now, t)
 }
 
-// applyOnce gives the first answer again where the change was resent.
-func (s *Store) applyOnce(index uint64, e Envelope) Result {
+// applyIdempotent applies the command of e, or returns the first result if the
+// change was resent.
+func (s *Store) applyIdempotent(index uint64, e Envelope) Result {
 	if e.IdempotencyKey == "" {
 		return s.apply(index, e.Command)
 	}
 	workspace := workspaceOf(e.Command)
-	if r, ok := s.replay(workspace, e); ok {
+	if r, ok := s.replayedResult(workspace, e); ok {
 		return r
 	}
 	if len(e.IdempotencyKey) > MaxIdempotencyKey {
 		return invalid(errors.Errorf("idempotency key of %d bytes; up to %d are allowed", len(e.IdempotencyKey), MaxIdempotencyKey))
 	}
-	if s.records.live >= s.retention.MaxRecords {
+	if s.records.count >= s.retention.MaxRecords {
 		return Result{Verdict: VerdictFull, Reason: "too many idempotency records"}
 	}
 	result := s.apply(index, e.Command)
-	s.remember(record{
+	s.storeRecord(record{
 		Workspace: workspace,
 		Key:       e.IdempotencyKey,
 		Digest:    e.Digest,
@@ -168,9 +172,9 @@
 func (s *Store) shard(workspace string) *shard { return &s.shards[shardIndex(workspace)] }
 
 // publish makes the changes of one command visible to watchers. The caller
-// holds the lock of the shard which holds them, for writing.
+// holds the write lock of the shard that contains them.
 func (s *Store) publish(index uint64, changes ...Change) {
 	s.history.append(s.retention.HistoryChanges, changes)
 	s.revision.Store(index)
-	s.history.wake()
+	s.history.notify()
 }
--- a/internal/state/storer/store_test.go
+++ b/internal/state/storer/store_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// machine applies commands to a store in the order of a log.
+// machine applies commands to a store with increasing log indexes.
 type machine struct {
 	*Store
 	index uint64
@@ -32,14 +32,14 @@
 
 func (m *machine) do(c Command) Result { return m.send(Envelope{Command: c}) }
 
-func (m *machine) must(c Command) Result {
+func (m *machine) mustDo(c Command) Result {
 	result := m.do(c)
 	Expect(result.Verdict).To(Equal(VerdictAccepted), result.Reason)
 	return result
 }
 
-// restarted returns a machine over the state's snapshot.
-func (m *machine) restarted() *machine {
+// restoreFromSnapshot returns a machine whose store is restored from a snapshot of m.
+func (m *machine) restoreFromSnapshot() *machine {
 	var b bytes.Buffer
 	Expect(m.Snapshot(&b)).To(Succeed())
 	fresh := &machine{Store: NewStore(Settings{}), index: m.index, now: m.now}
@@ -47,7 +47,7 @@
 	return fresh
 }
 
-// putWorkspace changes the workspace that put's resources are in.
+// putWorkspace returns a command that writes the workspace of put's resources.
 func putWorkspace(spec WorkspaceSpec) PutResource {
 	c := put(KindWorkspace, "", spec)
 	c.Resource.Metadata.Name = c.Resource.Metadata.Workspace
@@ -62,18 +62,19 @@
 	return DeleteResource{Key: Key{Kind: kind, Workspace: "savannah", Name: name}}
 }
 
-// declared is a machine with adapter title, whose current version is v1.
-func declared(r Retention) *machine {
+// newMachineWithAdapter returns a machine with the adapter title, whose current version
+// is v1.
+func newMachineWithAdapter(r Retention) *machine {
 	m := newMachine(r)
-	m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
-	m.must(put(KindVersion, "title@v1", VersionSpec{Source: "title/1"}))
-	m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance", Current: "v1"}))
+	m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
+	m.mustDo(put(KindVersion, "title@v1", VersionSpec{Source: "title/1"}))
+	m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance", Current: "v1"}))
 	return m
 }
 
 var _ = Describe("Resources", func() {
-	It("makes the workspace with its first resource", func() {
-		m := declared(Retention{})
+	It("create the workspace of the first resource", func() {
+		m := newMachineWithAdapter(Retention{})
 		w, ok := m.Get(Key{Kind: KindWorkspace, Name: "savannah"})
 		Expect(ok).To(BeTrue())
 		Expect(w).To(Equal(Resource{
@@ -86,14 +87,12 @@
 		Expect(revision).To(BeEquivalentTo(3))
 	})
 
-	// Symptom: one operator's change is gone without a word. Sequence: both read
-	// revision 3, both write. Cause: the second write did not look at what the
-	// first had made of it.
-	It("lets exactly one of two writers with equal revisions win", func() {
-		m := declared(Retention{})
+	// Guards against a lost update: two operators read revision 3 and both write.
+	It("accept exactly one of two writes with equal revisions", func() {
+		m := newMachineWithAdapter(Retention{})
 		write := put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"})
 		write.IfMatch = 3
-		Expect(m.must(write).Revision).To(BeEquivalentTo(4))
+		Expect(m.mustDo(write).Revision).To(BeEquivalentTo(4))
 		late := m.do(write)
 		Expect(late.Verdict).To(Equal(VerdictConflict))
 		Expect(late.Revision).To(BeEquivalentTo(4))
@@ -104,55 +103,54 @@
 		Expect(m.do(create).Verdict).To(Equal(VerdictConflict))
 	})
 
-	// Symptom: a caller gets an answer from weights that the operators never
-	// declared under this version's name. Sequence: a version is loaded, then
-	// written or deleted and declared again with other weights. Cause: engines
-	// and caches know a version by its name only.
-	It("binds a version's name to one content, also after its deletion", func() {
-		m := declared(Retention{})
-		again := m.must(put(KindVersion, "title@v1", VersionSpec{Source: "title/1"}))
+	// Guards against answers computed with other weights than those declared for a version.
+	// They would occur if a loaded version were overwritten, or deleted and declared again,
+	// with other weights: engines and caches identify a version by its name only.
+	It("bind a version's name to one content, also after its deletion", func() {
+		m := newMachineWithAdapter(Retention{})
+		again := m.mustDo(put(KindVersion, "title@v1", VersionSpec{Source: "title/1"}))
 		Expect(again.Revision).To(BeEquivalentTo(2))
 		Expect(m.Revision()).To(BeEquivalentTo(3))
 		Expect(m.do(put(KindVersion, "title@v1", VersionSpec{Source: "title/other"})).Verdict).To(Equal(VerdictInvalid))
 
-		m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
-		m.must(remove(KindVersion, "title@v1"))
-		m = m.restarted()
+		m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
+		m.mustDo(remove(KindVersion, "title@v1"))
+		m = m.restoreFromSnapshot()
 		Expect(m.do(put(KindVersion, "title@v1", VersionSpec{Source: "title/other"})).Verdict).To(Equal(VerdictInvalid))
-		m.must(remove(KindAdapter, "title"))
-		m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "other"}))
+		m.mustDo(remove(KindAdapter, "title"))
+		m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "other"}))
 		Expect(m.do(put(KindVersion, "title@v1", VersionSpec{Source: "title/1"})).Verdict).To(Equal(VerdictInvalid))
-		m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
-		m.must(put(KindVersion, "title@v1", VersionSpec{Source: "title/1"}))
+		m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
+		m.mustDo(put(KindVersion, "title@v1", VersionSpec{Source: "title/1"}))
 	})
 
-	It("keeps what is in use", func() {
-		m := declared(Retention{})
+	It("can't be deleted while they are in use", func() {
+		m := newMachineWithAdapter(Retention{})
 		Expect(m.do(remove(KindVersion, "title@v1")).Verdict).To(Equal(VerdictInUse))
 		Expect(m.do(remove(KindAdapter, "title")).Verdict).To(Equal(VerdictInUse))
 		Expect(m.do(remove(KindWorkspace, "savannah")).Verdict).To(Equal(VerdictInUse))
 		Expect(m.do(put(KindAdapter, "title", AdapterSpec{BaseModel: "other", Current: "v1"})).Verdict).To(Equal(VerdictInUse))
-		m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
-		m.must(remove(KindVersion, "title@v1"))
-		m.must(remove(KindAdapter, "title"))
-		m.must(remove(KindWorkspace, "savannah"))
+		m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
+		m.mustDo(remove(KindVersion, "title@v1"))
+		m.mustDo(remove(KindAdapter, "title"))
+		m.mustDo(remove(KindWorkspace, "savannah"))
 		rs, _ := m.All()
 		Expect(rs).To(BeEmpty())
 	})
 
-	It("gives a bearer key to one workspace only", func() {
+	It("accept a bearer key in one workspace only", func() {
 		m := newMachine(Retention{})
 		key := put(KindKey, "desk", KeySpec{Hash: strings.Repeat("0a", 32)})
-		m.must(key)
-		m = m.restarted()
+		m.mustDo(key)
+		m = m.restoreFromSnapshot()
 		key.Resource.Metadata.Workspace = "macon"
 		Expect(m.do(key).Verdict).To(Equal(VerdictInvalid))
-		m.must(remove(KindKey, "desk"))
-		m.must(key)
+		m.mustDo(remove(KindKey, "desk"))
+		m.mustDo(key)
 	})
 
-	DescribeTable("refuses what breaks a rule", func(c Command) {
-		m := declared(Retention{})
+	DescribeTable("refuse invalid content", func(c Command) {
+		m := newMachineWithAdapter(Retention{})
 		before := m.Revision()
 		Expect(m.do(c).Verdict).To(Equal(VerdictInvalid))
 		Expect(m.Revision()).To(Equal(before))
@@ -173,8 +171,8 @@
 		Entry("member", put(KindMember, "a", MemberSpec{Address: "127.0.0.1:1", Incarnation: "a"})),
 	)
 
-	It("passes over an entry that it has applied", func() {
-		m := declared(Retention{})
+	It("skip an entry that was applied before", func() {
+		m := newMachineWithAdapter(Retention{})
 		data, err := Encode(Envelope{Command: remove(KindAdapter, "title")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(m.Apply(2, data).(Result).Verdict).To(Equal(VerdictStale))
@@ -182,9 +180,9 @@
 		Expect(m.Apply(9, []byte("damaged")).(Result).Verdict).To(Equal(VerdictInvalid))
 	})
 
-	It("shows each kind's own spec in JSON and takes it back", func() {
-		m := declared(Retention{})
-		m.must(JoinMember{Name: "engine-1", Member: MemberSpec{Address: "127.0.0.1:1", Incarnation: "a", State: MemberStateLeaving}})
+	It("encode and decode the spec of each kind in JSON", func() {
+		m := newMachineWithAdapter(Retention{})
+		m.mustDo(JoinMember{Name: "engine-1", Member: MemberSpec{Address: "127.0.0.1:1", Incarnation: "a", State: MemberStateLeaving}})
 		rs, _ := m.All()
 		data, err := json.Marshal(rs)
 		Expect(err).NotTo(HaveOccurred())
@@ -197,16 +195,16 @@
 })
 
 var _ = Describe("Idempotency records", func() {
-	// Symptom: a change resent after its answer was lost takes effect again, and
-	// undoes what another operator did in between. Sequence: accepted, answer
-	// lost, host restarted from a snapshot, another change, the first resent.
-	// Cause: the memory of answers was not part of the replicated state.
-	It("gives the first answer again, also after a restart", func() {
-		m := declared(Retention{})
+	// Guards against a resent change that takes effect a second time and reverts another
+	// operator's change. It occurs if the records are not part of the replicated state:
+	// the answer to a change is lost, the host restarts from a snapshot, another change
+	// is accepted, and the first one is resent.
+	It("return the first result again, also after a restart", func() {
+		m := newMachineWithAdapter(Retention{})
 		first := Envelope{IdempotencyKey: "k", Digest: []byte("one"), Command: put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"})}
 		Expect(m.send(first).Revision).To(BeEquivalentTo(4))
-		m = m.restarted()
-		m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance", Current: "v1"}))
+		m = m.restoreFromSnapshot()
+		m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance", Current: "v1"}))
 
 		again := m.send(first)
 		Expect(again.Replayed).To(BeTrue())
@@ -218,32 +216,32 @@
 		Expect(m.send(other).Verdict).To(Equal(VerdictKeyReused))
 	})
 
-	It("repeats a refusal too, though the change would now succeed", func() {
-		m := declared(Retention{})
+	It("repeat a refusal too, although the change would succeed now", func() {
+		m := newMachineWithAdapter(Retention{})
 		first := Envelope{IdempotencyKey: "k", Command: remove(KindVersion, "title@v1")}
 		Expect(m.send(first).Verdict).To(Equal(VerdictInUse))
-		m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
+		m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
 		again := m.send(first)
 		Expect(again.Verdict).To(Equal(VerdictInUse))
 		Expect(again.Replayed).To(BeTrue())
 	})
 
-	// Symptom: all memory of changes is gone at once. Sequence: one entry whose
-	// clock is a year ahead proposes a change. Cause: age by time alone.
-	It("forgets by age and position together, and no leap of a clock", func() {
+	// Guards against the expiry of all records at once by a single log entry whose clock
+	// is a year ahead.
+	It("expire by both age and position, and not by a wrong clock", func() {
 		m := newMachine(Retention{IdempotencyAge: 90 * time.Second, MinEntries: 5})
 		e := Envelope{IdempotencyKey: "k", Command: put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"})}
 		m.send(e)
 		m.now += Instant(365 * 24 * time.Hour)
 		m.do(put(KindAdapter, "other", AdapterSpec{BaseModel: "clearance"}))
-		Expect(m.send(e).Replayed).To(BeTrue(), "aged by a leap")
-		Expect(m.send(e).Replayed).To(BeTrue(), "forgotten before its place in the log")
+		Expect(m.send(e).Replayed).To(BeTrue(), "expired by a wrong clock")
+		Expect(m.send(e).Replayed).To(BeTrue(), "expired before MinEntries later entries")
 		m.now = 1
-		Expect(m.send(e).Replayed).To(BeTrue(), "forgotten before its place in the log")
+		Expect(m.send(e).Replayed).To(BeTrue(), "expired before MinEntries later entries")
 		Expect(m.send(e).Replayed).To(BeFalse())
 	})
 
-	It("refuses new records beyond the bound instead of forgetting early", func() {
+	It("are refused at the limit instead of dropping others early", func() {
 		m := newMachine(Retention{MaxRecords: 1})
 		e := Envelope{IdempotencyKey: "a", Command: put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"})}
 		m.send(e)
@@ -252,13 +250,13 @@
 		Expect(m.send(other).Verdict).To(Equal(VerdictFull))
 		Expect(m.send(e).Replayed).To(BeTrue())
 		claim := ClaimCall{Workspace: "savannah", Key: "a", Holder: "entry-1"}
-		m.must(claim)
+		m.mustDo(claim)
 		claim.Key = "b"
 		Expect(m.do(claim).Verdict).To(Equal(VerdictFull))
 		for _, name := range []string{"title@v1", "title@v2"} {
-			m.must(put(KindVersion, name, VersionSpec{Source: name}))
+			m.mustDo(put(KindVersion, name, VersionSpec{Source: name}))
 		}
-		m.must(remove(KindVersion, "title@v1"))
+		m.mustDo(remove(KindVersion, "title@v1"))
 		Expect(m.do(remove(KindVersion, "title@v2")).Verdict).To(Equal(VerdictFull))
 	})
 })
@@ -271,45 +269,43 @@
 	second := claim
 	second.Holder = "entry-2"
 
-	It("has one holder, until that one proves that the call did not run", func() {
+	It("have one holder until it releases the claim", func() {
 		m := newMachine(Retention{})
-		m.must(claim)
-		m.must(claim)
+		m.mustDo(claim)
+		m.mustDo(claim)
 		held := m.do(second)
 		Expect(held.Verdict).To(Equal(VerdictHeld))
 		Expect(held.Claim.Holder).To(Equal("entry-1"))
 		Expect(m.do(settle("entry-2", ClaimStateReleased)).Verdict).To(Equal(VerdictHeld))
-		m.must(settle("entry-1", ClaimStateReleased))
-		m = m.restarted()
-		m.must(second)
+		m.mustDo(settle("entry-1", ClaimStateReleased))
+		m = m.restoreFromSnapshot()
+		m.mustDo(second)
 		Expect(m.do(claim).Verdict).To(Equal(VerdictHeld))
 		other := second
 		other.Digest = []byte("two")
 		Expect(m.do(other).Verdict).To(Equal(VerdictKeyReused))
 	})
 
-	// Symptom: a key answers "in progress" until it expires, though nobody runs its
-	// call. Sequence: an entry proposes a claim and gives up; it releases the key; a
-	// copy of its proposal arrives late. Cause: the holder's own proposal was
-	// accepted after the holder had released.
-	It("does not go back to a holder that has given it up", func() {
+	// Guards against a key that is reported as in progress until it expires, although
+	// nobody runs its call. It occurs if an entry proposes a claim, times out and
+	// releases the key, and a duplicate of the proposal arrives late and is accepted.
+	It("are not returned to a holder that has released them", func() {
 		m := newMachine(Retention{})
-		m.must(claim)
-		m.must(settle("entry-1", ClaimStateReleased))
+		m.mustDo(claim)
+		m.mustDo(settle("entry-1", ClaimStateReleased))
 		Expect(m.do(claim).Verdict).To(Equal(VerdictHeld))
-		m.must(second)
+		m.mustDo(second)
 	})
 
-	// Symptom: a booking is made twice. Sequence: the holder's call ends as
-	// unknown, a late message of the holder says that it did not run. Cause: an
-	// outcome was taken back.
-	It("moves forward only", func() {
+	// Guards against a call that runs twice. It occurs if the outcome is unknown and a late
+	// message of the holder changes it to released.
+	It("never revert to an earlier state", func() {
 		m := newMachine(Retention{})
-		m.must(claim)
-		m.must(settle("entry-1", ClaimStateUnknown))
+		m.mustDo(claim)
+		m.mustDo(settle("entry-1", ClaimStateUnknown))
 		Expect(m.do(settle("entry-1", ClaimStateReleased)).Verdict).To(Equal(VerdictConflict))
 		Expect(m.do(claim).Verdict).To(Equal(VerdictHeld))
-		m.must(settle("entry-1", ClaimStateDone))
+		m.mustDo(settle("entry-1", ClaimStateDone))
 		Expect(m.do(settle("entry-1", ClaimStateUnknown)).Verdict).To(Equal(VerdictConflict))
 		c, _ := m.Claim("savannah", "review")
 		Expect(c.State).To(Equal(ClaimStateDone))
@@ -321,45 +317,44 @@
 	join := JoinMember{Name: "engine-1", Member: MemberSpec{Address: "127.0.0.1:1", Incarnation: "a"}}
 	epoch := func(r Result) uint64 { return r.Resource.Spec.(MemberSpec).Epoch }
 
-	It("keeps the epoch for the same incarnation and gives a later one a higher", func() {
+	It("keep their epoch for the same incarnation and get a higher one for a later one", func() {
 		m := newMachine(Retention{})
-		Expect(epoch(m.must(join))).To(BeEquivalentTo(1))
-		Expect(epoch(m.must(join))).To(BeEquivalentTo(1))
+		Expect(epoch(m.mustDo(join))).To(BeEquivalentTo(1))
+		Expect(epoch(m.mustDo(join))).To(BeEquivalentTo(1))
 		Expect(m.Revision()).To(BeEquivalentTo(1))
 		later := join
 		later.Member.Incarnation = "b"
-		Expect(epoch(m.must(later))).To(BeEquivalentTo(3))
+		Expect(epoch(m.mustDo(later))).To(BeEquivalentTo(3))
 		Expect(m.do(LeaveMember{Name: "engine-1", Epoch: 1, Ended: true}).Verdict).To(Equal(VerdictStale))
-		m.must(LeaveMember{Name: "engine-1", Epoch: 3})
+		m.mustDo(LeaveMember{Name: "engine-1", Epoch: 3})
 		Expect(m.do(ExpireMembers{Members: []MemberEpoch{{Name: "engine-1", Epoch: 1}}}).Verdict).To(Equal(VerdictStale))
-		m.must(ExpireMembers{Members: []MemberEpoch{{Name: "engine-1", Epoch: 3}, {Name: "none", Epoch: 1}}})
+		m.mustDo(ExpireMembers{Members: []MemberEpoch{{Name: "engine-1", Epoch: 3}, {Name: "none", Epoch: 1}}})
 		rs, _ := m.List(KindMember, "")
 		Expect(rs).To(BeEmpty())
 	})
 
-	// Symptom: requests go to an engine that is gone. Sequence: an engine
-	// restarts and joins as a new incarnation; the join of the old one, which
-	// was on its way, arrives after it. Cause: the last join to arrive won.
-	It("refuses the late join of an incarnation that was replaced", func() {
+	// Guards against requests to an engine that no longer exists. They occur if an engine
+	// restarts and joins as a new incarnation before a delayed join of the previous one
+	// arrives.
+	It("refuse the late join of a replaced incarnation", func() {
 		m := newMachine(Retention{})
-		m.must(join)
+		m.mustDo(join)
 		later := join
 		later.Member.Incarnation = "b"
-		m.must(later)
-		m = m.restarted()
+		m.mustDo(later)
+		m = m.restoreFromSnapshot()
 		Expect(m.do(join).Verdict).To(Equal(VerdictStale))
 	})
 })
 
 var _ = Describe("Watchers", func() {
-	// Symptom: a watcher shows a resource that was deleted while it was away.
-	// Sequence: it sleeps through more changes than are kept. Cause: a gap was
-	// passed over in silence.
-	It("says when the history no longer reaches back, also after a restart", func() {
-		m := declared(Retention{HistoryChanges: 2})
-		m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
-		m.must(remove(KindVersion, "title@v1"))
-		m = m.restarted()
+	// Guards against a watcher that keeps a deleted resource because it missed more changes
+	// than the history contains.
+	It("are informed if the history no longer contains all changes, also after a restart", func() {
+		m := newMachineWithAdapter(Retention{HistoryChanges: 2})
+		m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
+		m.mustDo(remove(KindVersion, "title@v1"))
+		m = m.restoreFromSnapshot()
 		_, _, ok := m.Since(2, 0)
 		Expect(ok).To(BeFalse())
 		changes, upTo, ok := m.Since(3, 1)
@@ -371,19 +366,19 @@
 		Expect(changes).To(HaveExactElements(And(HaveField("Deleted", true), HaveField("Resource.Metadata.Name", "title@v1"))))
 	})
 
-	It("gives the changes of one revision together", func() {
-		m := declared(Retention{})
+	It("get the changes of one revision together", func() {
+		m := newMachineWithAdapter(Retention{})
 		changes, upTo, ok := m.Since(0, 1)
 		Expect(ok).To(BeTrue())
 		Expect(changes).To(HaveExactElements(HaveField("Resource.Kind", KindWorkspace), HaveField("Resource.Kind", KindAdapter)))
 		Expect(upTo).To(BeEquivalentTo(1))
 	})
 
-	It("wakes those who wait", func() {
+	It("are woken by a change", func() {
 		m := newMachine(Retention{})
 		woken := make(chan error, 1)
 		go func() { woken <- m.Wait(context.Background(), 0) }()
-		m.must(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
+		m.mustDo(put(KindAdapter, "title", AdapterSpec{BaseModel: "clearance"}))
 		Eventually(woken).Should(Receive(BeNil()))
 		ended, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -392,8 +387,8 @@
 })
 
 var _ = Describe("Snapshots", func() {
-	It("leaves the state as it was when one is damaged", func() {
-		m := declared(Retention{})
+	It("leave the state unchanged if they are damaged", func() {
+		m := newMachineWithAdapter(Retention{})
 		var b bytes.Buffer
 		Expect(m.Snapshot(&b)).To(Succeed())
 		whole := b.Bytes()
--- a/internal/state/storer/suspects.go
+++ b/internal/state/storer/suspects.go
@@ -8,74 +8,77 @@
 )
 
 const (
-	// SuspectLives is the number of lives of backend servers that must have ended under a
-	// request, none of its runs answered in between, until it is kept from all of them.
-	// Most ends have another cause, and all that was in progress there shares them: one
-	// end says nothing, two befall whatever is sent on to a second server in a failure
-	// that goes round, and a third that no run was answered before hardly happens by
-	// chance.
+	// QuarantineThreshold is the number of incarnations of backend servers that must end
+	// while a request is in progress there, without an answer in between, before the
+	// request is quarantined. Most ends have another cause and affect all requests in
+	// progress: one end is no evidence, two also affect requests that are retried at a
+	// second server during a failure of several servers, and a third without an answer in
+	// between is unlikely to be a coincidence.
 	QuarantineThreshold = 3
-	// endWeight is what one end counts, and progressWeight what it counts where a part of
-	// the answer had come: a request that ends servers does so when it begins, and what
-	// has long begun is most of what is in progress.
+	// endWeight is the weight of an end, and progressWeight that of an end after a part of
+	// the answer had arrived: a request that crashes servers does so at its start, and
+	// most of the requests in progress started long before.
 	endWeight, progressWeight = 2, 1
-	// MaxSuspects bounds the requests that are remembered: at some 150 bytes each under
-	// a megabyte in every process. It is what twenty ends of servers with 200 requests
-	// each bring.
+	// MaxSuspects limits the number of suspects: at about 150 bytes each they need less
+	// than a megabyte in every process. Twenty servers with 200 requests each that end add
+	// that many.
 	MaxSuspects = 4096
-	// maxSuspectLives bounds the lives that are remembered of one: more than are needed.
-	maxSuspectLives = 2 * QuarantineThreshold
-	// MaxEnded bounds the requests of one CountEnds.
+	// maxIncarnationEnds limits the ends that are recorded for one suspect. It exceeds the
+	// number that the threshold needs.
+	maxIncarnationEnds = 2 * QuarantineThreshold
+	// MaxEnded limits the requests of one CountEnds.
 	MaxEnded = 256
 )
 
-// SuspectLife is one life of a backend server that ended while the request was in progress
-// there.
+// IncarnationEnd is the end of an incarnation of a backend server while the request was in
+// progress there.
 type IncarnationEnd struct {
 	// Life is a hash of the backend server's name and incarnation.
 	Life uint64 `cbor:"1,keyasint"`
-	// Progressed means that a part of the answer had come.
+	// Progressed means that a part of the answer had arrived.
 	Progressed bool `cbor:"2,keyasint,omitempty"`
 }
 
-// SuspectSpec tells of a request under which lives of backend servers ended. The
-// resource's name is the request's identity.
+// SuspectSpec describes a request during which incarnations of backend servers ended. The
+// name of the resource is the request's identity.
 type SuspectSpec struct {
 	Service string `cbor:"1,keyasint,omitempty"`
-	// Place is a hash of what can be told of the request without its body.
+	// Place is a hash of the properties of the request that are known without its body.
 	Place uint64 `cbor:"2,keyasint,omitempty"`
-	// Lives are the lives, at most maxSuspectLives of them, since its last run that was
-	// answered or its last quarantine. The slice is never changed.
+	// Lives are the ends, at most maxIncarnationEnds, since the last answered run of the
+	// request or its last quarantine. The slice is never modified.
 	Lives []IncarnationEnd `cbor:"3,keyasint,omitempty"`
-	// Quarantined means that no backend server is to get it.
+	// Quarantined means that the request may not be sent to backend servers.
 	Quarantined bool `cbor:"4,keyasint,omitempty"`
-	// Times counts its quarantines.
+	// Times is the number of quarantines so far.
 	Times int `cbor:"5,keyasint,omitempty"`
 }
 
 func (SuspectSpec) spec() {}
 
-// Ended returns the spec with one more end. A life counts once, as it was seen worst.
-func (s SuspectSpec) Ended(l IncarnationEnd) SuspectSpec {
-	lives := slices.Clone(s.Lives)
-	i := slices.IndexFunc(lives, func(o IncarnationEnd) bool { return o.Life == l.Life })
+// Ended returns the spec with one more end. Each incarnation counts once, with the
+// highest weight that was reported for it.
+func (s SuspectSpec) Ended(end IncarnationEnd) SuspectSpec {
+	ends := slices.Clone(s.Lives)
+	i := slices.IndexFunc(ends, func(o IncarnationEnd) bool { return o.Life == end.Life })
 	switch {
 	case i >= 0:
-		lives[i].Progressed = lives[i].Progressed && l.Progressed
-	case len(lives) < maxSuspectLives:
-		lives = append(lives, l)
+		ends[i].Progressed = ends[i].Progressed && end.Progressed
+	case len(ends) < maxIncarnationEnds:
+		ends = append(ends, end)
 	}
-	s.Lives = lives
-	if !s.Quarantined && s.over() {
+	s.Lives = ends
+	if !s.Quarantined && s.reachesThreshold() {
 		s.Quarantined = true
 		s.Times++
 	}
 	return s
 }
 
-// over reports whether as many lives have ended as may. One that was in quarantine before
-// has proved itself: it gets one more life, not three.
-func (s SuspectSpec) over() bool {
+// reachesThreshold reports whether the weight of the ends requires a quarantine. A request
+// that was quarantined before is quarantined again after one end instead of
+// QuarantineThreshold, if no part of the answer had arrived.
+func (s SuspectSpec) reachesThreshold() bool {
 	weight := 0
 	for _, l := range s.Lives {
 		if l.Progressed {
@@ -90,7 +93,7 @@
 	return weight >= QuarantineThreshold*endWeight
 }
 
-// EndedRequest is a request that was in progress at a backend server when it ended.
+// EndedRequest is a request that was in progress at a backend server when the server ended.
 type EndedRequest struct {
 	// Name is the request's identity.
 	Name       string `cbor:"1,keyasint"`
@@ -98,29 +101,29 @@
 	Progressed bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// CountEnds tells that a life of a backend server has ended, and which requests were in
-// progress there, at most MaxEnded of them. Several entries tell of the same life, each of
-// its own requests.
+// CountEnds reports the end of an incarnation of a backend server and the requests that were
+// in progress there, at most MaxEnded of them. Several entries may report the same end, each
+// with its own requests.
 type CountEnds struct {
 	Service  string         `cbor:"1,keyasint,omitempty"`
 	Life     uint64         `cbor:"2,keyasint"`
 	Requests []EndedRequest `cbor:"3,keyasint,omitempty"`
 }
 
-// ClearSuspects forgets requests, in quarantine or not: those that a run has answered,
-// which proves that they can be run, and those that an operator lets go.
+// ClearSuspects removes suspects, whether quarantined or not: those of which a run was
+// answered, which proves that they can be run, and those that an operator releases.
 type ClearSuspects struct {
 	Names []string `cbor:"1,keyasint,omitempty"`
 }
 
-// SuspectRevision names a suspect as it was.
+// SuspectRevision identifies a suspect at one revision.
 type SuspectRevision struct {
 	Name     string `cbor:"1,keyasint"`
 	Revision uint64 `cbor:"2,keyasint"`
 }
 
-// ReviewSuspects ends the quarantines, and forgets the other suspects, whose time is over
-// and of which nothing new was told.
+// ReviewSuspects ends the quarantines of suspects whose time has expired and that have not
+// changed since, and removes those of them that are not quarantined.
 type ReviewSuspects struct {
 	Suspects []SuspectRevision `cbor:"1,keyasint,omitempty"`
 }
@@ -129,7 +132,8 @@
 func (ClearSuspects) command()  {}
 func (ReviewSuspects) command() {}
 
-// countEnds takes an end in.
+// countEnds records an end for the reported requests. It skips requests without a valid
+// identity.
 func (s *Store) countEnds(index uint64, c CountEnds) Result {
 	return s.changeSuspects(index, func(p *space) []Change {
 		var changes []Change
@@ -147,7 +151,7 @@
 				continue
 			}
 			if !exists {
-				changes = append(changes, p.makeRoom(index)...)
+				changes = append(changes, p.evictSuspect(index)...)
 			}
 			changes = append(changes, p.putSuspect(index, request.Name, next))
 		}
@@ -155,9 +159,9 @@
 	})
 }
 
-// makeRoom forgets the suspect that was told of longest ago where there are too many, one
-// that is not in quarantine before one that is.
-func (p *space) makeRoom(index uint64) []Change {
+// evictSuspect removes the least recently reported suspect if the limit is reached. It
+// removes suspects that are not quarantined before quarantined ones.
+func (p *space) evictSuspect(index uint64) []Change {
 	suspects := p.resources[KindSuspect]
 	if len(suspects) < MaxSuspects {
 		return nil
@@ -173,16 +177,16 @@
 }
 
 func compareSuspects(a, b Resource) int {
-	held := func(r Resource) int {
+	rank := func(r Resource) int {
 		if r.Spec.(SuspectSpec).Quarantined {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(held(a), held(b)), cmp.Compare(a.Metadata.Revision, b.Metadata.Revision), cmp.Compare(a.Metadata.Name, b.Metadata.Name))
+	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Metadata.Revision, b.Metadata.Revision), cmp.Compare(a.Metadata.Name, b.Metadata.Name))
 }
 
-// clearSuspects forgets requests.
+// clearSuspects removes the named suspects.
 func (s *Store) clearSuspects(index uint64, c ClearSuspects) Result {
 	return s.changeSuspects(index, func(p *space) []Change {
 		var changes []Change
@@ -196,23 +200,24 @@
 	})
 }
 
-// reviewSuspects lets suspects go whose time is over.
+// reviewSuspects ends the quarantines of unchanged suspects, or removes them if they are not
+// quarantined.
 func (s *Store) reviewSuspects(index uint64, c ReviewSuspects) Result {
 	return s.changeSuspects(index, func(p *space) []Change {
 		var changes []Change
-		for _, of := range c.Suspects {
-			old, ok := p.get(KindSuspect, of.Name)
-			if !ok || old.Metadata.Revision != of.Revision {
+		for _, reviewed := range c.Suspects {
+			old, ok := p.get(KindSuspect, reviewed.Name)
+			if !ok || old.Metadata.Revision != reviewed.Revision {
 				continue
 			}
 			spec := old.Spec.(SuspectSpec)
 			if !spec.Quarantined {
-				p.remove(KindSuspect, of.Name)
+				p.remove(KindSuspect, reviewed.Name)
 				changes = append(changes, Change{Revision: index, Resource: old, Deleted: true})
 				continue
 			}
 			spec.Quarantined, spec.Lives = false, nil
-			changes = append(changes, p.putSuspect(index, of.Name, spec))
+			changes = append(changes, p.putSuspect(index, reviewed.Name, spec))
 		}
 		return changes
 	})
@@ -224,7 +229,8 @@
 	return Change{Revision: index, Resource: r}
 }
 
-// changeSuspects publishes what change does.
+// changeSuspects applies change to the space of the suspects and publishes the changes that
+// it returns.
 func (s *Store) changeSuspects(index uint64, change func(p *space) []Change) Result {
 	h := s.shard("")
 	h.mu.Lock()
--- a/internal/state/storer/suspects_test.go
+++ b/internal/state/storer/suspects_test.go
@@ -9,7 +9,7 @@
 
 var suspectName = strings.Repeat("0f", 16)
 
-func endUnder(life uint64, progressed bool) CountEnds {
+func countEnd(life uint64, progressed bool) CountEnds {
 	return CountEnds{Service: "s", Life: life, Requests: []EndedRequest{{Name: suspectName, Place: 7, Progressed: progressed}}}
 }
 
@@ -22,40 +22,40 @@
 }
 
 var _ = Describe("A suspect", func() {
-	It("counts each life once, as it was seen worst", func() {
+	It("counts each incarnation once, with its highest weight", func() {
 		m := newMachine(Retention{})
-		m.must(endUnder(1, true))
-		Expect(m.do(endUnder(1, true)).Verdict).To(Equal(VerdictStale), "told by another entry")
-		m.must(endUnder(1, false))
-		Expect(m.do(endUnder(1, true)).Verdict).To(Equal(VerdictStale))
+		m.mustDo(countEnd(1, true))
+		Expect(m.do(countEnd(1, true)).Verdict).To(Equal(VerdictStale), "reported by another entry")
+		m.mustDo(countEnd(1, false))
+		Expect(m.do(countEnd(1, true)).Verdict).To(Equal(VerdictStale))
 		spec, _ := suspectOf(m)
 		Expect(spec).To(Equal(SuspectSpec{Service: "s", Place: 7, Lives: []IncarnationEnd{{Life: 1}}}))
 	})
 
-	It("survives a snapshot, in quarantine and with what it has proved before", func() {
+	It("is restored from a snapshot, with its quarantine and the number of earlier ones", func() {
 		m := newMachine(Retention{})
 		for life := range uint64(3) {
-			m.must(endUnder(life, false))
+			m.mustDo(countEnd(life, false))
 		}
-		next := m.restarted()
+		next := m.restoreFromSnapshot()
 		spec, _ := suspectOf(next)
 		Expect(spec.Quarantined).To(BeTrue())
 		r, _ := next.Get(Key{Kind: KindSuspect, Name: suspectName})
-		next.must(ReviewSuspects{Suspects: []SuspectRevision{{Name: suspectName, Revision: r.Metadata.Revision}}})
-		next = next.restarted()
+		next.mustDo(ReviewSuspects{Suspects: []SuspectRevision{{Name: suspectName, Revision: r.Metadata.Revision}}})
+		next = next.restoreFromSnapshot()
 		spec, _ = suspectOf(next)
 		Expect(spec).To(Equal(SuspectSpec{Service: "s", Place: 7, Times: 1}))
-		next.must(endUnder(9, false))
+		next.mustDo(countEnd(9, false))
 		spec, _ = suspectOf(next)
 		Expect(spec.Quarantined).To(BeTrue())
 		Expect(spec.Times).To(Equal(2))
 	})
 
-	It("is told to watchers when it comes, changes and goes", func() {
+	It("is published to watchers when it is added, changed and removed", func() {
 		m := newMachine(Retention{})
-		m.must(endUnder(1, false))
-		m.must(endUnder(2, false))
-		m.must(ClearSuspects{Names: []string{"unknown", suspectName}})
+		m.mustDo(countEnd(1, false))
+		m.mustDo(countEnd(2, false))
+		m.mustDo(ClearSuspects{Names: []string{"unknown", suspectName}})
 		Expect(m.do(ClearSuspects{Names: []string{suspectName}}).Verdict).To(Equal(VerdictStale))
 		changes, _, ok := m.Since(0, 0)
 		Expect(ok).To(BeTrue())
@@ -65,19 +65,19 @@
 		Expect(known).To(BeFalse())
 	})
 
-	It("can't be declared, and remembers a bounded number of lives", func() {
+	It("can't be declared, and records a limited number of ends", func() {
 		m := newMachine(Retention{})
 		r := Resource{Kind: KindSuspect, Metadata: Metadata{Name: suspectName}, Spec: SuspectSpec{Quarantined: true}}
 		Expect(m.do(PutResource{Resource: r}).Verdict).To(Equal(VerdictInvalid))
 		Expect(m.do(DeleteResource{Key: r.Key()}).Verdict).To(Equal(VerdictNotFound))
-		m.must(endUnder(1, false))
-		m.must(DeleteResource{Key: r.Key()})
+		m.mustDo(countEnd(1, false))
+		m.mustDo(DeleteResource{Key: r.Key()})
 		_, known := suspectOf(m)
-		Expect(known).To(BeFalse(), "an operator lets it go")
+		Expect(known).To(BeFalse(), "an operator releases it")
 		for life := range uint64(100) {
-			m.do(endUnder(life, true))
+			m.do(countEnd(life, true))
 		}
 		spec, _ := suspectOf(m)
-		Expect(spec.Lives).To(HaveLen(maxSuspectLives))
+		Expect(spec.Lives).To(HaveLen(maxIncarnationEnds))
 	})
 })
--- a/internal/state/storer/validator.go
+++ b/internal/state/storer/validator.go
@@ -8,14 +8,14 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of what operators and companions declare.
+// Limits of the resources that operators and companions declare.
 const (
 	MaxName     = 128
 	MaxText     = 1024
 	MaxPriority = 9
 	MaxShare    = 1000
 	MaxPaths    = 256
-	// MaxDeadlineMillis is a week.
+	// MaxDeadlineMillis is one week, in milliseconds.
 	MaxDeadlineMillis = 7 * 24 * 60 * 60 * 1000
 	MaxIdempotencyKey = 512
 	hashLength        = 32
@@ -30,7 +30,7 @@
 	return strings.Cut(name, versionSeparator)
 }
 
-// ParseHash returns the SHA-256 which text gives in lower-case hexadecimal.
+// ParseHash parses a SHA-256 hash in lower-case hexadecimal.
 func ParseHash(text string) (hash [hashLength]byte, err error) {
 	if len(text) != hex.EncodedLen(hashLength) || strings.ToLower(text) != text {
 		return hash, errors.New("a hash is 64 lower-case hexadecimal digits")
@@ -39,8 +39,8 @@
 	return hash, errors.Annotate(err, "hash")
 }
 
-// Validate checks a resource by itself: its names and its spec's ranges. What
-// depends on other resources is checked when the write is applied.
+// Validate checks the names and the spec of a resource. References to other
+// resources are checked when the write is applied.
 func Validate(r Resource) error {
 	if !specFits(r.Kind, r.Spec) {
 		return errors.Errorf("spec %T does not belong to kind %v", r.Spec, r.Kind)
@@ -71,7 +71,7 @@
 	}
 }
 
-// normalized returns k with the workspace of a workspace's own key filled in.
+// normalized returns k; for a workspace, an empty Workspace is set to the name.
 func (k Key) normalized() Key {
 	if k.Kind == KindWorkspace && k.Workspace == "" {
 		k.Workspace = k.Name
@@ -114,9 +114,9 @@
 	}
 }
 
-// validateName accepts lower-case letters, digits, '-', '_' and '.', beginning
-// and ending with a letter or digit. Names stand in paths, in model names and
-// in metric labels without escapes.
+// validateName accepts names of lower-case letters, digits, '-', '_' and '.' that
+// begin and end with a letter or digit. Names are used in paths, model names and
+// metric labels without escaping.
 func validateName(name string) error {
 	if name == "" || len(name) > MaxName {
 		return errors.Errorf("%.20q is not 1 to %d characters long", name, MaxName)
@@ -133,7 +133,8 @@
 
 func isNameByte(c byte) bool { return isAlphanumeric(c) || c == '-' || c == '_' || c == '.' }
 
-// validateMemberName accepts what the settings allow as a node's name.
+// validateMemberName accepts the node names that the settings allow: letters,
+// digits, '-', '_' and '.'.
 func validateMemberName(name string) error {
 	if name == "" || len(name) > MaxName {
 		return errors.Errorf("%.20q is not 1 to %d characters long", name, MaxName)
