--- a/internal/state/tracker/tracker.go
+++ b/internal/state/tracker/tracker.go
@@ -20,8 +20,8 @@
 	Decode func(document []byte) (*Routing, error)
 	// Changed is called after each new View, in order; it must be quick. It may
 	// be nil.
-	Changed func(*View)
-	Log     zerolog.Logger
+	OnChange func(*View)
+	Log      zerolog.Logger
 }
 
 // Tracker follows the changes that control hosts send. It is the target of one
@@ -94,8 +94,8 @@
 		d.view.List = list
 	}
 	t.view.Store(&d.view)
-	if t.settings.Changed != nil {
-		t.settings.Changed(&d.view)
+	if t.settings.OnChange != nil {
+		t.settings.OnChange(&d.view)
 	}
 	return nil
 }
--- a/internal/transport/relayer/fixture_test.go
+++ b/internal/transport/relayer/fixture_test.go
@@ -209,7 +209,7 @@
 			err := r.Compile()
 			return r, err
 		},
-		Changed: func(v *tracker.View) { e.relayer.ViewChanged(v) },
+		OnChange: func(v *tracker.View) { e.relayer.ViewChanged(v) },
 	})
 	companion := e.companion()
 	random := rand.New(rand.NewPCG(1, 2))
