--- a/internal/state/tracker/doc.go
+++ b/internal/state/tracker/doc.go
@@ -1,7 +1,7 @@
-// Package tracker keeps a node's replica of what is agreed on for opaque calls:
-// the routing configuration, the backend servers, and the newest versions of
-// adapters that no workspace owns.
+// Package tracker implements a node's replica of the state that is needed for
+// opaque calls: the routing configuration, the backend servers, the newest
+// versions of adapters that no workspace owns, and the suspects.
 //
-// A Tracker takes changes in their order and publishes a View, which never
-// changes once made. Readers take no lock.
+// A Tracker applies changes in order and publishes an immutable View after each
+// update. Readers need no lock.
 package tracker
--- a/internal/state/tracker/routing.go
+++ b/internal/state/tracker/routing.go
@@ -11,99 +11,100 @@
 
 //go:generate stringer -type=Repeat -trimprefix=Repeat
 
-// Repeat tells what may be repeated of the calls on a route.
+// Repeat specifies whether the calls on a route may be repeated.
 type Repeat int
 
-// The kinds of repetition.
+// The values of Repeat.
 const (
-	// RepeatNever means that a call runs at most once.
+	// RepeatNever means that a call may run at most once.
 	RepeatNever Repeat = iota
 	// RepeatFreely means that a call may run more than once.
 	RepeatFreely
 )
 
-// Share is the part of a route's calls that one service takes.
+// Share is the weight of one service in a route's calls.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route tells how the calls under one host and path are served.
+// Route specifies how the calls of one host and path prefix are served.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins the path of the route's calls, and ends with a slash.
+	// Prefix is the prefix of the path of the route's calls. It begins and ends with
+	// a slash.
 	Prefix string
 	Repeat Repeat
 	// Stream means that answers are streams of numbered events.
 	Stream bool
-	// Resumable means that a broken stream may go on at another backend server
-	// after the last event that was passed on.
+	// Resumable means that a broken stream may be resumed at another backend server
+	// after the last event that was forwarded to the caller.
 	Resumable bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum time that a caller waits.
 	Timeout time.Duration
-	// Target is the time in which an answer, or a stream's first event, should
-	// come.
+	// Target is the target time until the answer, or the first event of a stream.
 	Target time.Duration
-	// Gap is the longest pause between two events of a stream that is in time.
+	// MaxEventGap is the target for the maximum time between two events of a stream.
 	MaxEventGap time.Duration
-	// Priority is the rank, 0 first.
+	// Priority is the priority of the calls; 0 is served first.
 	Priority int
-	// MaxAttempts bounds the backend servers that one call is handed to.
+	// MaxAttempts limits the number of backend servers to which one call is sent.
 	MaxAttempts int
 	// Public means that callers need no key.
 	Public bool
-	// Shares are the services, with a sum of weights above 0.
+	// Shares are the services; the sum of their weights is above 0.
 	Shares []Share
-	// total is the sum of weights.
-	total int
+	// totalWeight is the sum of the weights.
+	totalWeight int
 }
 
-// Pick returns the service for a call by an even draw from 0 to 1.
+// Pick returns the service for a call; draw is a uniform random number from 0 to 1.
 func (r *Route) Pick(draw float64) string {
-	at := int(draw * float64(r.total))
+	remaining := int(draw * float64(r.totalWeight))
 	for _, s := range r.Shares {
-		if at -= s.Weight; at < 0 {
+		if remaining -= s.Weight; remaining < 0 {
 			return s.Service
 		}
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Model is a model that an engine can hold, and its adapters.
+// Model is a model that an engine can load, with its adapters.
 type Model struct {
 	Name string
-	// LoadTime is the time of a load from the weight store.
+	// LoadTime is the duration of a load from the weight store.
 	LoadTime time.Duration
+	// Adapters is the number of adapters of the model.
 	Adapters int
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of calls that run at once.
+	// Slots is the number of calls that can run at the same time.
 	Slots int
-	// MemoryTokens is the size of the memory that running calls and cached
-	// prompt parts share.
+	// MemoryTokens is the size, in tokens, of the KV cache that running calls and
+	// cached prompt prefixes share.
 	MemoryTokens int
-	// MaxAdapters is the number of adapters held at once, those on their way
-	// included.
+	// MaxAdapters is the maximum number of resident adapters, including those that
+	// are being loaded.
 	MaxAdapters int
 	Models      []Model
 }
 
-// Service is a set of like backend servers.
+// Service is a set of equivalent backend servers.
 type Service struct {
 	Name string
-	// HealthPath answers whether a backend server is well.
+	// HealthPath is the path of a backend server's health check.
 	HealthPath string
-	// MaxConns bounds the connections that one backend server takes from all
-	// callers together; 0 means not told.
+	// MaxConns is the maximum number of connections that one backend server accepts
+	// from all callers together; 0 means unknown.
 	MaxConns int
-	// Engine is set where the service runs model engines.
+	// Engine describes the model engines of the service; nil if it runs none.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send; 0 means no bound.
+// Limits are the limits for requests and connections of callers; 0 means no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -111,47 +112,48 @@
 	IdleTimeout   time.Duration
 }
 
-// Routing is a whole routing configuration.
+// Routing is a complete routing configuration.
 type Routing struct {
-	// Number is the operator's; the highest is in force.
+	// Number is assigned by the operator; the highest is in force.
 	Number   uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed means that callers name their workspace by a key, but for public routes.
+	// Keyed means that callers are identified by the key of their workspace, except
+	// on public routes.
 	Keyed      bool
 	Workspaces []Workspace
 
-	// hosts holds each host's routes, the longest prefix first.
-	hosts map[string][]*Route
-	named map[string]*Service
-	// keys holds the workspaces by their keys' digests.
+	// hosts holds the routes of each host, longest prefix first.
+	hosts    map[string][]*Route
+	services map[string]*Service
+	// keys holds the workspaces by the digests of their keys.
 	keys map[KeyDigest]*Workspace
 }
 
-// Compile checks the routing and makes it ready for Match. It returns an error
-// that names the first fault.
+// Compile validates the routing and builds the indexes for Match, Service and
+// Workspace. The returned error describes the first fault.
 func (r *Routing) Compile() error {
-	r.named = make(map[string]*Service, len(r.Services))
+	r.services = make(map[string]*Service, len(r.Services))
 	for i := range r.Services {
 		s := &r.Services[i]
-		if s.Name == "" || r.named[s.Name] != nil {
+		if s.Name == "" || r.services[s.Name] != nil {
 			return errors.NotValidf("service %q: a name that is empty or given twice", s.Name)
 		}
-		r.named[s.Name] = s
+		r.services[s.Name] = s
 	}
 	r.hosts = make(map[string][]*Route)
-	places := make(map[string]struct{}, len(r.Routes))
+	prefixes := make(map[string]struct{}, len(r.Routes))
 	for i := range r.Routes {
 		route := &r.Routes[i]
-		if err := r.check(route); err != nil {
+		if err := r.checkRoute(route); err != nil {
 			return errors.Annotatef(err, "route %q", route.Name)
 		}
-		place := route.Host + route.Prefix
-		if _, taken := places[place]; taken {
+		prefix := route.Host + route.Prefix
+		if _, duplicate := prefixes[prefix]; duplicate {
 			return errors.NotValidf("route %q: host and prefix of another route", route.Name)
 		}
-		places[place] = struct{}{}
+		prefixes[prefix] = struct{}{}
 		r.hosts[route.Host] = append(r.hosts[route.Host], route)
 	}
 	if err := r.compileKeys(); err != nil {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-func (r *Routing) check(route *Route) error {
+func (r *Routing) checkRoute(route *Route) error {
 	switch {
 	case route.Host == "":
 		return errors.NotValidf("an empty host")
@@ -172,23 +174,24 @@
 	case route.Timeout <= 0:
 		return errors.NotValidf("timeout %s", route.Timeout)
 	}
-	route.total = 0
+	route.totalWeight = 0
 	for _, s := range route.Shares {
-		if r.named[s.Service] == nil {
+		if r.services[s.Service] == nil {
 			return errors.NotValidf("unknown service %q", s.Service)
 		}
 		if s.Weight < 0 {
 			return errors.NotValidf("weight %d", s.Weight)
 		}
-		route.total += s.Weight
+		route.totalWeight += s.Weight
 	}
-	if route.total <= 0 {
-		return errors.NotValidf("weights that add up to %d", route.total)
+	if route.totalWeight <= 0 {
+		return errors.NotValidf("weights that add up to %d", route.totalWeight)
 	}
 	return nil
 }
 
-// Match returns the route of a call, or nil. The path is as the caller sent it.
+// Match returns the route with the longest prefix of the path, or nil. The path is
+// as the caller sent it.
 func (r *Routing) Match(host, path string) *Route {
 	for _, route := range r.hosts[host] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -198,5 +201,5 @@
 	return nil
 }
 
-// Service returns the service of a name, or nil.
-func (r *Routing) Service(name string) *Service { return r.named[name] }
+// Service returns the service with the given name, or nil.
+func (r *Routing) Service(name string) *Service { return r.services[name] }
--- a/internal/state/tracker/tracker.go
+++ b/internal/state/tracker/tracker.go
@@ -16,43 +16,44 @@
 
 // Settings are a Tracker's options.
 type Settings struct {
-	// Decode reads the operator's document. Required.
+	// Decode decodes and compiles the operator's document. Required.
 	Decode func(document []byte) (*Routing, error)
-	// Changed is called after each new View, in order; it must be quick. It may
-	// be nil.
+	// OnChange is called with each new View, in order, while further updates are
+	// blocked, so it must return quickly. It may be nil.
 	OnChange func(*View)
 	Log      zerolog.Logger
 }
 
-// Tracker follows the changes that control hosts send. It is the target of one
-// subscription, and may be read by any goroutine.
+// Tracker applies the changes that control hosts send. It is the target of one
+// subscription. It may be read by several goroutines.
 type Tracker struct {
 	settings Settings
-	writing  sync.Mutex
-	view     atomic.Pointer[View]
+	// mu serializes updates of the view.
+	mu   sync.Mutex
+	view atomic.Pointer[View]
 }
 
-// NewTracker returns a tracker that knows nothing.
+// NewTracker returns a tracker with an empty view at revision 0.
 func NewTracker(s Settings) *Tracker {
 	if s.Decode == nil {
-		panic("tracker: NewTracker needs a decoder")
+		panic("tracker: NewTracker requires Settings.Decode")
 	}
 	t := &Tracker{settings: s}
 	t.view.Store(&View{})
 	return t
 }
 
-// View returns the newest view.
+// View returns the latest view.
 func (t *Tracker) View() *View { return t.view.Load() }
 
-// Revision returns the revision of the newest view.
+// Revision returns the revision of the latest view.
 func (t *Tracker) Revision() uint64 { return t.View().Revision }
 
-// Apply brings the view to a later revision. Changes that it holds already are
-// passed over.
+// Apply updates the view to the revision upTo. Changes that the view already
+// contains are skipped. On an error the view stays unchanged.
 func (t *Tracker) Apply(changes []storer.Change, upTo uint64) error {
-	t.writing.Lock()
-	defer t.writing.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	old := t.View()
 	if upTo <= old.Revision {
 		return nil
@@ -60,7 +61,7 @@
 	d := draft{settings: &t.settings, view: View{Revision: upTo, Routing: old.Routing, members: old.members, newest: old.newest, List: old.List}}
 	for _, c := range changes {
 		if c.Revision > old.Revision {
-			if err := d.take(c.Resource, c.Deleted); err != nil {
+			if err := d.apply(c.Resource, c.Deleted); err != nil {
 				return errors.Annotatef(err, "change at revision %d", c.Revision)
 			}
 		}
@@ -68,17 +69,19 @@
 	return t.publish(&d)
 }
 
-// Reset replaces all that is known by a whole state of a later revision.
+// Reset replaces the view by the complete state of a later revision; an older one
+// is ignored. The routing configuration is replaced by one with a higher number
+// only. On an error the view stays unchanged.
 func (t *Tracker) Reset(resources []storer.Resource, revision uint64) error {
-	t.writing.Lock()
-	defer t.writing.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	old := t.View()
 	if revision <= old.Revision {
 		return nil
 	}
 	d := draft{settings: &t.settings, view: View{Revision: revision, Routing: old.Routing}}
 	for _, r := range resources {
-		if err := d.take(r, false); err != nil {
+		if err := d.apply(r, false); err != nil {
 			return errors.Annotatef(err, "state at revision %d", revision)
 		}
 	}
@@ -100,38 +103,38 @@
 	return nil
 }
 
-// draft is a view in the making. Maps are copied before the first write.
+// draft is a view that is being built. Its maps are copied before the first write.
 type draft struct {
 	settings     *Settings
 	view         View
 	ownedMembers bool
 	ownedNewest  bool
-	// suspects are the changes of suspects; they are taken in together.
+	// suspects are the changes of suspects; publish applies them together.
 	suspects []storer.Change
 }
 
-func (d *draft) take(r storer.Resource, deleted bool) error {
+func (d *draft) apply(r storer.Resource, deleted bool) error {
 	switch spec := r.Spec.(type) {
 	case storer.RoutingSpec:
-		return d.routing(spec)
+		return d.applyRouting(spec)
 	case storer.NewestSpec:
 		if !d.ownedNewest {
-			d.view.newest, d.ownedNewest = cloned(d.view.newest), true
+			d.view.newest, d.ownedNewest = cloneMap(d.view.newest), true
 		}
 		d.view.newest[r.Metadata.Name] = max(d.view.newest[r.Metadata.Name], spec.Version)
 	case storer.MemberSpec:
-		d.member(Member{Name: r.Metadata.Name, Spec: spec}, deleted)
+		d.applyMember(Member{Name: r.Metadata.Name, Spec: spec}, deleted)
 	case storer.SuspectSpec:
 		d.suspects = append(d.suspects, storer.Change{Resource: r, Deleted: deleted})
 	default:
-		// Other kinds concern other parts of the product.
+		// Other kinds are not needed for opaque calls.
 	}
 	return nil
 }
 
-// routing takes a newer configuration. An older one than is held is passed over:
-// what was in force once must not come back within one life of the process.
-func (d *draft) routing(spec storer.RoutingSpec) error {
+// applyRouting applies a configuration with a higher number. Others are ignored: a
+// configuration that was replaced must not take effect again while the process runs.
+func (d *draft) applyRouting(spec storer.RoutingSpec) error {
 	if old := d.view.Routing; old != nil && old.Number >= spec.Number {
 		return nil
 	}
@@ -148,17 +151,17 @@
 	return nil
 }
 
-func (d *draft) member(m Member, deleted bool) {
+func (d *draft) applyMember(m Member, deleted bool) {
 	if !d.ownedMembers {
-		d.view.members, d.ownedMembers = cloned(d.view.members), true
+		d.view.members, d.ownedMembers = cloneMap(d.view.members), true
 	}
 	for service, members := range d.view.members {
-		kept := slices.DeleteFunc(slices.Clone(members), func(o Member) bool { return o.Name == m.Name })
-		if len(kept) == 0 {
+		remaining := slices.DeleteFunc(slices.Clone(members), func(o Member) bool { return o.Name == m.Name })
+		if len(remaining) == 0 {
 			delete(d.view.members, service)
 			continue
 		}
-		d.view.members[service] = kept
+		d.view.members[service] = remaining
 	}
 	if deleted {
 		return
@@ -168,7 +171,7 @@
 	d.view.members[m.Spec.Service] = list
 }
 
-func cloned[K comparable, V any](m map[K]V) map[K]V {
+func cloneMap[K comparable, V any](m map[K]V) map[K]V {
 	if m == nil {
 		return make(map[K]V)
 	}
--- a/internal/state/tracker/tracker_test.go
+++ b/internal/state/tracker/tracker_test.go
@@ -13,8 +13,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// decode makes a routing whose one route leads to the service that the document
-// names; an empty document can't be read.
+// decode returns a routing with one route to the service whose name is the document.
+// An empty document is an error.
 func decode(document []byte) (*tracker.Routing, error) {
 	name := string(document)
 	r := &tracker.Routing{
@@ -51,25 +51,24 @@
 }
 
 var _ = Describe("A tracker", func() {
-	It("doesn't go back to an older configuration within one life", func() {
-		// Symptom: requests go by a route that was moved seconds ago.
-		// Events: a node moves to a control host formed anew, or given back an old
-		// state, and takes the whole from it.
-		// Cause: a whole state replaced all that was known, whatever its number.
+	It("does not return to an older configuration while the process runs", func() {
+		// Guards against requests that follow a route which has been replaced. They occur if a
+		// node subscribes to a control host that was formed again or restored to an old state,
+		// and replaces its configuration by one with a lower number.
 		t := newTracker()
 		Expect(t.Apply([]storer.Change{routing(5, 3, "new")}, 5)).To(Succeed())
 		Expect(t.Reset(resources(routing(6, 2, "ol")), 6)).To(Succeed())
 		Expect(t.View().Routing.Service("new")).NotTo(BeNil())
 	})
 
-	It("passes over what it holds already", func() {
+	It("skips changes that were applied before", func() {
 		t := newTracker()
 		Expect(t.Apply([]storer.Change{member(2, "a", "i-1", false), member(3, "a", "i-1", true)}, 3)).To(Succeed())
 		Expect(t.Apply([]storer.Change{member(2, "a", "i-1", false)}, 3)).To(Succeed())
 		Expect(t.View().Members("s")).To(BeEmpty())
 	})
 
-	It("leaves the views that were given out as they were", func() {
+	It("does not modify views that were returned before", func() {
 		t := newTracker()
 		Expect(t.Apply([]storer.Change{member(2, "a", "i-1", false)}, 2)).To(Succeed())
 		before := t.View()
@@ -89,7 +88,7 @@
 		Expect(t.View().Members("other")).To(HaveLen(1))
 	})
 
-	It("refuses a configuration that can't be read, and keeps the one in force", func() {
+	It("refuses a configuration that can't be decoded, and keeps the one in force", func() {
 		t := newTracker()
 		Expect(t.Apply([]storer.Change{routing(2, 1, "a")}, 2)).To(Succeed())
 		Expect(t.Apply([]storer.Change{routing(3, 2, "")}, 3)).NotTo(Succeed())
@@ -97,7 +96,7 @@
 		Expect(t.Revision()).To(Equal(uint64(2)))
 	})
 
-	It("knows the newest version, and the first where none was named", func() {
+	It("returns the newest version, or the first one if none was set", func() {
 		t := newTracker()
 		Expect(t.View().Newest("m/a1")).To(Equal(uint64(tracker.FirstVersion)))
 		Expect(t.Apply([]storer.Change{{Revision: 2, Resource: storer.Resource{
@@ -124,18 +123,18 @@
 			Expect(r.Compile()).NotTo(Succeed())
 		},
 		Entry("with an unknown service", func(r *tracker.Routing) { r.Routes[0].Shares[0].Service = "x" }),
-		Entry("with two routes of one place", func(r *tracker.Routing) { r.Routes = append(r.Routes, r.Routes[0]) }),
-		Entry("with weights that add up to nothing", func(r *tracker.Routing) { r.Routes[0].Shares[0].Weight = 0 }),
+		Entry("with two routes of the same host and prefix", func(r *tracker.Routing) { r.Routes = append(r.Routes, r.Routes[0]) }),
+		Entry("with weights that add up to 0", func(r *tracker.Routing) { r.Routes[0].Shares[0].Weight = 0 }),
 		Entry("with a negative weight", func(r *tracker.Routing) {
 			r.Routes[0].Shares = append(r.Routes[0].Shares, tracker.Share{Service: "s", Weight: -1})
 		}),
 		Entry("without a timeout", func(r *tracker.Routing) { r.Routes[0].Timeout = 0 }),
-		Entry("with a prefix that is no folder", func(r *tracker.Routing) { r.Routes[0].Prefix = "/a" }),
+		Entry("with a prefix that does not end with a slash", func(r *tracker.Routing) { r.Routes[0].Prefix = "/a" }),
 		Entry("without a host", func(r *tracker.Routing) { r.Routes[0].Host = "" }),
-		Entry("with two services of one name", func(r *tracker.Routing) { r.Services = append(r.Services, r.Services[0]) }),
+		Entry("with two services of the same name", func(r *tracker.Routing) { r.Services = append(r.Services, r.Services[0]) }),
 	)
 
-	It("gives each service its share", func() {
+	It("distributes calls by the weights of the services", func() {
 		r := tracker.Route{Shares: []tracker.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 		routing := tracker.Routing{Services: []tracker.Service{{Name: "a"}, {Name: "b"}}, Routes: []tracker.Route{r}}
 		routing.Routes[0].Host, routing.Routes[0].Prefix, routing.Routes[0].Timeout = "h", "/", time.Second
@@ -148,7 +147,7 @@
 	})
 })
 
-// TestPropertyMatch compares Match with a look at all routes.
+// TestPropertyMatch compares Match with a linear search over all routes.
 func TestPropertyMatch(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "ab"})
 	path := rapid.Custom(func(t *rapid.T) string {
@@ -211,15 +210,15 @@
 			r := tracker.Routing{Workspaces: ws}
 			Expect(r.Compile()).NotTo(Succeed())
 		},
-		Entry("with one key", workspace("a", "1"), workspace("b", "2", "1")),
+		Entry("with the same key", workspace("a", "1"), workspace("b", "2", "1")),
 		Entry("with an empty key", workspace("a", "")),
 		Entry("without a name", workspace("")),
-		Entry("with one name", workspace("a", "1"), workspace("a", "2")),
+		Entry("with the same name", workspace("a", "1"), workspace("a", "2")),
 		Entry("with a negative rate", tracker.Workspace{Name: "a", Quota: tracker.Quota{Rate: -1}}),
 		Entry("with a negative burst", tracker.Workspace{Name: "a", Quota: tracker.Quota{Burst: -1}}),
 	)
 
-	It("pay by the call's tokens, or by calls", func() {
+	It("are charged by tokens or by calls", func() {
 		tokens := tracker.Quota{Tokens: true, PlainCost: 200}
 		Expect(tokens.Cost(12)).To(BeEquivalentTo(12))
 		Expect(tokens.Cost(-1)).To(BeEquivalentTo(200))
--- a/internal/state/tracker/view.go
+++ b/internal/state/tracker/view.go
@@ -7,28 +7,30 @@
 
 // Member is one backend server.
 type Member struct {
-	// Name identifies the place, and Spec.Incarnation the life.
+	// Name identifies the address, and Spec.Incarnation the incarnation that
+	// serves there.
 	Name string
 	Spec storer.MemberSpec
 }
 
-// View is what was known at one revision. It is not changed once made.
+// View is the replicated state at one revision. It is immutable.
 type View struct {
 	Revision uint64
-	// Routing is nil while no routing configuration is known.
+	// Routing is nil until a routing configuration is received.
 	Routing *Routing
 	// members holds the backend servers by service, sorted by name.
 	members map[string][]Member
-	newest  map[string]uint64
-	// List holds the requests under which backend servers ended.
+	// newest holds the newest versions by the name of the adapter or model.
+	newest map[string]uint64
+	// List holds the requests during which backend servers ended.
 	*blamer.List
 }
 
 // Members returns the backend servers of a service, sorted by name. The slice
-// must not be changed.
+// must not be modified.
 func (v *View) Members(service string) []Member { return v.members[service] }
 
-// Member returns the backend server of a name.
+// Member returns the backend server with the given name, or false if there is none.
 func (v *View) Member(name string) (Member, bool) {
 	for _, members := range v.members {
 		for _, m := range members {
@@ -40,7 +42,7 @@
 	return Member{}, false
 }
 
-// Each calls f with every backend server.
+// Each calls f for every backend server.
 func (v *View) Each(f func(Member)) {
 	for _, members := range v.members {
 		for _, m := range members {
@@ -49,8 +51,8 @@
 	}
 }
 
-// Newest returns the newest version named for an adapter or model, and
-// FirstVersion where none was named.
+// Newest returns the newest version of an adapter or model, or FirstVersion if none
+// has been set.
 func (v *View) Newest(name string) uint64 {
 	if n, ok := v.newest[name]; ok {
 		return n
@@ -58,5 +60,5 @@
 	return FirstVersion
 }
 
-// FirstVersion is the version that an adapter has before another is named.
+// FirstVersion is the newest version of an adapter or model until another is set.
 const FirstVersion = 1
--- a/internal/state/tracker/workspace.go
+++ b/internal/state/tracker/workspace.go
@@ -6,11 +6,11 @@
 	"github.com/juju/errors"
 )
 
-// KeyDigest stands for a caller's key, which is a secret and kept nowhere. The zero value
-// stands for none.
+// KeyDigest is the SHA-256 digest of a caller's key. The key itself is a secret and is not
+// stored. The zero value means no key.
 type KeyDigest [sha256.Size]byte
 
-// DigestKey returns the digest of a key; that of an empty one is the zero value.
+// DigestKey returns the digest of a key; the digest of an empty key is the zero value.
 func DigestKey(key string) KeyDigest {
 	if key == "" {
 		return KeyDigest{}
@@ -18,20 +18,20 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// Quota is a token bucket that a workspace's calls are paid from.
+// Quota is a token bucket to which the calls of a workspace are charged.
 type Quota struct {
-	// Rate is what flows in, in units a second; 0 means no limit.
+	// Rate is the refill rate, in units per second; 0 means no limit.
 	Rate float64
-	// Burst is what the bucket holds at most, in units.
+	// Burst is the capacity of the bucket, in units.
 	Burst float64
-	// Tokens means that a call costs its tokens, and else that it costs 1.
+	// Tokens means that a call costs one unit per token; otherwise each call costs 1.
 	Tokens bool
-	// PlainCost is what a call costs that does not tell its tokens.
+	// PlainCost is the cost, in units, of a call whose number of tokens is unknown.
 	PlainCost float64
 }
 
-// Cost returns what a call costs with its tokens, of prompt and answer together; negative
-// tokens mean that it does not tell them.
+// Cost returns the cost, in units, of a call with the given number of tokens of prompt and
+// answer together. A negative number means that it is unknown.
 func (q *Quota) Cost(tokens int) float64 {
 	switch {
 	case !q.Tokens:
@@ -43,26 +43,27 @@
 	}
 }
 
-// Workspace is an organisation whose callers name it by a key.
+// Workspace is an organisation whose callers are identified by a key.
 type Workspace struct {
 	Name string
 	Keys []KeyDigest
-	// Priority goes before that of the route where Ranked is set.
+	// Priority overrides that of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 	Quota       Quota
 }
 
-// Workspace returns the one that holds a key, or nil.
+// Workspace returns the workspace of a key, or nil.
 func (r *Routing) Workspace(key KeyDigest) *Workspace { return r.keys[key] }
 
-// compileKeys checks the workspaces. Its errors name no key.
+// compileKeys checks the workspaces and builds the map of their keys. Its errors
+// contain no key.
 func (r *Routing) compileKeys() error {
 	r.keys = make(map[KeyDigest]*Workspace)
 	names := make(map[string]struct{}, len(r.Workspaces))
 	for i := range r.Workspaces {
 		w := &r.Workspaces[i]
-		if _, taken := names[w.Name]; taken || w.Name == "" {
+		if _, duplicate := names[w.Name]; duplicate || w.Name == "" {
 			return errors.NotValidf("workspace %q: a name that is empty or given twice", w.Name)
 		}
 		names[w.Name] = struct{}{}
