--- a/internal/state/recorder/clock.go
+++ b/internal/state/recorder/clock.go
@@ -8,9 +8,10 @@
 // Timestamp is a reading of the hybrid logical clock.
 type Timestamp struct {
 	_ struct{} `cbor:",toarray"`
-	// Wall is the largest wall clock reading known, in nanoseconds since 1970.
+	// Wall is the largest wall clock reading that the clock has observed, in
+	// nanoseconds since 1970.
 	Wall int64
-	// Logical orders timestamps with the same Wall.
+	// Logical orders timestamps with equal Wall.
 	Logical uint32
 }
 
@@ -22,7 +23,7 @@
 	return t.Logical < u.Logical
 }
 
-// Time returns the wall part in UTC.
+// Time returns Wall as a time in UTC.
 func (t Timestamp) Time() time.Time { return time.Unix(0, t.Wall).UTC() }
 
 // Clock is a hybrid logical clock. It may be used by several goroutines.
@@ -30,15 +31,15 @@
 	now func() time.Time
 
 	mu sync.Mutex
-	// last is the latest timestamp given or seen; guarded by mu. It never goes
-	// back, also when the wall clock does.
+	// last is the latest timestamp returned or observed; guarded by mu. It never
+	// decreases, even if the wall clock does.
 	last Timestamp
 }
 
-// NewClock returns a clock over the wall clock now.
+// NewClock returns a clock that uses now as its wall clock.
 func NewClock(now func() time.Time) *Clock { return &Clock{now: now} }
 
-// Now returns a timestamp later than every one given or observed before.
+// Now returns a timestamp later than all timestamps returned or observed before.
 func (c *Clock) Now() Timestamp {
 	wall := c.now().UnixNano()
 	c.mu.Lock()
@@ -51,7 +52,7 @@
 	return c.last
 }
 
-// Observe moves the clock past a timestamp received from another process.
+// Observe advances the clock past a timestamp received from another process.
 func (c *Clock) Observe(t Timestamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/state/recorder/doc.go
+++ b/internal/state/recorder/doc.go
@@ -1,9 +1,9 @@
-// Package recorder keeps each process's ring of typed events, stamped with a
-// hybrid logical clock, so that the events of all processes merge into one
-// time line.
+// Package recorder implements a ring buffer of typed events for each process.
+// The events have timestamps of a hybrid logical clock, so that the events of
+// all processes can be merged into one timeline.
 //
 // The clock follows Kulkarni, Demirbas, Madappa, Avva and Leone, "Logical
 // Physical Clocks" (OPODIS 2014): every message between processes carries a
-// timestamp, and a receiver's clock moves past it. An effect therefore never
-// sorts before its cause, also when wall clocks differ.
+// timestamp, and the receiver advances its clock past it. An effect therefore
+// never sorts before its cause, even if the wall clocks differ.
 package recorder
--- a/internal/state/recorder/event.go
+++ b/internal/state/recorder/event.go
@@ -2,7 +2,7 @@
 
 //go:generate stringer -type=Kind -trimprefix=Kind
 
-// Kind tells what happened.
+// Kind is the type of an event.
 type Kind int
 
 // The kinds of events.
@@ -54,29 +54,30 @@
 	KindFault
 )
 
-// Choice is one candidate of a routing decision with the reason for taking or
-// passing it.
+// Choice is one candidate of a routing decision, with the reason why it was
+// selected or rejected.
 type Choice struct {
 	Backend string
 	Reason  string
 	Score   float64
-	Taken   bool
+	// Taken means that the candidate was selected.
+	Taken bool
 }
 
-// Event is one thing that happened in one process. Empty fields do not apply.
+// Event is one event in one process. Fields that do not apply are empty.
 type Event struct {
 	Time Timestamp
 	Node string
 	Kind Kind
-	// Request is the id of the request concerned.
+	// Request is the ID of the request.
 	Request   string
 	Workspace string
-	// Backend is the name of the backend server concerned.
+	// Backend is the name of the backend server.
 	Backend string
-	// Version is the adapter version concerned, WORKSPACE/ADAPTER@VERSION.
+	// Version is the adapter version, as WORKSPACE/ADAPTER@VERSION.
 	Version  string
 	Revision uint64
-	// Detail is a short text for people.
+	// Detail is a short text for human readers.
 	Detail  string
 	Choices []Choice
 }
--- a/internal/state/recorder/merge.go
+++ b/internal/state/recorder/merge.go
@@ -2,8 +2,7 @@
 
 import "slices"
 
-// Merge returns the events of all pages in the order of the hybrid logical
-// clock; ties sort by node.
+// Merge returns the events of all pages, sorted by timestamp and then by node.
 func Merge(pages []Page) []Event {
 	var events []Event
 	for i := range pages {
--- a/internal/state/recorder/ring.go
+++ b/internal/state/recorder/ring.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// DefaultRingSize is the number of events a ring keeps when none is set.
+// DefaultRingSize is the default of Settings.RingSize, in events.
 const DefaultRingSize = 4096
 
 // Settings are a recorder's options.
 type Settings struct {
 	Node string
-	// RingSize is the number of events kept; 0 means DefaultRingSize.
+	// RingSize is the capacity of the ring buffer, in events; 0 means
+	// DefaultRingSize.
 	RingSize int
 	// Now is the wall clock; nil means time.Now.
 	Now func() time.Time
 }
 
-// Recorder keeps the latest events of one process. It may be used by several
-// goroutines. A nil *Recorder drops events.
+// Recorder keeps the latest events of one process in a ring buffer. It may be used
+// by several goroutines. Record on a nil *Recorder does nothing.
 type Recorder struct {
 	node  string
 	clock *Clock
 
 	mu sync.Mutex
-	// ring holds the latest events, oldest at next once full; guarded by mu.
+	// ring holds the latest events; once full, the oldest is at next; guarded by mu.
 	ring []Event
-	// next is the position of the next write; guarded by mu.
+	// next is the index of the next write once ring is full; guarded by mu.
 	next int
-	// total counts the events recorded ever; guarded by mu.
+	// total is the number of events recorded since the start; guarded by mu.
 	total uint64
 }
 
@@ -46,7 +47,7 @@
 // Clock returns the process's hybrid logical clock.
 func (r *Recorder) Clock() *Clock { return r.clock }
 
-// Record stamps the event with time and node and keeps it.
+// Record sets the time and the node of the event and stores it.
 func (r *Recorder) Record(e Event) {
 	if r == nil {
 		return
@@ -67,14 +68,14 @@
 // Page is a part of a recorder's events.
 type Page struct {
 	Node string
-	// Total counts the events recorded since the process began. The ring may
-	// hold fewer.
+	// Total is the number of events recorded since the process started. The ring
+	// buffer may hold fewer.
 	Total  uint64
 	Events []Event
 }
 
-// Events returns the events kept, oldest first; with a request, only those
-// which concern it.
+// Events returns the stored events, oldest first. If request is not empty, it
+// returns only those of the request.
 func (r *Recorder) Events(request string) Page {
 	r.mu.Lock()
 	defer r.mu.Unlock()
