--- a/internal/state/explainer/call.go
+++ b/internal/state/explainer/call.go
@@ -2,54 +2,57 @@
 
 //go:generate stringer -type=Cause -linecomment
 
-// Cause tells what most of a call's time went to, or who ended it.
+// Cause is the reason for a call's latency or failure.
 type Cause int
 
-// The causes.
+// The causes of a call's latency or failure. Their texts are part of the report.
 const (
-	// CauseNone means that the call was answered in time.
+	// CauseNone means that the call was answered within its target time.
 	CauseNone Cause = iota // in time
-	// CauseLoad means that it waited for its adapter to be loaded.
+	// CauseLoad means that the call waited for its adapter to be loaded.
 	CauseLoad // waited for a load
-	// CauseSlot means that it waited for admission while its adapter was not loaded: for
-	// a slot, a place, or its engine's model.
+	// CauseSlot means that the call waited for admission, but not for a load that ended
+	// in the meantime: for an adapter slot, for capacity at the engine, or for the
+	// engine's model.
 	CauseSlot // waited for a slot
-	// CauseReading means that its prompt was read late, or slowly.
+	// CausePrefill means that the prefill of its prompt started late or was slow.
 	CausePrefill // waited for a reading
-	// CauseServing means that a plain service took longer than was wanted.
+	// CauseService means that a plain service exceeded the target time.
 	CauseService // waited for a service
-	// CauseTwice means that a second backend server was tried.
+	// CauseRetried means that the call was sent to a second backend server.
 	CauseRetried // tried twice
-	// CauseLost means that a backend server was lost, or gave no answer.
+	// CauseBackendLost means that the connection to a backend server was lost, or that it
+	// did not answer.
 	CauseBackendLost // a backend server was lost
-	// CauseFailed means that a backend server answered with a failure.
+	// CauseBackendFailed means that a backend server answered with a server error.
 	CauseBackendFailed // a backend server failed
-	// CauseRefused means that the entry refused it as not run.
+	// CauseRefused means that the entry refused the call without running it.
 	CauseRefused // refused by its entry
-	// CausePaused means that the first event came in time, and the caller left later.
+	// CauseAbandoned means that the first event was in time, but the caller disconnected
+	// before the end of the answer.
 	CauseAbandoned // left in the middle
 )
 
-// Messages of the lines that tell something of calls and loads.
+// Messages of the log lines that describe calls, loads and broken attempts.
 const (
-	messageCall   = "call"
-	messageLoaded = "adapter loaded"
-	messageBroke  = "sendings broke"
+	messageCall          = "call"
+	messageAdapterLoaded = "adapter loaded"
+	messageAttemptsBroke = "sendings broke"
 )
 
-// Outcomes in lines of calls.
+// Values of Line.Outcome in the log lines of calls.
 const (
-	outcomeAnswered = "answered"
-	outcomeRefused  = "refused"
-	outcomeLeft     = "left"
+	outcomeAnswered   = "answered"
+	outcomeRefused    = "refused"
+	outcomeCallerLeft = "left"
 )
 
-// slack is what a load may end, in seconds, after the wait for it: lines of two processes
-// are written at times of their own.
-const slack = 0.05
+// maxLogSkewSeconds is the maximum time by which the log line of a load may be later than
+// that of the call that waited for it: two processes write them independently.
+const maxLogSkewSeconds = 0.05
 
-// explain returns the cause of a call's fate, given the loads of its adapter.
-func explain(line *Line, loads []load) Cause {
+// causeOf returns the cause of a call's latency or failure, given the loads of its adapter.
+func causeOf(line *Line, loads []load) Cause {
 	first := line.First
 	if first <= 0 {
 		first = line.Took
@@ -61,11 +64,11 @@
 		return CauseNone
 	case line.Outcome == outcomeRefused && line.Status != 502 && line.Status != 504:
 		return CauseRefused
-	case line.Outcome == outcomeLeft && line.First > 0 && (line.Target <= 0 || line.First <= line.Target):
+	case line.Outcome == outcomeCallerLeft && line.First > 0 && (line.Target <= 0 || line.First <= line.Target):
 		return CauseAbandoned
 	case line.Waited >= first/2:
 		return waitCause(line, loads)
-	case line.Outcome != outcomeAnswered && line.Outcome != outcomeLeft:
+	case line.Outcome != outcomeAnswered && line.Outcome != outcomeCallerLeft:
 		return CauseBackendLost
 	case len(line.Tried) > 0:
 		return CauseRetried
@@ -76,11 +79,12 @@
 	}
 }
 
-// waitCause tells a wait for a load from one for a slot.
+// waitCause returns the cause of a wait for admission: CauseLoad if a load of the adapter
+// ended during the call, and CauseSlot otherwise.
 func waitCause(line *Line, loads []load) Cause {
 	arrived := line.At - float64(line.Took)/1000
 	for _, d := range loads {
-		if d.ended >= arrived && d.ended <= line.At+slack && (d.engine == line.Backend || line.Outcome == outcomeLeft) {
+		if d.ended >= arrived && d.ended <= line.At+maxLogSkewSeconds && (d.engine == line.Backend || line.Outcome == outcomeCallerLeft) {
 			return CauseLoad
 		}
 	}
--- a/internal/state/explainer/doc.go
+++ b/internal/state/explainer/doc.go
@@ -1,8 +1,8 @@
-// Package explainer reads the log lines of all processes of a deployment and tells what
-// became of the calls and why: which waited for a load, a slot or a reading, which were
-// tried twice or refused by whom, which loads were needed, what went between failure
-// domains, and the time line of one request.
+// Package explainer analyzes the logs of all processes of a deployment. It reports the
+// outcomes of calls and their causes, such as a wait for an adapter load, for a slot or for
+// the prefill, a retry or a refusal; the adapter loads; the traffic between failure domains;
+// and the timeline of one request.
 //
-// It reads what the processes write and nothing else: JSON lines, each with a process's
-// name. A platform may put the time and the name before a line.
+// Its only input are the log lines of the processes: JSON objects, each with the name of its
+// process. A platform may prefix a line with the time and the name.
 package explainer
--- a/internal/state/explainer/explainer.go
+++ b/internal/state/explainer/explainer.go
@@ -10,48 +10,49 @@
 	"github.com/juju/errors"
 )
 
-// maxLine bounds one line, in bytes; a longer one is a broken one.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a line; a longer line is broken.
+const maxLineBytes = 1 << 20
 
-// Broken is a line that could not be read.
+// Broken is a line that could not be parsed.
 type Broken struct {
 	File   string
 	Number int
 	Cause  string
 }
 
-// String tells the place and the cause.
+// String returns the file, the line number and the cause.
 func (b Broken) String() string { return fmt.Sprintf("%s:%d: %s", b.File, b.Number, b.Cause) }
 
-// Log is what was read from the logs of a deployment.
+// Log contains the log lines of a deployment.
 type Log struct {
-	// Lines are in the order of time once Sort was called.
+	// Lines are sorted by time after a call of Sort.
 	Lines []Line
-	// Others counts the lines that hold no JSON object.
+	// Others is the number of lines without a JSON object.
 	Others int
-	// Skipped counts the lines that could not be read, and Broken are the first of
-	// them.
+	// Skipped is the number of lines that could not be parsed, and Broken contains the
+	// first maxBrokenLines of them.
 	Skipped int
 	Broken  []Broken
 }
 
-// maxBroken is the number of broken lines that are kept.
-const maxBroken = 10
+// maxBrokenLines is the number of broken lines that a Log describes.
+const maxBrokenLines = 10
 
-// Read adds the lines of one file. A line that can't be read is counted and passed over.
+// Read adds the lines of one file. Lines that can't be parsed are counted and skipped. It
+// returns an error if the file can't be read.
 func (l *Log) Read(name string, from io.Reader) error {
-	reader := bufio.NewReaderSize(from, maxLine)
+	reader := bufio.NewReaderSize(from, maxLineBytes)
 	for number := 1; ; number++ {
 		text, err := reader.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			l.skip(Broken{File: name, Number: number, Cause: "the line is too long"})
+			l.addBroken(Broken{File: name, Number: number, Cause: "the line is too long"})
 			for errors.Is(err, bufio.ErrBufferFull) {
 				_, err = reader.ReadSlice('\n')
 			}
 			text = nil
 		}
 		if len(text) > 0 {
-			l.take(name, number, text)
+			l.addLine(name, number, text)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
@@ -62,11 +63,11 @@
 	}
 }
 
-func (l *Log) take(name string, number int, text []byte) {
+func (l *Log) addLine(name string, number int, text []byte) {
 	line, ok, err := parseLine(text)
 	switch {
 	case err != nil:
-		l.skip(Broken{File: name, Number: number, Cause: err.Error()})
+		l.addBroken(Broken{File: name, Number: number, Cause: err.Error()})
 	case !ok:
 		l.Others++
 	default:
@@ -75,19 +76,19 @@
 	}
 }
 
-func (l *Log) skip(b Broken) {
+func (l *Log) addBroken(b Broken) {
 	l.Skipped++
-	if len(l.Broken) < maxBroken {
+	if len(l.Broken) < maxBrokenLines {
 		l.Broken = append(l.Broken, b)
 	}
 }
 
-// Sort brings the lines of all files into the order of time.
+// Sort sorts the lines of all files by time.
 func (l *Log) Sort() {
 	slices.SortStableFunc(l.Lines, func(a, b Line) int { return cmp.Compare(a.At, b.At) })
 }
 
-// Request returns the lines of one request in order.
+// Request returns the lines of one request, in the order of Lines.
 func (l *Log) Request(id string) []Line {
 	var lines []Line
 	for _, line := range l.Lines {
--- a/internal/state/explainer/explainer_test.go
+++ b/internal/state/explainer/explainer_test.go
@@ -34,7 +34,7 @@
 }
 
 var _ = Describe("A log", func() {
-	It("tells calls by outcome and cause, loads, and failure domains", func() {
+	It("reports calls by outcome and cause, loads, and failure domains", func() {
 		report := readAll("calls.log").Report()
 		var out bytes.Buffer
 		Expect(report.WriteText(&out)).To(Succeed())
@@ -47,7 +47,7 @@
 		Expect(out.String()).To(Equal(string(want)))
 	})
 
-	It("counts and names what it can't read", func() {
+	It("counts and describes lines that can't be parsed", func() {
 		log := readAll("calls.log")
 		Expect(log.Skipped).To(Equal(1))
 		Expect(log.Others).To(Equal(1))
@@ -59,16 +59,16 @@
 		Expect(long.Lines).To(HaveLen(1))
 	})
 
-	It("tells the requests under which more than one life of backend servers ended", func() {
-		// A connection that ended beside a backend server that lives counts for nothing, and
-		// two entries that tell of one life count it once.
-		broke := `{"Node":"n","Backend":"e","Incarnation":"%","Fate":"$","Same":[#],"message":"sendings broke"}` + "\n"
-		tell := func(life, fate, same string) string {
-			return strings.NewReplacer("%", life, "$", fate, "#", same).Replace(broke)
+	It("reports requests during which more than one incarnation of backend servers ended", func() {
+		// A connection that breaks while the backend server keeps running does not count, and
+		// an incarnation that two entries report counts once.
+		template := `{"Node":"n","Backend":"e","Incarnation":"%","Fate":"$","Same":[#],"message":"sendings broke"}` + "\n"
+		brokenAttempts := func(incarnation, fate, same string) string {
+			return strings.NewReplacer("%", incarnation, "$", fate, "#", same).Replace(template)
 		}
 		var log explainer.Log
 		Expect(log.Read("x", strings.NewReader(
-			tell("i1", "Ended", `"a","b"`)+tell("i1", "Ended", `"a","b"`)+tell("i2", "Ended", `"a"`)+tell("i3", "Lives", `"b"`),
+			brokenAttempts("i1", "Ended", `"a","b"`)+brokenAttempts("i1", "Ended", `"a","b"`)+brokenAttempts("i2", "Ended", `"a"`)+brokenAttempts("i3", "Lives", `"b"`),
 		))).To(Succeed())
 		report := log.Report()
 		Expect(report.Ends).To(Equal([]explainer.EndRow{{Same: "a", Lives: 2, Sendings: 3}}))
@@ -77,7 +77,7 @@
 		Expect(out.String()).To(ContainSubstring("backend servers ended under  lives  sendings"))
 	})
 
-	It("tells of one request in the order of time, over all files", func() {
+	It("returns the lines of one request sorted by time, over all files", func() {
 		log := readAll("calls.log")
 		lines := log.Request("r5")
 		Expect(lines).To(HaveLen(2))
--- a/internal/state/explainer/line.go
+++ b/internal/state/explainer/line.go
@@ -9,12 +9,12 @@
 	"github.com/juju/errors"
 )
 
-// Line is one log line of a process. Fields that a line lacks are zero.
+// Line is one log line of a process. Fields that the line does not contain are zero.
 type Line struct {
-	// At is when it was written, in seconds since the first line where the platform
-	// tells so, and since 1970 otherwise.
+	// At is the time of the line: the number, in seconds, with which the platform
+	// prefixed the line, or else the seconds since 1970.
 	At float64 `json:"-"`
-	// Text is the JSON object as it was read.
+	// Text is the JSON object of the line.
 	Text []byte `json:"-"`
 
 	Node    string
@@ -32,8 +32,8 @@
 	Backend string
 	Version json.RawMessage
 	Sent    int
-	// Incarnation, Fate and Same are those of a backend server with which sendings broke:
-	// its life, what became of it, and the identities of the requests.
+	// Incarnation, Fate and Same describe a backend server at which attempts broke: its
+	// incarnation, its state, and the identities of the requests.
 	Incarnation string
 	Fate        string
 	Same        json.RawMessage
@@ -47,40 +47,40 @@
 	Expected    json.RawMessage
 }
 
-// errNoMessage tells that an object is no log line.
-const errNoMessage = errors.ConstError("an object without a message")
+// errMissingMessage means that a JSON object is not a log line.
+const errMissingMessage = errors.ConstError("an object without a message")
 
-// millis is a time in milliseconds.
+// millis is a duration in milliseconds.
 type millis float64
 
-// parseLine reads a line. Ok is false where it holds no JSON object at all.
+// parseLine parses a line. ok is false if the line contains no JSON object.
 func parseLine(text []byte) (line Line, ok bool, err error) {
-	begin := bytes.IndexByte(text, '{')
-	if begin < 0 {
+	start := bytes.IndexByte(text, '{')
+	if start < 0 {
 		return line, false, nil
 	}
-	head := bytes.Fields(text[:begin])
-	line.Text = bytes.TrimSpace(text[begin:])
+	prefix := bytes.Fields(text[:start])
+	line.Text = bytes.TrimSpace(text[start:])
 	if err := json.Unmarshal(line.Text, &line); err != nil {
 		return line, true, err
 	}
 	if line.Message == "" {
-		return line, true, errNoMessage
+		return line, true, errMissingMessage
 	}
 	line.At = float64(line.Time.UnixMilli()) / 1000
-	if len(head) > 0 {
-		if at, err := strconv.ParseFloat(string(head[0]), 64); err == nil {
+	if len(prefix) > 0 {
+		if at, err := strconv.ParseFloat(string(prefix[0]), 64); err == nil {
 			line.At = at
 		}
 	}
-	if line.Node == "" && len(head) > 1 {
-		line.Node = string(head[1])
+	if line.Node == "" && len(prefix) > 1 {
+		line.Node = string(prefix[1])
 	}
 	return line, true, nil
 }
 
-// version returns the name of the version that the line is about, or nothing: other
-// lines have numbers of that name.
+// version returns the name of the adapter version, or an empty string: in some lines Version
+// is a number.
 func (l *Line) version() string {
 	var name string
 	if err := json.Unmarshal(l.Version, &name); err != nil {
@@ -89,9 +89,10 @@
 	return name
 }
 
-// sames returns the identities that a line on a backend server names. In a call's line Same
-// is the one of its request.
-func (l *Line) sames() []string {
+// requestIdentities returns the identities in the line of a backend server at which attempts
+// broke. In the line of a call, Same is the identity of its request only, and the result is
+// nil.
+func (l *Line) requestIdentities() []string {
 	var list []string
 	if err := json.Unmarshal(l.Same, &list); err != nil {
 		return nil
--- a/internal/state/explainer/report.go
+++ b/internal/state/explainer/report.go
@@ -9,14 +9,16 @@
 	"text/tabwriter"
 )
 
-// Count is a number of calls and their middle and long times, in milliseconds.
+// Count is a number of calls or loads with quantiles of their durations, in milliseconds.
 type Count struct {
-	Calls   int
-	Middle  float64
+	Calls int
+	// Middle is the median.
+	Middle float64
+	// Longest is the longestQuantile.
 	Longest float64
 }
 
-// CallRow tells of the calls of one route with one outcome and cause.
+// CallRow contains the calls of one route with one outcome and cause.
 type CallRow struct {
 	Route   string
 	Outcome string
@@ -31,30 +33,33 @@
 	Calls  int
 }
 
-// LoadRow tells of the loads of one cause.
+// LoadRow contains the loads of one cause.
 type LoadRow struct {
 	Cause string
 	Count
 }
 
-// DomainRow tells of what went to engines and services in the entry's own failure
-// domain, or in others.
+// DomainRow contains the calls to backend servers in the entry's own failure domain, or in
+// other ones.
 type DomainRow struct {
+	// Away means other failure domains.
 	Away  bool
 	Calls int
+	// Bytes is the size of the answers.
 	Bytes int64
 }
 
-// EndRow tells of a request under which more than one life of backend servers ended.
+// EndRow describes a request during which more than one incarnation of backend servers ended.
 type EndRow struct {
 	// Same is the request's identity.
 	Same string
-	// Lives counts the lives, and Sendings those that broke with them.
+	// Lives is the number of incarnations, and Sendings the number of attempts that broke
+	// when they ended.
 	Lives    int
 	Sendings int
 }
 
-// Report is what a log says.
+// Report is the result of the analysis of a log.
 type Report struct {
 	Ends    []EndRow
 	Calls   []CallRow
@@ -67,7 +72,7 @@
 	Broken  []string
 }
 
-// Report works the log out. The lines must have been sorted.
+// Report analyzes the log. The lines must be sorted.
 func (l *Log) Report() Report {
 	r := Report{Lines: len(l.Lines), Others: l.Others, Skipped: l.Skipped}
 	for _, b := range l.Broken {
@@ -80,37 +85,38 @@
 		byCause[d.cause] = append(byCause[d.cause], float64(d.took))
 	}
 	for _, cause := range slices.Sorted(maps.Keys(byCause)) {
-		r.Loads = append(r.Loads, LoadRow{Cause: cause.String(), Count: count(byCause[cause])})
+		r.Loads = append(r.Loads, LoadRow{Cause: cause.String(), Count: newCount(byCause[cause])})
 	}
 	l.reportCalls(&r, byAdapter)
-	r.Ends = l.ends()
+	r.Ends = l.suspectRows()
 	return r
 }
 
-// fateEnded is the Fate of a backend server whose life has ended.
+// fateEnded is the Fate of a backend server whose incarnation has ended.
 const fateEnded = "Ended"
 
-// ends returns the requests under which lives ended, those with most lives first. One with
-// a single life is left out: whatever a backend server ran when it ended has one.
-func (l *Log) ends() []EndRow {
-	lives, sendings := make(map[string]map[string]struct{}), make(map[string]int)
+// suspectRows returns the requests during which more than one incarnation ended, in
+// descending order of their number. Requests with a single one are omitted: every request in
+// progress at a backend server that ends has one.
+func (l *Log) suspectRows() []EndRow {
+	incarnations, attempts := make(map[string]map[string]struct{}), make(map[string]int)
 	for i := range l.Lines {
 		line := &l.Lines[i]
-		if line.Message != messageBroke || line.Fate != fateEnded {
+		if line.Message != messageAttemptsBroke || line.Fate != fateEnded {
 			continue
 		}
-		for _, same := range line.sames() {
-			if lives[same] == nil {
-				lives[same] = make(map[string]struct{})
+		for _, identity := range line.requestIdentities() {
+			if incarnations[identity] == nil {
+				incarnations[identity] = make(map[string]struct{})
 			}
-			lives[same][line.Backend+"/"+line.Incarnation] = struct{}{}
-			sendings[same]++
+			incarnations[identity][line.Backend+"/"+line.Incarnation] = struct{}{}
+			attempts[identity]++
 		}
 	}
 	var rows []EndRow
-	for same, of := range lives {
-		if len(of) > 1 {
-			rows = append(rows, EndRow{Same: same, Lives: len(of), Sendings: sendings[same]})
+	for identity, ended := range incarnations {
+		if len(ended) > 1 {
+			rows = append(rows, EndRow{Same: identity, Lives: len(ended), Sendings: attempts[identity]})
 		}
 	}
 	slices.SortFunc(rows, func(a, b EndRow) int {
@@ -126,7 +132,7 @@
 		if line.Message != messageCall {
 			continue
 		}
-		row := CallRow{Route: line.Route, Outcome: line.Outcome, Cause: explain(line, loads[line.Adapter]).String()}
+		row := CallRow{Route: line.Route, Outcome: line.Outcome, Cause: causeOf(line, loads[line.Adapter]).String()}
 		calls[row] = append(calls[row], float64(line.Took))
 		if line.Outcome == outcomeRefused {
 			reasons[ReasonRow{Node: line.Node, Reason: line.Reason}]++
@@ -137,7 +143,7 @@
 		}
 	}
 	for row, times := range calls {
-		row.Count = count(times)
+		row.Count = newCount(times)
 		r.Calls = append(r.Calls, row)
 	}
 	slices.SortFunc(r.Calls, func(a, b CallRow) int {
@@ -157,14 +163,14 @@
 	}
 }
 
-// longShare is the share of the times that Longest stands for.
-const longShare = 0.9
+// longestQuantile is the quantile of the durations in Count.Longest.
+const longestQuantile = 0.9
 
-func count(times []float64) Count {
+func newCount(times []float64) Count {
 	slices.Sort(times)
 	return Count{
 		Calls: len(times), Middle: times[len(times)/2],
-		Longest: times[min(len(times)-1, int(longShare*float64(len(times))))],
+		Longest: times[min(len(times)-1, int(longestQuantile*float64(len(times))))],
 	}
 }
 
