--- a/internal/state/blamer/doc.go
+++ b/internal/state/blamer/doc.go
@@ -1,3 +1,3 @@
-// Package blamer holds the requests under which backend servers ended, as one process has
-// been told of them.
+// Package blamer implements the list of suspects in one process's replica of the state. A
+// suspect is a request during which backend servers ended.
 package blamer
--- a/internal/state/blamer/list.go
+++ b/internal/state/blamer/list.go
@@ -9,22 +9,21 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Suspect is a request under which backend servers ended.
+// Suspect is a request during which backend servers ended.
 type Suspect struct {
 	Spec storer.SuspectSpec
-	// Revision is that of the last change.
+	// Revision is the revision of the suspect's last change.
 	Revision uint64
 }
 
-// List holds the suspects as they were at one revision. It is not changed once made; nil is
-// an empty one.
+// List contains the suspects at one revision. It is immutable. A nil *List is an empty list.
 type List struct {
 	suspects map[identifier.Identity]Suspect
-	// places counts the suspects by their Place.
-	places map[uint64]int
+	// placeHashes counts the suspects by their Spec.Place.
+	placeHashes map[uint64]int
 }
 
-// Suspect returns what is known of a request.
+// Suspect returns the suspect with the given identity, or false if the request is not one.
 func (l *List) Suspect(id identifier.Identity) (Suspect, bool) {
 	if l == nil {
 		return Suspect{}, false
@@ -41,10 +40,10 @@
 	return len(l.suspects)
 }
 
-// SuspectAt reports whether any suspect has the place. It is quick.
-func (l *List) SuspectAt(place uint64) bool { return l != nil && l.places[place] > 0 }
+// SuspectAt reports whether any suspect has the given place hash, in constant time.
+func (l *List) SuspectAt(placeHash uint64) bool { return l != nil && l.placeHashes[placeHash] > 0 }
 
-// EachSuspect calls f with every suspect.
+// EachSuspect calls f for every suspect.
 func (l *List) EachSuspect(f func(identifier.Identity, Suspect)) {
 	if l == nil {
 		return
@@ -54,15 +53,16 @@
 	}
 }
 
-// With returns the list after changes of suspects; others are passed over.
+// With returns the list after the given changes. Changes of other kinds of resources are
+// ignored. It returns an error if the name of a suspect is not a valid identity.
 func (l *List) With(changes ...storer.Change) (*List, error) {
-	next := &List{suspects: make(map[identifier.Identity]Suspect), places: make(map[uint64]int)}
+	next := &List{suspects: make(map[identifier.Identity]Suspect), placeHashes: make(map[uint64]int)}
 	if l != nil {
-		next.suspects, next.places = maps.Clone(l.suspects), maps.Clone(l.places)
+		next.suspects, next.placeHashes = maps.Clone(l.suspects), maps.Clone(l.placeHashes)
 	}
 	for _, c := range changes {
 		if spec, ok := c.Resource.Spec.(storer.SuspectSpec); ok {
-			if err := next.take(c, spec); err != nil {
+			if err := next.apply(c, spec); err != nil {
 				return nil, err
 			}
 		}
@@ -70,14 +70,14 @@
 	return next, nil
 }
 
-func (l *List) take(c storer.Change, spec storer.SuspectSpec) error {
+func (l *List) apply(c storer.Change, spec storer.SuspectSpec) error {
 	id, err := identifier.ParseIdentity(c.Resource.Metadata.Name)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	if old, ok := l.suspects[id]; ok {
-		if l.places[old.Spec.Place]--; l.places[old.Spec.Place] == 0 {
-			delete(l.places, old.Spec.Place)
+		if l.placeHashes[old.Spec.Place]--; l.placeHashes[old.Spec.Place] == 0 {
+			delete(l.placeHashes, old.Spec.Place)
 		}
 	}
 	if c.Deleted {
@@ -85,6 +85,6 @@
 		return nil
 	}
 	l.suspects[id] = Suspect{Spec: spec, Revision: c.Resource.Metadata.Revision}
-	l.places[spec.Place]++
+	l.placeHashes[spec.Place]++
 	return nil
 }
--- a/internal/state/blamer/list_test.go
+++ b/internal/state/blamer/list_test.go
@@ -10,9 +10,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-func change(id identifier.Identity, place uint64, deleted bool) storer.Change {
+func suspectChange(id identifier.Identity, placeHash uint64, deleted bool) storer.Change {
 	return storer.Change{Deleted: deleted, Resource: storer.Resource{
-		Kind: storer.KindSuspect, Metadata: storer.Metadata{Name: id.String(), Revision: 7}, Spec: storer.SuspectSpec{Place: place},
+		Kind: storer.KindSuspect, Metadata: storer.Metadata{Name: id.String(), Revision: 7}, Spec: storer.SuspectSpec{Place: placeHash},
 	}}
 }
 
@@ -26,19 +26,19 @@
 	g.Expect(known).To(BeFalse())
 	none.EachSuspect(func(identifier.Identity, blamer.Suspect) { t.Error("a suspect in an empty list") })
 
-	two, err := none.With(change(a, 3, false), change(b, 3, false), storer.Change{Resource: storer.Resource{Spec: storer.KeySpec{}}})
+	two, err := none.With(suspectChange(a, 3, false), suspectChange(b, 3, false), storer.Change{Resource: storer.Resource{Spec: storer.KeySpec{}}})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(two.Suspects()).To(Equal(2))
-	moved, err := two.With(change(a, 4, false))
+	moved, err := two.With(suspectChange(a, 4, false))
 	g.Expect(err).NotTo(HaveOccurred())
-	one, err := moved.With(change(b, 3, true))
+	one, err := moved.With(suspectChange(b, 3, true))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(one.SuspectAt(3)).To(BeFalse())
 	g.Expect(one.SuspectAt(4)).To(BeTrue())
 	s, known := one.Suspect(a)
 	g.Expect(known).To(BeTrue())
 	g.Expect(s.Revision).To(BeEquivalentTo(7))
-	g.Expect(two.SuspectAt(4)).To(BeFalse(), "a list that was given out stays as it was")
+	g.Expect(two.SuspectAt(4)).To(BeFalse(), "an earlier list must not change")
 	count := 0
 	one.EachSuspect(func(identifier.Identity, blamer.Suspect) { count++ })
 	g.Expect(count).To(Equal(1))
