--- a/internal/state/explainer/line.go
+++ b/internal/state/explainer/line.go
@@ -11,8 +11,8 @@
 
 // Line is one log line of a process. Fields that the line does not contain are zero.
 type Line struct {
-	// At is the time of the line: the number, in seconds, with which the platform
-	// prefixed the line, or else the seconds since 1970.
+	// At is the time of the line, in seconds: since the first line if the platform
+	// prefixed the line with this time, and since 1970 otherwise.
 	At float64 `json:"-"`
 	// Text is the JSON object of the line.
 	Text []byte `json:"-"`
