--- a/internal/coordination/suspecter/table.go
+++ b/internal/coordination/suspecter/table.go
@@ -96,7 +96,7 @@
 			continue
 		}
 		o.spec.Service, o.spec.Place, o.last = c.Service, request.Place, now
-		o.spec = o.spec.Ended(storer.SuspectLife{Life: c.Life, Progressed: request.Progressed})
+		o.spec = o.spec.Ended(storer.IncarnationEnd{Life: c.Life, Progressed: request.Progressed})
 		t.add(id, o)
 	}
 }
