--- a/internal/coordination/replicator/piecer.go
+++ b/internal/coordination/replicator/piecer.go
@@ -10,7 +10,7 @@
 func (r *replica) sendPieces(ms []Message) error {
 	for _, m := range ms {
 		p, err := r.store.ReadPiece(m.Snapshot.Index, m.Snapshot.Offset, r.settings.PieceBytes)
-		var gone snapshotter.ErrGone
+		var gone snapshotter.ErrSnapshotRemoved
 		if errors.As(err, &gone) {
 			r.core.SnapshotGone(m.To)
 			continue
--- a/internal/state/snapshotter/store_test.go
+++ b/internal/state/snapshotter/store_test.go
@@ -97,7 +97,7 @@
 		Expect(errors.As(damaged[0], &e)).To(BeTrue())
 		Expect(latest(s)).To(Equal(uint64(2)))
 		_, err := s.ReadPiece(1, 0, 10)
-		var gone snapshotter.ErrGone
+		var gone snapshotter.ErrSnapshotRemoved
 		Expect(errors.As(err, &gone)).To(BeTrue())
 	})
 
--- a/internal/state/snapshotter/transfer.go
+++ b/internal/state/snapshotter/transfer.go
@@ -25,21 +25,23 @@
 	Data []byte
 }
 
-// ErrGone reports that the snapshot asked for is no longer kept.
-type ErrGone struct {
+// ErrSnapshotRemoved reports that the snapshot asked for is no longer kept.
+type ErrSnapshotRemoved struct {
 	// Index is the index of the snapshot.
 	Index uint64
 }
 
 // Error returns a text that names the snapshot.
-func (e ErrGone) Error() string { return fmt.Sprintf("snapshot at %d is no longer kept", e.Index) }
+func (e ErrSnapshotRemoved) Error() string {
+	return fmt.Sprintf("snapshot at %d is no longer kept", e.Index)
+}
 
 // ReadPiece returns up to length bytes of the snapshot at index from offset on.
-// It returns ErrGone where the snapshot isn't kept.
+// It returns ErrSnapshotRemoved where the snapshot isn't kept.
 func (s *Store) ReadPiece(index uint64, offset int64, length int) (Piece, error) {
 	m, ok := s.find(index)
 	if !ok {
-		return Piece{}, errors.Trace(ErrGone{Index: index})
+		return Piece{}, errors.Trace(ErrSnapshotRemoved{Index: index})
 	}
 	p := Piece{Index: m.Index, Term: m.Term, Size: m.Size, Checksum: m.Checksum, Offset: offset}
 	length = int(max(0, min(int64(length), m.Size-offset)))
