--- a/internal/coordination/distributor/assembler.go
+++ b/internal/coordination/distributor/assembler.go
@@ -23,13 +23,13 @@
 // from its current state until the last page. indexer.Index implements it.
 type PagedTarget interface {
 	Target
-	Begin() *indexer.Loading
+	BeginLoad() *indexer.StateLoad
 }
 
 // Assembler applies the deltas of one subscription in order of arrival.
 type Assembler struct {
 	// loading is the reset in progress at a PagedTarget, or nil.
-	loading *indexer.Loading
+	loading *indexer.StateLoad
 	// pages collects the state of a reset for a Target that is not paged.
 	pages []storer.Resource
 	// batches is the number of deltas applied.
@@ -81,7 +81,7 @@
 	// built from them, on every node of a region at once when its control hosts
 	// recover.
 	if a.loading == nil {
-		a.loading = paged.Begin()
+		a.loading = paged.BeginLoad()
 	}
 	if err := a.loading.Add(d.Resources); err != nil {
 		return err
--- a/internal/coordination/distributor/assembler_benchmark_test.go
+++ b/internal/coordination/distributor/assembler_benchmark_test.go
@@ -24,7 +24,7 @@
 }
 
 func (w wholeTarget) Reset(rs []storer.Resource, revision uint64) error {
-	l := w.replica.Begin()
+	l := w.replica.BeginLoad()
 	if err := l.Add(rs); err != nil {
 		return err
 	}
--- a/internal/state/indexer/index_test.go
+++ b/internal/state/indexer/index_test.go
@@ -114,7 +114,7 @@
 		Expect(x.Apply([]storer.Change{{Revision: 10, Resource: current}}, 10)).To(Succeed())
 
 		Expect(x.Apply([]storer.Change{{Revision: 4, Resource: sample()[1]}}, 9)).To(Succeed())
-		Expect(x.Reset(sample(), 9)).To(MatchError(ErrOlder))
+		Expect(x.Reset(sample(), 9)).To(MatchError(ErrStaleSnapshot))
 		Expect(x.Apply([]storer.Change{{Revision: 4, Resource: sample()[1]}}, 11)).To(Succeed())
 
 		Expect(x.Resolve("savannah", "title", "")).To(HaveField("Version", "v1"))
@@ -235,7 +235,7 @@
 			for b.Loop() {
 				before := heapInUse()
 				x := NewIndex(Settings{})
-				l := x.Begin()
+				l := x.BeginLoad()
 				for page := range slices.Chunk(deployment(n, mix{versions: 2, rulesPer: 10}), 512) {
 					if err := l.Add(page); err != nil {
 						b.Fatal(err)
--- a/internal/state/indexer/loading.go
+++ b/internal/state/indexer/loading.go
@@ -13,7 +13,7 @@
 // Loading is a whole state on its way into a replica, page by page. The replica
 // goes on answering by what it holds until Finish. A node that restarts needs
 // room for its replica and one page, not for the whole state as resources.
-type Loading struct {
+type StateLoad struct {
 	target *Index
 	// fresh is what has been added.
 	fresh *Index
@@ -29,8 +29,8 @@
 }
 
 // Begin begins to replace the replica by a whole state.
-func (x *Index) Begin() *Loading {
-	l := &Loading{target: x, fresh: NewIndex(Settings{}), names: map[string]string{}}
+func (x *Index) BeginLoad() *StateLoad {
+	l := &StateLoad{target: x, fresh: NewIndex(Settings{}), names: map[string]string{}}
 	for i := range l.currents {
 		l.currents[i] = map[uint32]string{}
 	}
@@ -39,7 +39,7 @@
 
 // Add takes in a page. An adapter must come before its versions, as it does in
 // the order of storer.Store.All.
-func (l *Loading) Add(rs []storer.Resource) error {
+func (l *StateLoad) Add(rs []storer.Resource) error {
 	for i := range rs {
 		if err := l.add(rs[i]); err != nil {
 			return errors.Annotatef(err, "load %v %s/%s", rs[i].Kind, rs[i].Metadata.Workspace, rs[i].Metadata.Name)
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (l *Loading) add(r storer.Resource) error {
+func (l *StateLoad) add(r storer.Resource) error {
 	m := r.Metadata
 	switch spec := r.Spec.(type) {
 	case storer.AdapterSpec:
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (l *Loading) addAdapter(m storer.Metadata, spec storer.AdapterSpec) error {
+func (l *StateLoad) addAdapter(m storer.Metadata, spec storer.AdapterSpec) error {
 	current := spec.Current
 	spec.Current = ""
 	hash := hashOf(m.Workspace, m.Name)
@@ -94,15 +94,15 @@
 }
 
 // Finish has the replica go over to the state loaded, which is that of a
-// revision. A state older than the replica is refused with ErrOlder: a node
+// revision. A state older than the replica is refused with ErrStaleSnapshot: a node
 // that fails over to a control host which is behind must not take back what was
 // in force. With an error the replica stays as it was.
-func (l *Loading) Finish(revision uint64) error {
+func (l *StateLoad) Finish(revision uint64) error {
 	x := l.target
 	x.writing.Lock()
 	defer x.writing.Unlock()
 	if revision < x.Revision() {
-		return errors.Trace(ErrOlder)
+		return errors.Trace(ErrStaleSnapshot)
 	}
 	if err := l.settle(); err != nil {
 		return errors.Annotatef(err, "load revision %d", revision)
@@ -129,7 +129,7 @@
 
 // settle ties up what could only be known once all was there, and drops the
 // slack of growing.
-func (l *Loading) settle() error {
+func (l *StateLoad) settle() error {
 	for i := range l.fresh.adapters {
 		data := &l.fresh.adapters[i].data
 		for position, version := range l.currents[i] {
@@ -154,7 +154,7 @@
 // Reset replaces the replica by the whole state at a revision, in any order, as
 // Begin, Add and Finish do.
 func (x *Index) Reset(rs []storer.Resource, revision uint64) error {
-	l := x.Begin()
+	l := x.BeginLoad()
 	for _, first := range []bool{true, false} {
 		for i := range rs {
 			if (rs[i].Kind == storer.KindAdapter) != first {
--- a/internal/state/indexer/model_test.go
+++ b/internal/state/indexer/model_test.go
@@ -140,11 +140,11 @@
 					t.Fatal(err)
 				}
 			case 3:
-				if err := x.Reset(old, oldRevision); errors.Is(err, ErrOlder) != (oldRevision < held) {
+				if err := x.Reset(old, oldRevision); errors.Is(err, ErrStaleSnapshot) != (oldRevision < held) {
 					t.Fatalf("reset from %d to %d: %v", held, oldRevision, err)
 				}
 			case 4:
-				l := x.Begin()
+				l := x.BeginLoad()
 				rs, revision := s.All()
 				for page := range slices.Chunk(rs, 2) {
 					if err := l.Add(page); err != nil {
--- a/internal/state/indexer/target.go
+++ b/internal/state/indexer/target.go
@@ -11,8 +11,8 @@
 	// ErrNoCurrent means that the call names no version and the adapter
 	// declares none as current.
 	ErrNoCurrent = errors.ConstError("adapter without a current version")
-	// ErrOlder means that a snapshot is older than the replica.
-	ErrOlder = errors.ConstError("snapshot older than the replica")
+	// ErrStaleSnapshot means that a snapshot is older than the replica.
+	ErrStaleSnapshot = errors.ConstError("snapshot older than the replica")
 )
 
 // Target is one adapter version as a call resolves to it. Its texts are parts
