--- a/internal/state/identifier/identity.go
+++ b/internal/state/identifier/identity.go
@@ -41,7 +41,7 @@
 
 // Place returns a hash of all but the body. It is quick, and only sorts requests out that
 // can't be the same: anybody can make others with the same.
-func (r Request) Place() uint64 {
+func (r Request) PlaceHash() uint64 {
 	h := xxhash.New()
 	r.writeHead(h)
 	return h.Sum64()
--- a/internal/state/identifier/identity_test.go
+++ b/internal/state/identifier/identity_test.go
@@ -48,11 +48,11 @@
 func TestIdentifyBesideBody(t *testing.T) {
 	other := request
 	other.Target = "/a?time=2"
-	if identifier.Identify(other) != identifier.Identify(request) || other.Place() != request.Place() {
+	if identifier.Identify(other) != identifier.Identify(request) || other.PlaceHash() != request.PlaceHash() {
 		t.Error("a query beside a body made another request")
 	}
 	other.Body = []byte("other")
-	if identifier.Identify(other) == identifier.Identify(request) || other.Place() != request.Place() {
+	if identifier.Identify(other) == identifier.Identify(request) || other.PlaceHash() != request.PlaceHash() {
 		t.Error("a place tells of more or less than what comes before the body")
 	}
 }
@@ -82,6 +82,6 @@
 // BenchmarkPlace measures what each call costs while there is any suspect.
 func BenchmarkPlace(b *testing.B) {
 	for b.Loop() {
-		request.Place()
+		request.PlaceHash()
 	}
 }
