--- a/internal/state/spooler/spooler.go
+++ b/internal/state/spooler/spooler.go
@@ -13,17 +13,17 @@
 // Defaults of Settings.
 const (
 	// DefaultBytes holds about two thousand lines: some seconds of a busy entry.
-	DefaultBytes = 512 << 10
+	DefaultMaxBytes = 512 << 10
 	// DefaultInterval gathers the lines of one moment into one system call.
-	DefaultInterval = 100 * time.Millisecond
+	DefaultFlushInterval = 100 * time.Millisecond
 )
 
 // Settings are a Spooler's options. The zero value of a field means its documented
 // default.
 type Settings struct {
 	// Bytes bounds the lines that wait.
-	Bytes    int
-	Interval time.Duration
+	MaxBytes      int
+	FlushInterval time.Duration
 }
 
 // Spooler is a writer of lines. Several goroutines may use it.
@@ -42,8 +42,8 @@
 
 // NewSpooler returns a spooler that writes to out until Close.
 func NewSpooler(out io.Writer, s Settings) *Spooler {
-	s.Bytes = cmp.Or(s.Bytes, DefaultBytes)
-	s.Interval = cmp.Or(s.Interval, DefaultInterval)
+	s.MaxBytes = cmp.Or(s.MaxBytes, DefaultMaxBytes)
+	s.FlushInterval = cmp.Or(s.FlushInterval, DefaultFlushInterval)
 	w := &Spooler{settings: s, out: out, stop: make(chan struct{})}
 	w.done.Go(w.run)
 	return w
@@ -53,7 +53,7 @@
 func (s *Spooler) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waiting)+len(line) > s.settings.Bytes {
+	if len(s.waiting)+len(line) > s.settings.MaxBytes {
 		s.dropped++
 		s.total++
 		return len(line), nil
@@ -70,7 +70,7 @@
 }
 
 func (s *Spooler) run() {
-	ticker := time.NewTicker(s.settings.Interval)
+	ticker := time.NewTicker(s.settings.FlushInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/state/spooler/spooler_test.go
+++ b/internal/state/spooler/spooler_test.go
@@ -27,7 +27,7 @@
 func TestNeverHoldsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &stuck{let: make(chan struct{})}
-		s := spooler.NewSpooler(out, spooler.Settings{Bytes: 100, Interval: time.Second})
+		s := spooler.NewSpooler(out, spooler.Settings{MaxBytes: 100, FlushInterval: time.Second})
 		line := []byte(strings.Repeat("x", 9) + "\n")
 		for range 30 {
 			if n, err := s.Write(line); n != len(line) || err != nil {
@@ -52,7 +52,7 @@
 func TestGathers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out counter
-		s := spooler.NewSpooler(&out, spooler.Settings{Interval: time.Second})
+		s := spooler.NewSpooler(&out, spooler.Settings{FlushInterval: time.Second})
 		for range 5 {
 			_, _ = s.Write([]byte("line\n"))
 		}
