--- a/internal/state/configurer/peers.go
+++ b/internal/state/configurer/peers.go
@@ -18,11 +18,11 @@
 }
 
 // Given reports whether the files are named.
-func (p PeersSettings) Given() bool { return p != PeersSettings{} }
+func (p PeersSettings) IsSet() bool { return p != PeersSettings{} }
 
 // peers checks that all files are named, or none.
 func (c *checker) peers(p PeersSettings) {
-	if !p.Given() {
+	if !p.IsSet() {
 		return
 	}
 	c.path("Peers.CertificateFile", p.CertificateFile)
--- a/internal/transport/starter/peers.go
+++ b/internal/transport/starter/peers.go
@@ -15,7 +15,7 @@
 // startSealer reads the process's certificate, if the settings name one.
 func (p *Process) startSealer() error {
 	c := p.settings.Configuration
-	if !c.Peers.Given() {
+	if !c.Peers.IsSet() {
 		p.warnUnauthenticated(c.Control.Listen, configurer.RoleControl)
 		p.warnUnauthenticated(c.Companion.Listen, configurer.RoleCompanion)
 		return nil
