--- a/internal/state/journaler/errors.go
+++ b/internal/state/journaler/errors.go
@@ -2,48 +2,49 @@
 
 import "fmt"
 
-// ErrDamaged reports records which were synced and can't be read back.
+// ErrDamaged reports that synced data can't be read back.
 type ErrDamaged struct {
 	// File is the path of the damaged file.
 	File string
-	// Offset is the offset in File of the first unreadable byte range.
+	// Offset is the offset in File, in bytes, of the first unreadable range.
 	Offset int64
-	// Reason says what was found there.
+	// Reason describes the damage.
 	Reason string
 }
 
-// Error returns a text that names file and offset.
+// Error implements error.
 func (e ErrDamaged) Error() string {
 	return fmt.Sprintf("damaged file %s at offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// ErrFailed reports that a write or sync has failed. The journal stays failed:
-// what reached the medium is unknown, so its process has to stop.
+// ErrFailed reports that a file operation of the journal has failed. The error is
+// permanent: it is unknown which data reached the storage medium, so the process
+// has to stop.
 type ErrFailed struct {
-	// Operation names the file operation which failed.
+	// Operation names the failed file operation.
 	Operation string
 	// Cause is the error of that operation.
 	Cause error
 }
 
-// Error returns a text that names the operation and its cause.
+// Error implements error.
 func (e ErrFailed) Error() string {
 	return fmt.Sprintf("journal failed for good: %s: %v", e.Operation, e.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e ErrFailed) Unwrap() error { return e.Cause }
 
-// ErrFull reports that an append would pass the bound on the use of the disk.
-// Nothing was written; the journal can be used again once it is truncated.
+// ErrFull reports that an append would exceed Settings.MaximumBytes. Nothing was
+// written; appends can succeed again after a truncation.
 type ErrFull struct {
-	// Bytes is the size that the journal would have had.
+	// Bytes is the size that the journal would have had, in bytes.
 	Bytes int64
-	// Limit is the bound.
+	// Limit is the maximum size in bytes.
 	Limit int64
 }
 
-// Error returns a text that names size and bound.
+// Error implements error.
 func (e ErrFull) Error() string {
 	return fmt.Sprintf("journal full: %d bytes would pass the limit of %d", e.Bytes, e.Limit)
 }
--- a/internal/state/journaler/filesystem.go
+++ b/internal/state/journaler/filesystem.go
@@ -9,47 +9,51 @@
 	"github.com/juju/errors"
 )
 
-// File is an open file of a FileSystem. Writes go to its end.
+// File is an open file of a FileSystem. Write appends to the file.
 type File interface {
 	io.Writer
 	io.ReaderAt
 	io.Closer
-	// Size returns the present size.
+	// Size returns the current size in bytes.
 	Size() (int64, error)
-	// Truncate cuts the file to size.
+	// Truncate shortens the file to size bytes.
 	Truncate(size int64) error
-	// Sync makes the contents last. After an error what lasts is unknown.
+	// Sync makes the contents durable. After an error it is unknown which
+	// contents are durable.
 	Sync() error
 }
 
-// FileSystem is what the project's durable state needs of a file system. Names
-// are paths. A created, renamed or removed name lasts only once its folder has
-// been synced.
+// FileSystem contains the file system operations that the storage of durable state
+// needs. Names are paths. The creation, renaming or removal of a file is durable
+// only after its folder has been synced.
 type FileSystem interface {
-	// Create opens a new empty file, replacing an old one of that name.
+	// Create opens a new empty file and replaces an existing file of that name.
 	Create(name string) (File, error)
-	// Open opens an existing file; the error satisfies os.IsNotExist where
-	// there is none.
+	// Open opens an existing file. If the file does not exist, the error
+	// satisfies os.IsNotExist.
 	Open(name string) (File, error)
-	// Rename replaces the file at to by the file at from in one step.
+	// Rename atomically replaces the file at to by the file at from.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// List returns the sorted names in a folder.
+	// List returns the names in a folder, sorted.
 	List(folder string) ([]string, error)
-	// MakeFolder creates a folder with its parents, if it isn't there.
+	// MakeFolder creates a folder and its missing parents. It does nothing if the
+	// folder exists.
 	MakeFolder(folder string) error
-	// SyncFolder makes the names in a folder last.
+	// SyncFolder makes the creation, renaming and removal of files in a folder
+	// durable.
 	SyncFolder(folder string) error
-	// Lock takes an exclusive lock on a file, created if need be; it fails at
-	// once where another holder has it. Close releases it.
+	// Lock acquires an exclusive lock on a file, which it creates if missing. It
+	// fails immediately if the lock is held. Closing the result releases the lock.
 	Lock(name string) (io.Closer, error)
 }
 
 // Disk is the FileSystem of the operating system.
 type Disk struct{}
 
-// Permissions of what Disk creates: the state is the process's own.
+// Permissions of the files and folders that Disk creates. Only the user of the
+// process has access to its state.
 const (
 	fileMode   = 0o600
 	folderMode = 0o700
@@ -57,7 +61,7 @@
 
 type diskFile struct{ *os.File }
 
-// Size returns the present size.
+// Size implements File.
 func (f diskFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -90,19 +94,19 @@
 
 // List implements FileSystem.
 func (Disk) List(folder string) ([]string, error) {
-	found, err := os.ReadDir(folder)
+	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	names := make([]string, 0, len(found))
-	for _, f := range found {
+	names := make([]string, 0, len(entries))
+	for _, f := range entries {
 		names = append(names, f.Name())
 	}
 	return names, nil
 }
 
-// MakeFolder implements FileSystem. It syncs each parent in which it created a
-// folder: without this a crash could lose the whole new data folder.
+// MakeFolder implements FileSystem. It syncs each parent in which it creates a
+// folder; otherwise a crash could lose the whole new data folder.
 func (d Disk) MakeFolder(folder string) error {
 	if _, err := os.Stat(folder); err == nil {
 		return nil
@@ -121,19 +125,19 @@
 
 // SyncFolder implements FileSystem.
 func (Disk) SyncFolder(folder string) error {
-	opened, err := os.Open(folder)
+	directory, err := os.Open(folder)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if err := opened.Sync(); err != nil {
-		_ = opened.Close()
+	if err := directory.Sync(); err != nil {
+		_ = directory.Close()
 		return errors.Trace(err)
 	}
-	return errors.Trace(opened.Close())
+	return errors.Trace(directory.Close())
 }
 
-// Lock implements FileSystem by flock, which the kernel releases when the
-// process dies.
+// Lock implements FileSystem with flock. The kernel releases the lock when the
+// process exits.
 func (Disk) Lock(name string) (io.Closer, error) {
 	file, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
--- a/internal/state/journaler/frame.go
+++ b/internal/state/journaler/frame.go
@@ -6,104 +6,112 @@
 	"hash/crc32"
 )
 
-// Layout of a segment's header: magic, index of the first record, checksum.
+// Layout of a segment header: magic, index of the first record (8 bytes), CRC32C (4
+// bytes). All integers are little-endian.
 const (
-	magic           = "MGPJRN01"
-	segmentHeadSize = len(magic) + 8 + 4
+	magic             = "MGPJRN01"
+	segmentHeaderSize = len(magic) + 8 + 4
 )
 
-// Layout of a record: length of the payload, checksum of all other fields,
-// index, offset known to be synced, payload.
+// Layout of a record: length of the payload, CRC32C of all other fields, index,
+// offset up to which the segment is known to be synced, payload.
 const (
-	lengthAt       = 0
-	checksumAt     = 4
-	indexAt        = 8
-	syncedAt       = 16
-	recordHeadSize = 24
+	lengthOffset     = 0
+	checksumOffset   = 4
+	indexOffset      = 8
+	syncedOffset     = 16
+	recordHeaderSize = 24
 )
 
-// MaximumRecordBytes bounds the payload of one record, so that a damaged
-// length can't ask for more memory than a segment may hold.
+// MaximumRecordBytes is the maximum size of a record's payload. It keeps a damaged
+// length field from causing a huge allocation.
 const MaximumRecordBytes = 64 << 20
 
-// castagnoli is the polynomial of CRC32C, which processors compute in hardware.
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+// castagnoliTable is the table of CRC32C, for which processors have instructions.
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// frame is one parsed record; its payload aliases the parsed buffer.
+// frame is one record. The payload of a parsed frame aliases the parsed buffer.
 type frame struct {
-	index   uint64
-	synced  int64
-	payload []byte
+	index uint64
+	// syncedEnd is the offset up to which the segment was known to be synced when
+	// the record was written.
+	syncedEnd int64
+	payload   []byte
 }
 
-func (f frame) size() int64 { return int64(recordHeadSize + len(f.payload)) }
+func (f frame) size() int64 { return int64(recordHeaderSize + len(f.payload)) }
 
-// appendFrame appends the encoded record to b.
+// appendFrame appends the encoding of f to b.
 func appendFrame(b []byte, f frame) []byte {
 	start := len(b)
-	var head [recordHeadSize]byte
-	binary.LittleEndian.PutUint32(head[lengthAt:], uint32(len(f.payload)))
-	binary.LittleEndian.PutUint64(head[indexAt:], f.index)
-	binary.LittleEndian.PutUint64(head[syncedAt:], uint64(f.synced))
-	b = append(b, head[:]...)
+	var header [recordHeaderSize]byte
+	binary.LittleEndian.PutUint32(header[lengthOffset:], uint32(len(f.payload)))
+	binary.LittleEndian.PutUint64(header[indexOffset:], f.index)
+	binary.LittleEndian.PutUint64(header[syncedOffset:], uint64(f.syncedEnd))
+	b = append(b, header[:]...)
 	b = append(b, f.payload...)
-	binary.LittleEndian.PutUint32(b[start+checksumAt:], frameChecksum(b[start:]))
+	binary.LittleEndian.PutUint32(b[start+checksumOffset:], frameChecksum(b[start:]))
 	return b
 }
 
-// frameChecksum covers all of an encoded record but the checksum's own field.
+// frameChecksum returns the checksum of an encoded record, which covers all of it
+// except the checksum field.
 func frameChecksum(b []byte) uint32 {
-	c := crc32.Update(0, castagnoli, b[:checksumAt])
-	return crc32.Update(c, castagnoli, b[indexAt:])
+	c := crc32.Update(0, castagnoliTable, b[:checksumOffset])
+	return crc32.Update(c, castagnoliTable, b[indexOffset:])
 }
 
-// parseFrame reads the record at the start of b and reports whether it is whole.
+// parseFrame parses the record at the start of b. It reports whether the record is
+// complete and its checksum matches.
 func parseFrame(b []byte) (frame, bool) {
-	if len(b) < recordHeadSize {
+	if len(b) < recordHeaderSize {
 		return frame{}, false
 	}
-	length := binary.LittleEndian.Uint32(b[lengthAt:])
-	if length > MaximumRecordBytes || int(length) > len(b)-recordHeadSize {
+	length := binary.LittleEndian.Uint32(b[lengthOffset:])
+	if length > MaximumRecordBytes || int(length) > len(b)-recordHeaderSize {
 		return frame{}, false
 	}
-	whole := b[:recordHeadSize+int(length)]
-	if binary.LittleEndian.Uint32(b[checksumAt:]) != frameChecksum(whole) {
+	encoded := b[:recordHeaderSize+int(length)]
+	if binary.LittleEndian.Uint32(b[checksumOffset:]) != frameChecksum(encoded) {
 		return frame{}, false
 	}
 	return frame{
-		index:   binary.LittleEndian.Uint64(b[indexAt:]),
-		synced:  int64(binary.LittleEndian.Uint64(b[syncedAt:])),
-		payload: whole[recordHeadSize:],
+		index:     binary.LittleEndian.Uint64(b[indexOffset:]),
+		syncedEnd: int64(binary.LittleEndian.Uint64(b[syncedOffset:])),
+		payload:   encoded[recordHeaderSize:],
 	}, true
 }
 
-// knownSynced reports whether any whole record after offset from was written
-// when the segment was already synced beyond from. Lengths can't be trusted
-// there, so each offset is tried; the test of the index keeps checksums rare.
-func knownSynced(b []byte, from int64, index uint64) bool {
-	for at := from + 1; at+recordHeadSize <= int64(len(b)); at++ {
-		found := binary.LittleEndian.Uint64(b[at+indexAt:])
+// laterRecordProvesSync reports whether a valid record after offset from was written
+// when the segment was already synced beyond from. The record at from is unreadable,
+// so that its length can't be used to find the next one: every offset is tried. The
+// check of the record index avoids computing a checksum at most offsets.
+func laterRecordProvesSync(b []byte, from int64, index uint64) bool {
+	for at := from + 1; at+recordHeaderSize <= int64(len(b)); at++ {
+		found := binary.LittleEndian.Uint64(b[at+indexOffset:])
 		if found < index || found-index > uint64(len(b)) {
 			continue
 		}
-		if f, ok := parseFrame(b[at:]); ok && f.synced > from {
+		if f, ok := parseFrame(b[at:]); ok && f.syncedEnd > from {
 			return true
 		}
 	}
 	return false
 }
 
-// segmentHead encodes the header of a segment.
-func segmentHead(first uint64) []byte {
+// encodeSegmentHeader returns the header of a segment whose first record has the
+// index first.
+func encodeSegmentHeader(first uint64) []byte {
 	b := binary.LittleEndian.AppendUint64([]byte(magic), first)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoliTable))
 }
 
-// parseSegmentHead reads the header at the start of b.
-func parseSegmentHead(b []byte) (first uint64, ok bool) {
-	if len(b) < segmentHeadSize {
+// parseSegmentHeader parses the segment header at the start of b and returns the
+// index of the first record.
+func parseSegmentHeader(b []byte) (first uint64, ok bool) {
+	if len(b) < segmentHeaderSize {
 		return 0, false
 	}
 	first = binary.LittleEndian.Uint64(b[len(magic):])
-	return first, bytes.Equal(b[:segmentHeadSize], segmentHead(first))
+	return first, bytes.Equal(b[:segmentHeaderSize], encodeSegmentHeader(first))
 }
--- a/internal/state/journaler/journal.go
+++ b/internal/state/journaler/journal.go
@@ -17,18 +17,19 @@
 
 // Settings are the options of a journal.
 type Settings struct {
-	// Folder holds the segments and nothing else; it is created if need be.
+	// Folder contains the segments and no other files. Open creates it if it does
+	// not exist.
 	Folder string
-	// FileSystem is used for all access; nil means Disk.
+	// FileSystem is used for all file access; nil means Disk.
 	FileSystem FileSystem
-	// SegmentBytes is the size at which a new segment is begun; 0 means
-	// DefaultSegmentBytes. It is at most 2 GiB.
+	// SegmentBytes is the segment size from which on the next append starts a new
+	// segment; 0 means DefaultSegmentBytes. It is at most 2 GiB.
 	SegmentBytes int64
-	// MaximumBytes bounds the sum of all segments; 0 means
+	// MaximumBytes is the maximum total size of all segments; 0 means
 	// DefaultMaximumBytes.
 	MaximumBytes int64
-	// ObserveSync is called with the length of each sync of records, if it
-	// isn't nil.
+	// ObserveSync, if not nil, is called with the duration of each sync of
+	// records.
 	ObserveSync func(time.Duration)
 }
 
@@ -48,95 +49,96 @@
 	return s
 }
 
-// segment describes one file of the journal.
+// segment describes one segment file.
 type segment struct {
 	name string
-	// first is the index of its first record.
+	// first is the index of the first record.
 	first uint64
-	// offsets holds the start of each record, so that the record with index i
-	// begins at offsets[i-first].
+	// offsets contains the offset of each record in the file; the record with
+	// index i starts at offsets[i-first].
 	offsets []uint32
 	size    int64
 }
 
-// next returns the index that follows the segment's last record.
-func (s *segment) next() uint64 { return s.first + uint64(len(s.offsets)) }
+// nextIndex returns the index that follows the last record of the segment.
+func (s *segment) nextIndex() uint64 { return s.first + uint64(len(s.offsets)) }
 
-// Journal is an open write-ahead journal. Its methods may be called from
-// several goroutines.
+// Journal is an open write-ahead journal. Its methods are safe for concurrent use.
 type Journal struct {
 	settings Settings
 
-	// syncing is held during a sync of records, so that the appends that come
-	// meanwhile share the next one. It is taken before lock.
-	syncing sync.Mutex
+	// syncLock is held during a sync of records, so that concurrent appends share
+	// the next sync. It is acquired before lock.
+	syncLock sync.Mutex
 
 	lock sync.Mutex
-	// segments are in rising order without gaps; there is always one, and the
-	// last is the one written to. Guarded by lock.
+	// segments are in ascending order of their indices, without gaps. There is
+	// always at least one; the last is the active one, to which records are
+	// written. Guarded by lock.
 	segments []*segment
-	// active is the open file of the last segment. Guarded by lock.
+	// active is the open file of the active segment. Guarded by lock.
 	active File
-	// synced is the offset in the last segment up to which it lasts. It never
-	// passes the segment's size. Guarded by lock.
-	synced int64
-	// durable is the index of the last record that lasts. Guarded by lock.
-	durable uint64
-	// bytes is the sum of the sizes of all segments. Guarded by lock.
-	bytes int64
-	// failed is the error of the first failed operation. Once set it stays.
+	// syncedEnd is the offset up to which the active segment is durable. It never
+	// exceeds the size of the segment. Guarded by lock.
+	syncedEnd int64
+	// lastDurable is the index of the last durable record. Guarded by lock.
+	lastDurable uint64
+	// totalBytes is the total size of all segments. Guarded by lock.
+	totalBytes int64
+	// failed is the error of the first failed operation; it is never reset.
 	// Guarded by lock.
 	failed error
 }
 
-// First returns the index of the first record still held; it is Last()+1 where
-// there are none.
+// First returns the index of the first record in the journal, or Last()+1 if the
+// journal has no records.
 func (j *Journal) First() uint64 {
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	return j.segments[0].first
 }
 
-// Last returns the index of the last record, or of the last one before the
-// journal began.
+// Last returns the index of the last record. For an empty journal it is the index
+// that precedes the next record.
 func (j *Journal) Last() uint64 {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	return j.last().next() - 1
+	return j.last().nextIndex() - 1
 }
 
-// Bytes returns the size of all segments.
+// Bytes returns the total size of all segments in bytes.
 func (j *Journal) Bytes() int64 {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	return j.bytes
+	return j.totalBytes
 }
 
-// last returns the segment that is written to. It needs lock.
+// last returns the active segment. The caller holds lock.
 func (j *Journal) last() *segment { return j.segments[len(j.segments)-1] }
 
-// Append writes a record for each payload and returns the index of the first
-// one when all of them are synced. The payloads of one call stay together.
+// Append writes one record for each payload, with consecutive indices. It returns
+// the index of the first one after all of them have been synced. The errors are
+// ErrFull and ErrFailed, and one for a payload larger than MaximumRecordBytes.
 func (j *Journal) Append(payloads [][]byte) (uint64, error) {
 	j.lock.Lock()
-	first, err := j.write(payloads)
+	first, err := j.writeRecords(payloads)
 	if err != nil {
 		j.lock.Unlock()
 		return 0, err
 	}
-	end := j.last().next() - 1
+	end := j.last().nextIndex() - 1
 	j.lock.Unlock()
 	return first, j.waitSynced(end)
 }
 
-// write appends the records to the active segment without syncing them. It
-// needs lock.
-func (j *Journal) write(payloads [][]byte) (uint64, error) {
+// writeRecords appends records to the active segment without syncing them, and
+// returns the index of the first one. The caller holds lock.
+func (j *Journal) writeRecords(payloads [][]byte) (uint64, error) {
 	if j.failed != nil {
 		return 0, j.failed
 	}
 	s := j.last()
-	first := s.next()
+	first := s.nextIndex()
 	if s.size >= j.settings.SegmentBytes && len(s.offsets) > 0 {
 		if err := j.roll(); err != nil {
 			return 0, err
@@ -150,9 +152,9 @@
 			return 0, errors.Errorf("record of %d bytes is over the limit of %d", len(p), MaximumRecordBytes)
 		}
 		offsets = append(offsets, uint32(s.size+int64(len(buffer))))
-		buffer = appendFrame(buffer, frame{index: first + uint64(i), synced: j.synced, payload: p})
+		buffer = appendFrame(buffer, frame{index: first + uint64(i), syncedEnd: j.syncedEnd, payload: p})
 	}
-	if size := j.bytes + int64(len(buffer)); size > j.settings.MaximumBytes {
+	if size := j.totalBytes + int64(len(buffer)); size > j.settings.MaximumBytes {
 		return 0, errors.Trace(ErrFull{Bytes: size, Limit: j.settings.MaximumBytes})
 	}
 	if _, err := j.active.Write(buffer); err != nil {
@@ -160,21 +162,22 @@
 	}
 	s.offsets = offsets
 	s.size += int64(len(buffer))
-	j.bytes += int64(len(buffer))
+	j.totalBytes += int64(len(buffer))
 	return first, nil
 }
 
-// waitSynced returns once the record with index end lasts. Whoever gets
-// syncing first syncs for all that wrote before it.
+// waitSynced returns once the record with index end is durable. The goroutine that
+// acquires syncLock first syncs all records written so far, also those of the other
+// waiting goroutines.
 func (j *Journal) waitSynced(end uint64) error {
-	j.syncing.Lock()
-	defer j.syncing.Unlock()
+	j.syncLock.Lock()
+	defer j.syncLock.Unlock()
 	j.lock.Lock()
-	if j.failed != nil || j.durable >= end {
+	if j.failed != nil || j.lastDurable >= end {
 		defer j.lock.Unlock()
 		return j.failed
 	}
-	s, file, size, last := j.last(), j.active, j.last().size, j.last().next()-1
+	s, file, size, last := j.last(), j.active, j.last().size, j.last().nextIndex()-1
 	j.lock.Unlock()
 
 	start := time.Now()
@@ -183,25 +186,25 @@
 
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	// A segment that was rolled before this sync began was synced by roll. Any
-	// other error counts, even if roll saw none: the system reports a failed
-	// write-back only once.
+	// If the segment was rolled before this sync started, roll has synced and
+	// closed it. Any other error fails the journal, even if roll's sync succeeded:
+	// the operating system reports a failed write-back only once.
 	rolled := s != j.last() && errors.Is(err, os.ErrClosed)
 	if err != nil && !rolled {
 		return j.fail("sync "+s.name, err)
 	}
-	if s == j.last() && size > j.synced {
-		j.synced = size
+	if s == j.last() && size > j.syncedEnd {
+		j.syncedEnd = size
 	}
-	if last > j.durable {
-		j.durable = last
+	if last > j.lastDurable {
+		j.lastDurable = last
 	}
 	return j.failed
 }
 
-// roll syncs the active segment and begins the next one. All segments but the
-// last are therefore whole, and a bad record in one of them is damage. It
-// needs lock.
+// roll syncs the active segment and starts a new one. All segments except the last
+// are therefore completely synced, and an invalid record in one of them is damage.
+// The caller holds lock.
 func (j *Journal) roll() error {
 	s := j.last()
 	if err := j.active.Sync(); err != nil {
@@ -210,19 +213,19 @@
 	if err := j.active.Close(); err != nil {
 		return j.fail("close "+s.name, err)
 	}
-	j.durable = s.next() - 1
-	return j.begin(s.next())
+	j.lastDurable = s.nextIndex() - 1
+	return j.createSegment(s.nextIndex())
 }
 
-// begin creates a segment for the records from first on, and makes it last
-// before any record is written to it. It needs lock.
-func (j *Journal) begin(first uint64) error {
-	s := &segment{name: segmentName(first), first: first, size: int64(segmentHeadSize)}
+// createSegment creates the active segment for the records from index first on, and
+// makes it durable before any record is written to it. The caller holds lock.
+func (j *Journal) createSegment(first uint64) error {
+	s := &segment{name: segmentName(first), first: first, size: int64(segmentHeaderSize)}
 	file, err := j.settings.FileSystem.Create(filepath.Join(j.settings.Folder, s.name))
 	if err != nil {
 		return j.fail("create "+s.name, err)
 	}
-	if _, err := file.Write(segmentHead(first)); err != nil {
+	if _, err := file.Write(encodeSegmentHeader(first)); err != nil {
 		return j.fail("write "+s.name, err)
 	}
 	if err := file.Sync(); err != nil {
@@ -233,12 +236,13 @@
 	}
 	j.segments = append(j.segments, s)
 	j.active = file
-	j.synced = s.size
-	j.bytes += s.size
+	j.syncedEnd = s.size
+	j.totalBytes += s.size
 	return nil
 }
 
-// fail records the first failure and returns it. It needs lock.
+// fail marks the journal as failed, unless it already is, and returns the first
+// failure. The caller holds lock.
 func (j *Journal) fail(operation string, cause error) error {
 	if j.failed == nil {
 		j.failed = ErrFailed{Operation: operation, Cause: cause}
@@ -246,11 +250,11 @@
 	return j.failed
 }
 
-// Close closes the journal without a further sync: all that Append has
-// returned for lasts already. It waits for a sync in progress.
+// Close closes the journal. It waits for a sync in progress, but needs no further
+// one, since all records for which Append has returned are durable.
 func (j *Journal) Close() error {
-	j.syncing.Lock()
-	defer j.syncing.Unlock()
+	j.syncLock.Lock()
+	defer j.syncLock.Unlock()
 	j.lock.Lock()
 	defer j.lock.Unlock()
 	if j.failed == nil {
--- a/internal/state/journaler/journal_test.go
+++ b/internal/state/journaler/journal_test.go
@@ -31,10 +31,10 @@
 }
 
 var _ = Describe("Journal", func() {
-	// Symptom: a host refuses to start after a power cut. Events: a crash in
-	// the middle of a write. Cause: the half-written record at the end is taken
-	// for damage, although nobody was told that it lasts.
-	It("cuts a torn tail", func() {
+	// Guards against a host that refuses to start after a power failure in the
+	// middle of a write: the incomplete record at the end must not count as damage,
+	// since it was never acknowledged.
+	It("removes a torn tail", func() {
 		d := newDisk()
 		j, _, err := open(d)
 		Expect(err).NotTo(HaveOccurred())
@@ -50,10 +50,10 @@
 		Expect(j.Append([][]byte{[]byte("three")})).To(Equal(uint64(3)))
 	})
 
-	// Symptom: changes in the middle of the log vanish without a word. Events:
-	// the medium loses a synced record, and the host restarts. Cause: all that
-	// follows an unreadable record is taken for a torn tail.
-	It("refuses damage to synced records, naming file and offset", func() {
+	// Guards against a silent loss of records in the middle of the log. The storage
+	// medium loses a synced record before the host restarts, and everything from
+	// there on is mistaken for a torn tail.
+	It("refuses damage to synced records and names the file and offset", func() {
 		d := newDisk()
 		j, _, err := open(d)
 		Expect(err).NotTo(HaveOccurred())
@@ -71,9 +71,9 @@
 		Expect(damaged.Offset).To(Equal(int64(second)))
 	})
 
-	// Symptom: an acknowledged record is missing after a crash. Events: a sync
-	// fails, and the next one succeeds. Cause: pages whose write-back failed
-	// are dropped, and the later success says nothing about them.
+	// Guards against the loss of an acknowledged record in a crash. A sync fails and
+	// the next one succeeds, but the operating system has dropped the pages whose
+	// write-back failed.
 	It("stays failed after a failed sync", func() {
 		d := newDisk()
 		j, _, err := open(d)
@@ -87,7 +87,7 @@
 		Expect(errors.Is(err, disker.ErrSync)).To(BeTrue())
 	})
 
-	It("bounds its size, and goes on once it is truncated", func() {
+	It("limits its size and accepts appends again after a truncation", func() {
 		d := newDisk()
 		j, _, err := open(d)
 		Expect(err).NotTo(HaveOccurred())
@@ -123,29 +123,29 @@
 	})
 })
 
-// TestPropertyCrashesLoseNothingSynced compares a journal, on a disk which
-// crashes between any two durable steps, with a slice: after a crash it holds
-// all records that Append returned for, and nothing but what was appended.
+// TestPropertyCrashesLoseNothingSynced compares a journal with a slice, on a disk that
+// crashes between any two durable operations. After a crash the journal contains all
+// records for which Append has returned, and only records that were appended.
 func TestPropertyCrashesLoseNothingSynced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := disker.NewDisk(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "Seed"), 0)))
 		m := &model{t: t, disk: d, first: 1}
-		m.reopen()
+		m.reopenAndCheck()
 		for range rapid.IntRange(1, 60).Draw(t, "Steps") {
 			m.step(rapid.IntRange(0, 9).Draw(t, "Action"))
 		}
 	})
 }
 
-// model is what a journal must hold: records[i] has index first+i.
+// model contains the expected records of a journal; records[i] has the index first+i.
 type model struct {
 	t       *rapid.T
 	disk    *disker.Disk
 	journal *journaler.Journal
 	first   uint64
 	records [][]byte
-	// sure counts the records that must survive; the others may.
-	sure int
+	// synced is the number of records that must survive a crash. Later ones may.
+	synced int
 }
 
 func (m *model) step(action int) {
@@ -156,32 +156,33 @@
 		payload := fmt.Appendf(nil, "%d-%d", last+1, rapid.IntRange(0, 1000).Draw(m.t, "Payload"))
 		m.records = append(m.records, payload)
 		if _, err = m.journal.Append([][]byte{payload}); err == nil {
-			m.sure = len(m.records)
+			m.synced = len(m.records)
 		}
-	case action == 5 && m.sure > 0:
-		keep := rapid.IntRange(0, m.sure-1).Draw(m.t, "Keep")
+	case action == 5 && m.synced > 0:
+		keep := rapid.IntRange(0, m.synced-1).Draw(m.t, "Keep")
 		if m.first+uint64(keep) < m.journal.First() {
 			return
 		}
-		m.sure = keep
+		m.synced = keep
 		if err = m.journal.TruncateSuffix(m.first + uint64(keep)); err == nil {
 			m.records = m.records[:keep]
 		}
-	case action == 6 && m.sure > 0:
-		err = m.journal.TruncatePrefix(m.first + uint64(rapid.IntRange(0, m.sure-1).Draw(m.t, "UpTo")))
+	case action == 6 && m.synced > 0:
+		err = m.journal.TruncatePrefix(m.first + uint64(rapid.IntRange(0, m.synced-1).Draw(m.t, "UpTo")))
 	case action == 7:
 		m.disk.CrashIn(rapid.IntRange(1, 10).Draw(m.t, "CrashIn"))
 	case action == 8:
 		m.disk.Crash()
-		m.reopen()
+		m.reopenAndCheck()
 	}
 	if err != nil {
-		m.reopen()
+		m.reopenAndCheck()
 	}
 }
 
-// reopen restarts after a crash and checks what is there.
-func (m *model) reopen() {
+// reopenAndCheck crashes and restarts the disk, and checks the records that the journal
+// then contains.
+func (m *model) reopenAndCheck() {
 	m.disk.Crash()
 	m.disk.Restart()
 	var found [][]byte
@@ -190,8 +191,8 @@
 		m.t.Fatalf("open: %v", err)
 	}
 	skip := int(m.journal.First() - m.first)
-	if skip+len(found) < m.sure || skip+len(found) > len(m.records) {
-		m.t.Fatalf("%d records from %d on, of %d of which %d last", len(found), m.journal.First(), len(m.records), m.sure)
+	if skip+len(found) < m.synced || skip+len(found) > len(m.records) {
+		m.t.Fatalf("got %d records from index %d on; %d were appended, of which %d are durable", len(found), m.journal.First(), len(m.records), m.synced)
 	}
 	for i, r := range found {
 		if !bytes.Equal(r, m.records[skip+i]) {
@@ -199,14 +200,14 @@
 		}
 	}
 	m.records = m.records[:skip+len(found)]
-	m.sure = len(m.records)
+	m.synced = len(m.records)
 }
 
 func BenchmarkAppendByOneWriter100Bytes(b *testing.B) { benchmarkAppend(b, 1) }
 
 func BenchmarkAppendBy64Writers100Bytes(b *testing.B) { benchmarkAppend(b, 64) }
 
-// benchmarkAppend appends to a real disk with real syncs.
+// benchmarkAppend measures concurrent appends to a disk, including the syncs.
 func benchmarkAppend(b *testing.B, writers int) {
 	b.Helper()
 	j, err := journaler.Open(journaler.Settings{Folder: b.TempDir()}, func(uint64, []byte) error { return nil })
--- a/internal/state/journaler/opener.go
+++ b/internal/state/journaler/opener.go
@@ -10,16 +10,17 @@
 	"github.com/juju/errors"
 )
 
-// segmentSuffix ends the names of all segments.
+// segmentSuffix is the file name suffix of all segments.
 const segmentSuffix = ".journal"
 
-// segmentName returns the name of the segment that begins with index first;
-// names sort like indices.
+// segmentName returns the file name of the segment whose first record has the index
+// first. Names sort in the order of the indices.
 func segmentName(first uint64) string { return fmt.Sprintf("%016x%s", first, segmentSuffix) }
 
-// Open opens the journal in a folder, or begins one at index 1, and calls
-// replay for each record in order. A payload aliases memory which replay may
-// keep. A torn tail is cut; damage returns ErrDamaged and changes nothing.
+// Open opens the journal in a folder, or creates one that starts at index 1, and
+// calls replay for each record in order. replay may retain the payload. Open
+// removes a torn tail. If records are damaged, it returns ErrDamaged and changes no
+// file.
 func Open(s Settings, replay func(index uint64, payload []byte) error) (*Journal, error) {
 	j := &Journal{settings: s.withDefaults()}
 	files := j.settings.FileSystem
@@ -32,24 +33,24 @@
 	}
 	names = slices.DeleteFunc(names, func(n string) bool { return !strings.HasSuffix(n, segmentSuffix) })
 	for i, n := range names {
-		if err := j.load(n, i == len(names)-1, replay); err != nil {
+		if err := j.loadSegment(n, i == len(names)-1, replay); err != nil {
 			return nil, errors.Annotatef(err, "open journal %s", j.settings.Folder)
 		}
 	}
 	if len(j.segments) == 0 {
-		if err := j.begin(1); err != nil {
+		if err := j.createSegment(1); err != nil {
 			return nil, err
 		}
 		return j, nil
 	}
-	j.durable = j.last().next() - 1
-	j.synced = j.last().size
+	j.lastDurable = j.last().nextIndex() - 1
+	j.syncedEnd = j.last().size
 	return j, nil
 }
 
-// load reads one segment, and keeps it open where it is the last.
-// Nobody else has it yet: it is not shared.
-func (j *Journal) load(name string, last bool, replay func(uint64, []byte) error) error {
+// loadSegment reads one segment. If it is the last one, its file stays open as the
+// active file. Only Open calls it, before the journal is shared, without lock.
+func (j *Journal) loadSegment(name string, last bool, replay func(uint64, []byte) error) error {
 	path := filepath.Join(j.settings.Folder, name)
 	file, err := j.settings.FileSystem.Open(path)
 	if err != nil {
@@ -61,39 +62,39 @@
 	}
 	s := &segment{name: name}
 	var ok bool
-	if s.first, ok = parseSegmentHead(b); !ok {
-		return j.dropUnborn(path, file, b, last)
+	if s.first, ok = parseSegmentHeader(b); !ok {
+		return j.removeUnfinishedSegment(path, file, b, last)
 	}
-	if name != segmentName(s.first) || (len(j.segments) > 0 && s.first != j.last().next()) {
+	if name != segmentName(s.first) || (len(j.segments) > 0 && s.first != j.last().nextIndex()) {
 		return ErrDamaged{File: path, Reason: fmt.Sprintf("segment of record %d does not follow the one before it", s.first)}
 	}
 	if err := s.scan(path, b, last, replay); err != nil {
 		return err
 	}
 	if int64(len(b)) > s.size {
-		if err := cut(file, s.size); err != nil {
+		if err := truncateAndSync(file, s.size); err != nil {
 			return err
 		}
 	}
 	j.segments = append(j.segments, s)
-	j.bytes += s.size
+	j.totalBytes += s.size
 	if !last {
 		return errors.Trace(file.Close())
 	}
 	j.active = file
-	// What was read may have been in the page cache only: a crash of the
-	// process before its sync. It must last before it is acted upon.
+	// If the process crashed before its sync, the contents may be in the page cache
+	// only. They must be durable before the caller acts on them.
 	return errors.Trace(file.Sync())
 }
 
-// dropUnborn removes a last segment whose creation was cut off by a crash: it
-// never held a record. Any other segment without a header is damage.
-// Nobody else has it yet: it is not shared.
-func (j *Journal) dropUnborn(path string, file File, b []byte, last bool) error {
+// removeUnfinishedSegment removes a last segment whose creation was interrupted by a
+// crash, so that it never contained a record. Any other segment without a valid
+// header is damaged. Only Open calls it, before the journal is shared, without lock.
+func (j *Journal) removeUnfinishedSegment(path string, file File, b []byte, last bool) error {
 	if err := file.Close(); err != nil {
 		return errors.Trace(err)
 	}
-	if !last || len(b) > segmentHeadSize {
+	if !last || len(b) > segmentHeaderSize {
 		return ErrDamaged{File: path, Reason: "no segment header"}
 	}
 	if err := j.settings.FileSystem.Remove(path); err != nil {
@@ -105,30 +106,31 @@
 	if len(j.segments) == 0 {
 		return nil
 	}
-	return errors.Trace(j.reopen())
+	return errors.Trace(j.openLastSegment())
 }
 
-// reopen makes the last known segment the active one.
-// It needs lock, once the journal is shared.
-func (j *Journal) reopen() error {
+// openLastSegment opens the last of j.segments as the active one. The caller holds
+// lock once the journal is shared.
+func (j *Journal) openLastSegment() error {
 	file, err := j.settings.FileSystem.Open(filepath.Join(j.settings.Folder, j.last().name))
 	if err != nil {
 		return errors.Trace(err)
 	}
 	j.active = file
-	j.synced = j.last().size
+	j.syncedEnd = j.last().size
 	return nil
 }
 
-// scan parses the records in b. It leaves size at the end of the last good
-// record.
+// scan parses the records in b, the contents of the file at path, and calls replay
+// for each. It sets s.size to the end of the last valid record. A torn tail of the
+// last segment is not an error.
 func (s *segment) scan(path string, b []byte, last bool, replay func(uint64, []byte) error) error {
-	s.size = int64(segmentHeadSize)
+	s.size = int64(segmentHeaderSize)
 	for s.size < int64(len(b)) {
 		f, ok := parseFrame(b[s.size:])
-		if !ok || f.index != s.next() {
-			if !last || knownSynced(b, s.size, s.next()) {
-				return ErrDamaged{File: path, Offset: s.size, Reason: fmt.Sprintf("record %d is not readable", s.next())}
+		if !ok || f.index != s.nextIndex() {
+			if !last || laterRecordProvesSync(b, s.size, s.nextIndex()) {
+				return ErrDamaged{File: path, Offset: s.size, Reason: fmt.Sprintf("record %d is not readable", s.nextIndex())}
 			}
 			return nil
 		}
@@ -141,16 +143,16 @@
 	return nil
 }
 
-// cut shortens a file and makes that last: records written over a tail that
-// could come back after a crash would mix with it.
-func cut(file File, size int64) error {
+// truncateAndSync shortens a file to size bytes and syncs it. Without the sync the
+// removed tail could reappear after a crash and mix with records written since.
+func truncateAndSync(file File, size int64) error {
 	if err := file.Truncate(size); err != nil {
 		return errors.Trace(err)
 	}
 	return errors.Trace(file.Sync())
 }
 
-// ReadAll reads a whole file.
+// ReadAll returns the contents of a file.
 func ReadAll(file File) ([]byte, error) {
 	size, err := file.Size()
 	if err != nil {
