--- a/internal/state/snapshotter/atomic.go
+++ b/internal/state/snapshotter/atomic.go
@@ -10,31 +10,33 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/journaler"
 )
 
-// temporarySuffix ends the names of files that are not complete.
+// temporarySuffix is the suffix of the names of incomplete files.
 const temporarySuffix = ".temporary"
 
-// checksumSize is the size of the CRC32C that ends each file.
+// checksumSize is the size in bytes of the CRC32C at the end of each file.
 const checksumSize = 4
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// replaceFile puts data with its checksum at name, lasting and in one step.
+// replaceFile atomically replaces the file at name by data and its checksum, and
+// returns once the change is durable.
 func replaceFile(files journaler.FileSystem, name string, data []byte) error {
 	temporary := name + temporarySuffix
 	file, err := files.Create(temporary)
 	if err != nil {
 		return errors.Annotatef(err, "create %s", temporary)
 	}
-	sealed := binary.LittleEndian.AppendUint32(data, crc32.Checksum(data, castagnoli))
-	if _, err := file.Write(sealed); err != nil {
+	contents := binary.LittleEndian.AppendUint32(data, crc32.Checksum(data, castagnoliTable))
+	if _, err := file.Write(contents); err != nil {
 		_ = file.Close()
 		return errors.Annotatef(err, "write %s", temporary)
 	}
-	return errors.Trace(finish(files, file, temporary, name))
+	return errors.Trace(syncAndRename(files, file, temporary, name))
 }
 
-// finish syncs and closes a temporary file and gives it its name.
-func finish(files journaler.FileSystem, file journaler.File, temporary, name string) error {
+// syncAndRename syncs and closes a temporary file, renames it to name, and syncs the
+// folder.
+func syncAndRename(files journaler.FileSystem, file journaler.File, temporary, name string) error {
 	if err := file.Sync(); err != nil {
 		_ = file.Close()
 		return errors.Annotatef(err, "sync %s", temporary)
@@ -48,8 +50,9 @@
 	return errors.Annotate(files.SyncFolder(filepath.Dir(name)), "sync folder")
 }
 
-// readFile returns the data that replaceFile put at name; where there is no
-// such file the error satisfies os.IsNotExist after errors.Cause.
+// readFile returns the data that replaceFile wrote to name. If there is no such file,
+// the cause of the error satisfies os.IsNotExist. It returns journaler.ErrDamaged if
+// the checksum does not match.
 func readFile(files journaler.FileSystem, name string) ([]byte, error) {
 	file, err := files.Open(name)
 	if err != nil {
@@ -64,7 +67,7 @@
 		return nil, errors.Trace(err)
 	}
 	body := len(b) - checksumSize
-	if body < 0 || crc32.Checksum(b[:body], castagnoli) != binary.LittleEndian.Uint32(b[body:]) {
+	if body < 0 || crc32.Checksum(b[:body], castagnoliTable) != binary.LittleEndian.Uint32(b[body:]) {
 		return nil, errors.Trace(journaler.ErrDamaged{File: name, Reason: "checksum of the file does not match"})
 	}
 	return b[:body], nil
--- a/internal/state/snapshotter/identity.go
+++ b/internal/state/snapshotter/identity.go
@@ -7,64 +7,64 @@
 	"github.com/juju/errors"
 )
 
-// Names of the small files.
+// Names of the files for the identity and the hard state.
 const (
 	identityName  = "identity"
 	hardStateName = "hardstate"
 )
 
-// Identity says which member of which group a data folder belongs to. A host
-// whose folder holds none is new: it must never act under an identity that it
-// had before its disk was lost, for it no longer knows what it voted for and
-// what it acknowledged.
+// Identity identifies the group and the member to which a data folder belongs. A host
+// whose folder contains no identity is new. After the loss of its disk a host must not
+// act under its previous identity, since it no longer knows its votes and
+// acknowledgements.
 type Identity struct {
-	// Group is the group's name from the settings.
+	// Group is the name of the group from the settings.
 	Group string
-	// Formation is the number drawn when the group was formed, 0 while the
-	// host belongs to none. Once set it never changes.
+	// Formation is the random number drawn when the group was formed, or 0 while
+	// the host belongs to no group. Once set it never changes.
 	Formation uint64
 	// Host is the number of the host from the settings.
 	Host uint64
-	// Incarnation is the number drawn when the identity was written. It is
-	// never 0; another disk under the same Host has another one.
+	// Incarnation is the random number drawn when the identity was written. It is
+	// never 0, and differs between two disks of the same Host.
 	Incarnation uint64
 }
 
-// HardState is what a replica must have on its disk before it answers a vote or
-// an append.
+// HardState is the consensus state that must be durable before a replica answers a
+// vote request or an append request.
 type HardState struct {
-	// Term is the latest term seen. It never falls.
+	// Term is the latest term seen. It never decreases.
 	Term uint64
-	// Vote is the host voted for in Term, 0 for none. It changes within a term
-	// only from 0.
+	// Vote is the host voted for in Term, or 0 for none. Within a term it changes
+	// only from 0 to a host.
 	Vote uint64
 }
 
-// Identity returns the identity in the folder and whether there is one.
+// Identity returns the stored identity and whether there is one.
 func (s *Store) Identity() (Identity, bool, error) {
 	var id Identity
-	found, err := s.load(identityName, &id)
+	found, err := s.loadJSON(identityName, &id)
 	return id, found, errors.Annotate(err, "read identity")
 }
 
-// SaveIdentity makes the identity last.
+// SaveIdentity stores the identity and returns once it is durable.
 func (s *Store) SaveIdentity(id Identity) error {
-	return errors.Annotate(s.save(identityName, id), "write identity")
+	return errors.Annotate(s.saveJSON(identityName, id), "write identity")
 }
 
-// HardState returns the hard state in the folder, or its zero value.
+// HardState returns the stored hard state, or the zero value if there is none.
 func (s *Store) HardState() (HardState, error) {
 	var h HardState
-	_, err := s.load(hardStateName, &h)
+	_, err := s.loadJSON(hardStateName, &h)
 	return h, errors.Annotate(err, "read hard state")
 }
 
-// SaveHardState makes the hard state last.
+// SaveHardState stores the hard state and returns once it is durable.
 func (s *Store) SaveHardState(h HardState) error {
-	return errors.Annotate(s.save(hardStateName, h), "write hard state")
+	return errors.Annotate(s.saveJSON(hardStateName, h), "write hard state")
 }
 
-func (s *Store) load(name string, into any) (bool, error) {
+func (s *Store) loadJSON(name string, into any) (bool, error) {
 	b, err := readFile(s.settings.FileSystem, s.path(name))
 	if os.IsNotExist(errors.Cause(err)) {
 		return false, nil
@@ -78,7 +78,7 @@
 	return true, nil
 }
 
-func (s *Store) save(name string, value any) error {
+func (s *Store) saveJSON(name string, value any) error {
 	b, err := json.Marshal(value)
 	if err != nil {
 		return errors.Trace(err)
--- a/internal/state/snapshotter/store.go
+++ b/internal/state/snapshotter/store.go
@@ -16,15 +16,15 @@
 const (
 	snapshotPrefix  = "snapshot-"
 	receivingPrefix = "receiving-"
-	// kept is the number of snapshots which stay.
-	kept = 2
+	// retainedSnapshots is the number of snapshots that are not removed.
+	retainedSnapshots = 2
 )
 
 // Settings are the options of a store.
 type Settings struct {
-	// Folder holds the files; it is created if need be.
+	// Folder contains the files. OpenStore creates it if it does not exist.
 	Folder string
-	// FileSystem is used for all access; nil means journaler.Disk.
+	// FileSystem is used for all file access; nil means journaler.Disk.
 	FileSystem journaler.FileSystem
 }
 
@@ -34,30 +34,30 @@
 	Index uint64
 	// Term is the term of that entry.
 	Term uint64
-	// Extra is kept for the caller: the membership as of Index.
+	// Extra is opaque data of the caller: the membership as of Index.
 	Extra []byte
-	// Size is the size of the whole file. It is set by the store.
+	// Size is the size of the whole file in bytes. It is set by the store.
 	Size int64 `json:"-"`
-	// Checksum is the CRC32C that ends the file. It is set by the store.
+	// Checksum is the CRC32C at the end of the file. It is set by the store.
 	Checksum uint32 `json:"-"`
 }
 
-// Store gives access to the files of one folder. Its methods may be called from
-// several goroutines.
+// Store gives access to the files of one folder. Its methods are safe for concurrent
+// use.
 type Store struct {
 	settings Settings
 
 	lock sync.Mutex
-	// snapshots are the complete snapshots, oldest first, at most kept of
-	// them. Guarded by lock.
+	// snapshots are the complete snapshots, oldest first, at most
+	// retainedSnapshots of them. Guarded by lock.
 	snapshots []Metadata
-	// receiving is the transfer in progress, nil for none. Guarded by lock.
-	receiving *transfer
+	// receiving is the transfer in progress, or nil. Guarded by lock.
+	receiving *incomingTransfer
 }
 
-// OpenStore opens the folder. Temporary files of a crash are removed; a
-// snapshot that can't be read back is renamed aside and reported in damaged,
-// so that the caller can go on from the one before it or refuse.
+// OpenStore opens the store in a folder. It removes temporary files left by a crash.
+// A snapshot that can't be read back is renamed with damagedSuffix and reported in
+// damaged, so that the caller can either continue with its predecessor or fail.
 func OpenStore(settings Settings) (s *Store, damaged []error, err error) {
 	s = &Store{settings: settings}
 	if s.settings.FileSystem == nil {
@@ -78,42 +78,43 @@
 				return nil, nil, errors.Trace(err)
 			}
 		case strings.HasPrefix(n, snapshotPrefix) && !strings.HasSuffix(n, damagedSuffix):
-			bad, err := s.adopt(n)
+			damage, err := s.loadSnapshot(n)
 			if err != nil {
 				return nil, nil, errors.Trace(err)
 			}
-			if bad != nil {
-				damaged = append(damaged, bad)
+			if damage != nil {
+				damaged = append(damaged, damage)
 			}
 		}
 	}
-	slices.SortFunc(s.snapshots, byIndex)
+	slices.SortFunc(s.snapshots, compareIndex)
 	return s, damaged, nil
 }
 
-// damagedSuffix ends the names of snapshots that were put aside.
+// damagedSuffix is the suffix of the names of damaged snapshots, which are ignored.
 const damagedSuffix = ".damaged"
 
-// adopt checks one snapshot file and takes it in or puts it aside.
-// Nobody else has it yet: it is not shared.
-func (s *Store) adopt(name string) (damaged, err error) {
-	m, bad := s.verify(s.path(name))
-	if bad == nil {
+// loadSnapshot verifies one snapshot file. It adds a valid one to s.snapshots, and
+// renames a damaged one and returns its error as damaged. Only OpenStore calls it,
+// before the store is shared, without lock.
+func (s *Store) loadSnapshot(name string) (damaged, err error) {
+	m, invalid := s.readMetadata(s.path(name))
+	if invalid == nil {
 		s.snapshots = append(s.snapshots, m)
 		return nil, nil
 	}
 	var d journaler.ErrDamaged
-	if !errors.As(bad, &d) {
-		return nil, bad
+	if !errors.As(invalid, &d) {
+		return nil, invalid
 	}
 	if err := s.settings.FileSystem.Rename(s.path(name), s.path(name+damagedSuffix)); err != nil {
 		return nil, errors.Trace(err)
 	}
-	return bad, errors.Trace(s.settings.FileSystem.SyncFolder(s.settings.Folder))
+	return invalid, errors.Trace(s.settings.FileSystem.SyncFolder(s.settings.Folder))
 }
 
-// verify reads a whole snapshot file and checks it.
-func (s *Store) verify(path string) (Metadata, error) {
+// readMetadata reads a whole snapshot file, checks it, and returns its metadata.
+func (s *Store) readMetadata(path string) (Metadata, error) {
 	r, err := openReader(s.settings.FileSystem, path)
 	if err != nil {
 		return Metadata{}, err
@@ -131,8 +132,8 @@
 	return s.snapshots[len(s.snapshots)-1], true
 }
 
-// Oldest returns the oldest snapshot still kept and whether there is one. The
-// journal must reach back to it.
+// Oldest returns the oldest retained snapshot and whether there is one. The journal
+// must contain all records since then.
 func (s *Store) Oldest() (Metadata, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -142,8 +143,8 @@
 	return s.snapshots[0], true
 }
 
-// OpenLatest opens the newest snapshot for reading; its checksum has been
-// checked. It returns nil where there is none.
+// OpenLatest verifies the newest snapshot and opens it for reading. It returns nil if
+// there is none. The caller closes the Reader.
 func (s *Store) OpenLatest() (*Reader, error) {
 	m, ok := s.Latest()
 	if !ok {
@@ -152,15 +153,15 @@
 	return openReader(s.settings.FileSystem, s.path(snapshotName(m)))
 }
 
-// publish takes in a complete snapshot whose file has its name, and removes
-// those that are no longer kept.
+// publish adds a complete snapshot, whose file already has its final name, and removes
+// the oldest ones beyond retainedSnapshots.
 func (s *Store) publish(m Metadata) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.snapshots = append(s.snapshots, m)
-	// A snapshot received meanwhile may be newer than one just written.
-	slices.SortFunc(s.snapshots, byIndex)
-	for len(s.snapshots) > kept {
+	// A snapshot received in the meantime may be newer than m.
+	slices.SortFunc(s.snapshots, compareIndex)
+	for len(s.snapshots) > retainedSnapshots {
 		if err := s.settings.FileSystem.Remove(s.path(snapshotName(s.snapshots[0]))); err != nil {
 			return errors.Annotate(err, "remove old snapshot")
 		}
@@ -171,9 +172,9 @@
 
 func (s *Store) path(name string) string { return filepath.Join(s.settings.Folder, name) }
 
-// snapshotName returns the name of the file of a snapshot.
+// snapshotName returns the file name of a snapshot.
 func snapshotName(m Metadata) string {
 	return fmt.Sprintf("%s%016x-%016x", snapshotPrefix, m.Index, m.Term)
 }
 
-func byIndex(a, b Metadata) int { return cmp.Compare(a.Index, b.Index) }
+func compareIndex(a, b Metadata) int { return cmp.Compare(a.Index, b.Index) }
--- a/internal/state/snapshotter/store_test.go
+++ b/internal/state/snapshotter/store_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "snapshotter")
 }
 
-// body returns the body of the snapshot at an index.
+// body returns the body of the snapshot with the index.
 func body(index uint64) []byte { return bytes.Repeat([]byte{byte(index)}, 1000) }
 
 func create(s *snapshotter.Store, index uint64) error {
@@ -37,7 +37,8 @@
 	return s, damaged
 }
 
-// latest returns the latest snapshot's index after checking its body.
+// latest checks the body of the latest snapshot and returns its index, or 0 if there is
+// no snapshot.
 func latest(s *snapshotter.Store) uint64 {
 	r, err := s.OpenLatest()
 	Expect(err).NotTo(HaveOccurred())
@@ -52,10 +53,10 @@
 }
 
 var _ = Describe("Store", func() {
-	// Symptom: after a crash a host has no snapshot, or forgot its vote. Events:
-	// a crash at the n-th durable step of writing three snapshots and votes.
-	// Cause: a file replaced in place, or a name that was never synced.
-	It("loses nothing in a crash between any two durable steps", func() {
+	// Guards against the loss of the snapshot or the vote in a crash, because a file is
+	// replaced in place or its folder is not synced. The disk crashes at the n-th
+	// durable operation while three snapshots and votes are written.
+	It("loses nothing in a crash between any two durable operations", func() {
 		n := 1
 		for crashed := true; crashed; n++ {
 			d := disker.NewDisk(rand.New(rand.NewPCG(uint64(n), 0)))
@@ -84,7 +85,7 @@
 		Expect(n).To(BeNumerically(">", 20))
 	})
 
-	It("falls back to the snapshot before a damaged one, and keeps two", func() {
+	It("falls back to the predecessor of a damaged snapshot and retains two", func() {
 		d := disker.NewDisk(rand.New(rand.NewPCG(1, 0)))
 		s, _ := open(d)
 		for i := uint64(1); i <= 3; i++ {
@@ -101,10 +102,10 @@
 		Expect(errors.As(err, &gone)).To(BeTrue())
 	})
 
-	// Symptom: a large snapshot never arrives. Events: the receiver restarts in
-	// the middle; a piece comes twice; another one is garbled. Cause: a
-	// transfer that begins anew each time, or takes what doesn't fit.
-	It("receives a snapshot in pieces over a restart", func() {
+	// Guards against a large transfer that never completes, because it starts again at
+	// offset 0 after each restart, or stores a piece at a wrong offset. The receiver
+	// restarts during the transfer, pieces are delivered twice, and one is corrupted.
+	It("receives a snapshot in pieces across restarts", func() {
 		from, _ := open(disker.NewDisk(rand.New(rand.NewPCG(1, 0))))
 		Expect(create(from, 7)).To(Succeed())
 		d := disker.NewDisk(rand.New(rand.NewPCG(2, 0)))
@@ -122,7 +123,7 @@
 			if next > 0 && !done {
 				again, _, err := to.Receive(p)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(again).To(Equal(next), "a doubled piece changes nothing")
+				Expect(again).To(Equal(next), "a duplicate piece must not change the offset")
 				d.Crash()
 				d.Restart()
 				to, _ = open(d)
--- a/internal/state/snapshotter/transfer.go
+++ b/internal/state/snapshotter/transfer.go
@@ -18,28 +18,28 @@
 	Term     uint64
 	Size     int64
 	Checksum uint32
-	// Offset is where Data begins in the file.
+	// Offset is the offset of Data in the file.
 	Offset int64
-	// Data holds the bytes; it is empty where only the receiver's offset is
-	// asked for.
+	// Data contains the bytes. It is empty in a piece that only requests the offset
+	// of the receiver.
 	Data []byte
 }
 
-// ErrSnapshotRemoved reports that the snapshot asked for is no longer kept.
+// ErrSnapshotRemoved reports that the requested snapshot is no longer retained.
 type ErrSnapshotRemoved struct {
 	// Index is the index of the snapshot.
 	Index uint64
 }
 
-// Error returns a text that names the snapshot.
+// Error implements error.
 func (e ErrSnapshotRemoved) Error() string {
 	return fmt.Sprintf("snapshot at %d is no longer kept", e.Index)
 }
 
-// ReadPiece returns up to length bytes of the snapshot at index from offset on.
-// It returns ErrSnapshotRemoved where the snapshot isn't kept.
+// ReadPiece returns up to length bytes, from offset on, of the snapshot at index. It
+// returns ErrSnapshotRemoved if the snapshot is not retained.
 func (s *Store) ReadPiece(index uint64, offset int64, length int) (Piece, error) {
-	m, ok := s.find(index)
+	m, ok := s.findSnapshot(index)
 	if !ok {
 		return Piece{}, errors.Trace(ErrSnapshotRemoved{Index: index})
 	}
@@ -59,7 +59,7 @@
 	return p, errors.Trace(file.Close())
 }
 
-func (s *Store) find(index uint64) (Metadata, bool) {
+func (s *Store) findSnapshot(index uint64) (Metadata, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, m := range s.snapshots {
@@ -70,22 +70,23 @@
 	return Metadata{}, false
 }
 
-// transfer is a snapshot that is being received.
-type transfer struct {
+// incomingTransfer is a snapshot that is being received. size is the number of bytes
+// stored so far.
+type incomingTransfer struct {
 	name string
 	file journaler.File
 	size int64
 }
 
-// Receive takes in a piece and returns the offset from which the receiver wants
-// the next one, and whether the snapshot is complete, checked, lasting and now
-// the latest. A piece that does not begin at the wanted offset is dropped. A
-// complete one whose checksum fails is dropped as a whole, and offset 0 wanted.
+// Receive stores a piece. It returns the offset of the next piece to send, and whether
+// the snapshot is complete, verified, durable and now the latest one. It ignores a
+// piece that does not start at the expected offset. If the checksum of the complete
+// file does not match, it discards the file and returns offset 0.
 func (s *Store) Receive(p Piece) (next int64, complete bool, err error) {
 	if latest, ok := s.Latest(); ok && latest.Index >= p.Index {
 		return p.Size, false, nil
 	}
-	t, err := s.resume(p)
+	t, err := s.openTransfer(p)
 	if err != nil {
 		return 0, false, errors.Annotate(err, "receive snapshot")
 	}
@@ -93,8 +94,8 @@
 		if _, err := t.file.Write(p.Data); err != nil {
 			return 0, false, errors.Annotate(err, "write piece")
 		}
-		// Each piece lasts before it is acknowledged, so that the offset never
-		// falls and a restart goes on from here.
+		// Each piece is durable before it is acknowledged, so that the offset never
+		// decreases and the transfer resumes at it after a restart.
 		if err := t.file.Sync(); err != nil {
 			return 0, false, errors.Annotate(err, "sync piece")
 		}
@@ -106,9 +107,9 @@
 	return s.complete(t, p)
 }
 
-// resume returns the transfer that p belongs to, from memory, from a file that
-// a restart left, or new. Files of other transfers are removed.
-func (s *Store) resume(p Piece) (*transfer, error) {
+// openTransfer returns the transfer to which p belongs: the one in progress, one from a
+// file of a previous process, or a new one. It removes the files of other transfers.
+func (s *Store) openTransfer(p Piece) (*incomingTransfer, error) {
 	name := fmt.Sprintf("%s%016x-%016x-%08x", receivingPrefix, p.Index, p.Term, p.Checksum)
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -119,7 +120,7 @@
 		_ = s.receiving.file.Close()
 		s.receiving = nil
 	}
-	if err := s.removeTransfers(name); err != nil {
+	if err := s.removeOtherTransfers(name); err != nil {
 		return nil, err
 	}
 	file, err := s.settings.FileSystem.Open(s.path(name))
@@ -136,18 +137,19 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	s.receiving = &transfer{name: name, file: file, size: size}
+	s.receiving = &incomingTransfer{name: name, file: file, size: size}
 	return s.receiving, nil
 }
 
-// removeTransfers removes the files of all transfers but one. It needs lock.
-func (s *Store) removeTransfers(but string) error {
+// removeOtherTransfers removes the files of all transfers except the one with the name
+// except. The caller holds lock.
+func (s *Store) removeOtherTransfers(except string) error {
 	names, err := s.settings.FileSystem.List(s.settings.Folder)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	for _, n := range names {
-		if strings.HasPrefix(n, receivingPrefix) && n != but {
+		if strings.HasPrefix(n, receivingPrefix) && n != except {
 			if err := s.settings.FileSystem.Remove(s.path(n)); err != nil {
 				return errors.Trace(err)
 			}
@@ -156,24 +158,26 @@
 	return nil
 }
 
-// complete checks the received file and makes it the latest snapshot.
-func (s *Store) complete(t *transfer, p Piece) (int64, bool, error) {
+// complete verifies the received file and makes it the latest snapshot. It removes the
+// file if the verification fails.
+func (s *Store) complete(t *incomingTransfer, p Piece) (int64, bool, error) {
 	s.lock.Lock()
 	s.receiving = nil
 	s.lock.Unlock()
 	from := s.path(t.name)
-	m, bad := s.verify(from)
-	if bad != nil || m.Checksum != p.Checksum || m.Index != p.Index || m.Size != p.Size {
+	m, invalid := s.readMetadata(from)
+	if invalid != nil || m.Checksum != p.Checksum || m.Index != p.Index || m.Size != p.Size {
 		_ = t.file.Close()
 		return 0, false, errors.Trace(s.settings.FileSystem.Remove(from))
 	}
-	if err := finish(s.settings.FileSystem, t.file, from, s.path(snapshotName(m))); err != nil {
+	if err := syncAndRename(s.settings.FileSystem, t.file, from, s.path(snapshotName(m))); err != nil {
 		return 0, false, errors.Trace(err)
 	}
 	return m.Size, true, s.publish(m)
 }
 
-// Close closes a transfer in progress; its file stays for a later one.
+// Close closes the transfer in progress, if any. Its file remains, so that the transfer
+// can be resumed.
 func (s *Store) Close() error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/state/snapshotter/writer.go
+++ b/internal/state/snapshotter/writer.go
@@ -12,27 +12,27 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/journaler"
 )
 
-// Layout of a snapshot file: magic, length of the metadata, metadata, body,
-// checksum of all before it.
+// Layout of a snapshot file: magic, length of the metadata (4 bytes, little-endian),
+// metadata in JSON, body, CRC32C of all preceding bytes (4 bytes, little-endian).
 const (
-	snapshotMagic    = "MGPSNP01"
-	snapshotHeadSize = len(snapshotMagic) + 4
+	snapshotMagic      = "MGPSNP01"
+	snapshotHeaderSize = len(snapshotMagic) + 4
 )
 
-// ErrOutdated reports that a snapshot was not written because a newer one is
-// kept already, received meanwhile perhaps.
+// ErrOutdated reports that a snapshot was not written because the store already has one
+// that is as new or newer, for example one received in the meantime.
 type ErrOutdated struct {
-	// Index is that of the snapshot asked for, Latest that of the newest one.
+	// Index is the index of the refused snapshot, Latest that of the newest one.
 	Index, Latest uint64
 }
 
-// Error returns a text that names both.
+// Error implements error.
 func (e ErrOutdated) Error() string {
 	return fmt.Sprintf("snapshot at %d is not newer than the one at %d", e.Index, e.Latest)
 }
 
-// Create writes a snapshot whose body comes from write, and returns when it
-// lasts. It returns ErrOutdated where it isn't newer than all others.
+// Create writes a snapshot, whose body write produces, and returns its metadata once it
+// is durable. It returns ErrOutdated if the snapshot is not newer than the latest one.
 func (s *Store) Create(m Metadata, write func(io.Writer) error) (Metadata, error) {
 	if latest, ok := s.Latest(); ok && latest.Index >= m.Index {
 		return m, errors.Trace(ErrOutdated{Index: m.Index, Latest: latest.Index})
@@ -43,32 +43,33 @@
 	if err != nil {
 		return m, errors.Annotate(err, "create snapshot")
 	}
-	w := &summingWriter{to: file}
-	if err := w.fill(m, write); err != nil {
+	w := &checksumWriter{out: file}
+	if err := w.writeSnapshot(m, write); err != nil {
 		_ = file.Close()
 		return m, errors.Annotate(err, "write snapshot")
 	}
-	if err := finish(s.settings.FileSystem, file, temporary, name); err != nil {
+	if err := syncAndRename(s.settings.FileSystem, file, temporary, name); err != nil {
 		return m, errors.Trace(err)
 	}
-	m.Size, m.Checksum = w.size, w.sealed
+	m.Size, m.Checksum = w.size, w.checksum
 	return m, s.publish(m)
 }
 
-// summingWriter writes through a buffer and keeps size and checksum.
-type summingWriter struct {
-	to     io.Writer
-	buffer []byte
-	size   int64
-	sum    uint32
-	// sealed is the checksum that ends the file.
-	sealed uint32
+// checksumWriter is a buffered writer that counts the bytes and computes their checksum.
+type checksumWriter struct {
+	out        io.Writer
+	buffer     []byte
+	size       int64
+	runningSum uint32
+	// checksum is the checksum at the end of the file.
+	checksum uint32
 }
 
-// writeBuffer is the size of the writes to the file.
-const writeBuffer = 256 << 10
+// writeBufferBytes is the number of buffered bytes from which on the buffer is flushed.
+const writeBufferBytes = 256 << 10
 
-func (w *summingWriter) fill(m Metadata, write func(io.Writer) error) error {
+// writeSnapshot writes a whole snapshot file and flushes the buffer.
+func (w *checksumWriter) writeSnapshot(m Metadata, write func(io.Writer) error) error {
 	head, err := json.Marshal(m)
 	if err != nil {
 		return errors.Trace(err)
@@ -80,31 +81,31 @@
 	if err := write(w); err != nil {
 		return errors.Trace(err)
 	}
-	w.sealed = w.sum
-	if _, err := w.Write(binary.LittleEndian.AppendUint32(nil, w.sealed)); err != nil {
+	w.checksum = w.runningSum
+	if _, err := w.Write(binary.LittleEndian.AppendUint32(nil, w.checksum)); err != nil {
 		return errors.Trace(err)
 	}
 	return w.flush()
 }
 
 // Write implements io.Writer.
-func (w *summingWriter) Write(b []byte) (int, error) {
-	w.sum = crc32.Update(w.sum, castagnoli, b)
+func (w *checksumWriter) Write(b []byte) (int, error) {
+	w.runningSum = crc32.Update(w.runningSum, castagnoliTable, b)
 	w.size += int64(len(b))
 	w.buffer = append(w.buffer, b...)
-	if len(w.buffer) < writeBuffer {
+	if len(w.buffer) < writeBufferBytes {
 		return len(b), nil
 	}
 	return len(b), w.flush()
 }
 
-func (w *summingWriter) flush() error {
-	_, err := w.to.Write(w.buffer)
+func (w *checksumWriter) flush() error {
+	_, err := w.out.Write(w.buffer)
 	w.buffer = w.buffer[:0]
 	return errors.Trace(err)
 }
 
-// Reader reads the body of a snapshot. Close it after use.
+// Reader reads the body of a snapshot. The caller closes it.
 type Reader struct {
 	// Metadata describes the snapshot.
 	Metadata Metadata
@@ -112,15 +113,16 @@
 	file     journaler.File
 }
 
-// Read implements io.Reader over the body.
+// Read implements io.Reader and reads from the body.
 func (r *Reader) Read(b []byte) (int, error) {
-	return r.body.Read(b) //nolint:wrapcheck // io.EOF must stay bare.
+	return r.body.Read(b) //nolint:wrapcheck // Callers compare the error with io.EOF.
 }
 
-// Close closes the file.
+// Close closes the snapshot file.
 func (r *Reader) Close() error { return errors.Trace(r.file.Close()) }
 
-// openReader opens a snapshot file and checks all of it.
+// openReader opens a snapshot file and verifies its checksum and format. It returns
+// journaler.ErrDamaged if the file is invalid.
 func openReader(files journaler.FileSystem, path string) (*Reader, error) {
 	file, err := files.Open(path)
 	if err != nil {
@@ -142,10 +144,10 @@
 	damaged := func(reason string) error {
 		return errors.Trace(journaler.ErrDamaged{File: path, Reason: reason})
 	}
-	if size < int64(snapshotHeadSize+checksumSize) {
+	if size < int64(snapshotHeaderSize+checksumSize) {
 		return nil, damaged("shorter than a snapshot's head")
 	}
-	sum := crc32.New(castagnoli)
+	sum := crc32.New(castagnoliTable)
 	if _, err := io.Copy(sum, io.NewSectionReader(file, 0, size-checksumSize)); err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -153,27 +155,27 @@
 	if _, err := file.ReadAt(tail[:], size-checksumSize); err != nil && !errors.Is(err, io.EOF) {
 		return nil, errors.Trace(err)
 	}
-	sealed := binary.LittleEndian.Uint32(tail[:])
-	if sum.Sum32() != sealed {
+	checksum := binary.LittleEndian.Uint32(tail[:])
+	if sum.Sum32() != checksum {
 		return nil, damaged("checksum of the snapshot does not match")
 	}
-	head := make([]byte, snapshotHeadSize)
+	head := make([]byte, snapshotHeaderSize)
 	if _, err := file.ReadAt(head, 0); err != nil {
 		return nil, errors.Trace(err)
 	}
 	length := int64(binary.LittleEndian.Uint32(head[len(snapshotMagic):]))
-	start := int64(snapshotHeadSize) + length
+	start := int64(snapshotHeaderSize) + length
 	if string(head[:len(snapshotMagic)]) != snapshotMagic || start > size-checksumSize {
 		return nil, damaged("not a snapshot")
 	}
 	encoded := make([]byte, length)
-	if _, err := file.ReadAt(encoded, int64(snapshotHeadSize)); err != nil {
+	if _, err := file.ReadAt(encoded, int64(snapshotHeaderSize)); err != nil {
 		return nil, errors.Trace(err)
 	}
 	r := &Reader{file: file, body: io.NewSectionReader(file, start, size-checksumSize-start)}
 	if err := json.Unmarshal(encoded, &r.Metadata); err != nil {
 		return nil, damaged(err.Error())
 	}
-	r.Metadata.Size, r.Metadata.Checksum = size, sealed
+	r.Metadata.Size, r.Metadata.Checksum = size, checksum
 	return r, nil
 }
