--- a/internal/state/indexer/adapters.go
+++ b/internal/state/indexer/adapters.go
@@ -11,21 +11,22 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// none is the position of no record.
-const none = ^uint32(0)
+// noRecord is the position that stands for no record.
+const noRecord = ^uint32(0)
 
 // adapterRecord is one adapter.
 type adapterRecord struct {
-	// text begins with WORKSPACE/ADAPTER. It may be the name of a version.
+	// text starts with WORKSPACE/ADAPTER. It may be shared with the name of a version.
 	text textRef
-	// first is the adapter's first version, or none.
-	first uint32
-	// current is the version of calls which name none, or none.
-	current uint32
-	// base is the position of the base model's name in bases.
+	// firstVersion is the position of the first version, or noRecord.
+	firstVersion uint32
+	// currentVersion is the position of the version for calls that name no version,
+	// or noRecord.
+	currentVersion uint32
+	// base is the position of the base model's name in adapterData.bases.
 	base         uint16
 	workspaceLen uint8
-	// adapterLen is zero in a record that is free.
+	// adapterLen is 0 in a free record.
 	adapterLen uint8
 }
 
@@ -34,20 +35,21 @@
 	// text is WORKSPACE/ADAPTER@VERSION.
 	text   textRef
 	source textRef
-	// next is the adapter's next version, or none.
-	next       uint32
-	sourceLen  uint16
-	versionLen uint8
+	// nextVersion is the position of the adapter's next version, or noRecord.
+	nextVersion uint32
+	sourceLen   uint16
+	versionLen  uint8
 }
 
-// adapters is one shard of the adapters with their versions.
+// adapters is one shard of the adapters and their versions.
 type adapters struct {
 	mu sync.RWMutex
-	// data is guarded by mu. Only the index's writer writes.
+	// data is guarded by mu. It is only written under Index.writeLock, so that the
+	// writer may read it without mu.
 	data adapterData
 }
 
-// adapterData is the content of a shard.
+// adapterData contains the records of a shard.
 type adapterData struct {
 	texts        arena
 	table        table
@@ -55,7 +57,8 @@
 	freeAdapters []uint32
 	versions     []versionRecord
 	freeVersions []uint32
-	// bases are the names of the base models; there are few.
+	// bases are the names of the base models, in no order. They are few enough for a
+	// linear search.
 	bases []string
 }
 
@@ -63,11 +66,12 @@
 	return xxh3.HashString(workspace)*0x9e3779b97f4a7c15 + xxh3.HashString(adapter)
 }
 
-// workspace and the like return a record's texts.
+// workspace returns the name of the adapter's workspace.
 func (d *adapterData) workspace(a *adapterRecord) string {
 	return d.texts.text(a.text, int(a.workspaceLen))
 }
 
+// prefixLen returns the length of WORKSPACE/ADAPTER.
 func (d *adapterData) prefixLen(a *adapterRecord) int {
 	return int(a.workspaceLen) + 1 + int(a.adapterLen)
 }
@@ -76,6 +80,7 @@
 	return d.texts.text(a.text, d.prefixLen(a))[int(a.workspaceLen)+1:]
 }
 
+// name returns the full name of a version, WORKSPACE/ADAPTER@VERSION.
 func (d *adapterData) name(a *adapterRecord, v *versionRecord) string {
 	return d.texts.text(v.text, d.prefixLen(a)+1+int(v.versionLen))
 }
@@ -93,20 +98,21 @@
 	})
 }
 
-// findVersion returns a version of the adapter and the link that leads to it.
+// findVersion returns the position of a version of the adapter, or noRecord, and a
+// pointer to the list link that refers to it.
 func (d *adapterData) findVersion(a *adapterRecord, version string) (position uint32, link *uint32) {
-	link = &a.first
-	for *link != none {
+	link = &a.firstVersion
+	for *link != noRecord {
 		v := &d.versions[*link]
 		if int(v.versionLen) == len(version) && d.name(a, v)[d.prefixLen(a)+1:] == version {
 			return *link, link
 		}
-		link = &v.next
+		link = &v.nextVersion
 	}
-	return none, link
+	return noRecord, link
 }
 
-// target fills in what a call needs of a version.
+// target returns the Target for the version at a position.
 func (d *adapterData) target(a *adapterRecord, position uint32) Target {
 	v := &d.versions[position]
 	name := d.name(a, v)
@@ -128,19 +134,20 @@
 	}
 	a := &d.adapters[position]
 	if version == "" {
-		if a.current == none {
+		if a.currentVersion == noRecord {
 			return Target{}, ErrNoCurrent
 		}
-		return d.target(a, a.current), nil
+		return d.target(a, a.currentVersion), nil
 	}
 	found, _ := d.findVersion(a, version)
-	if found == none {
+	if found == noRecord {
 		return Target{}, ErrUnknownVersion
 	}
 	return d.target(a, found), nil
 }
 
-// base returns the position of a base model's name.
+// base returns the position of a base model's name in bases, and adds the name if it is
+// missing.
 func (d *adapterData) base(name string) (uint16, error) {
 	for i, b := range d.bases {
 		if b == name {
@@ -169,35 +176,36 @@
 	return d.setCurrent(a, s.Current)
 }
 
-// setCurrent declares the adapter's current version.
+// setCurrent sets the adapter's current version; an empty version means none.
 func (d *adapterData) setCurrent(a *adapterRecord, version string) error {
-	a.current = none
+	a.currentVersion = noRecord
 	if version == "" {
 		return nil
 	}
-	if a.current, _ = d.findVersion(a, version); a.current == none {
+	if a.currentVersion, _ = d.findVersion(a, version); a.currentVersion == noRecord {
 		return errors.NotFoundf("current version %q of adapter %s/%s", version, d.workspace(a), d.adapter(a))
 	}
 	return nil
 }
 
-// addAdapter adds an adapter whose name stands at text.
+// addAdapter adds an adapter whose name is stored at text, and returns its position.
 func (d *adapterData) addAdapter(hash uint64, m storer.Metadata, text textRef) uint32 {
 	r := adapterRecord{
-		text:         text,
-		first:        none,
-		current:      none,
-		workspaceLen: uint8(len(m.Workspace)),
-		adapterLen:   uint8(len(m.Name)),
+		text:           text,
+		firstVersion:   noRecord,
+		currentVersion: noRecord,
+		workspaceLen:   uint8(len(m.Workspace)),
+		adapterLen:     uint8(len(m.Name)),
 	}
 	var position uint32
-	d.adapters, d.freeAdapters, position = place(d.adapters, d.freeAdapters, r)
+	d.adapters, d.freeAdapters, position = storeRecord(d.adapters, d.freeAdapters, r)
 	d.table.insert(hash, position, d.hash)
 	return position
 }
 
-// place writes r into a free position or behind the last one.
-func place[T any](records []T, free []uint32, r T) ([]T, []uint32, uint32) {
+// storeRecord stores r at a free position, or appends it. It returns the updated slices
+// and the position.
+func storeRecord[T any](records []T, free []uint32, r T) ([]T, []uint32, uint32) {
 	if n := len(free); n > 0 {
 		position := free[n-1]
 		records[position] = r
@@ -212,12 +220,12 @@
 		return
 	}
 	a := &d.adapters[position]
-	for a.first != none {
-		d.dropVersion(a, a.first, &a.first)
+	for a.firstVersion != noRecord {
+		d.removeVersion(a, a.firstVersion, &a.firstVersion)
 	}
 	d.table.remove(hash, position)
-	d.texts.drop(d.prefixLen(a))
-	*a = adapterRecord{first: none, current: none}
+	d.texts.release(d.prefixLen(a))
+	*a = adapterRecord{firstVersion: noRecord, currentVersion: noRecord}
 	d.freeAdapters = append(d.freeAdapters, position)
 }
 
@@ -228,12 +236,12 @@
 		return errors.NotFoundf("adapter of version %s/%s", m.Workspace, m.Name)
 	}
 	a := &d.adapters[position]
-	if known, _ := d.findVersion(a, version); known != none {
+	if known, _ := d.findVersion(a, version); known != noRecord {
 		v := &d.versions[known]
 		if d.texts.text(v.source, int(v.sourceLen)) == s.Source {
 			return nil
 		}
-		d.texts.drop(int(v.sourceLen))
+		d.texts.release(int(v.sourceLen))
 		v.source, v.sourceLen = d.texts.add(s.Source), uint16(len(s.Source))
 		return nil
 	}
@@ -241,16 +249,16 @@
 	return nil
 }
 
-// addVersion adds a version whose name stands at text.
+// addVersion adds a version, whose name is stored at text, to the adapter's list.
 func (d *adapterData) addVersion(a *adapterRecord, version string, text textRef, source string) {
 	r := versionRecord{
-		text:       text,
-		source:     d.texts.add(source),
-		next:       a.first,
-		sourceLen:  uint16(len(source)),
-		versionLen: uint8(len(version)),
+		text:        text,
+		source:      d.texts.add(source),
+		nextVersion: a.firstVersion,
+		sourceLen:   uint16(len(source)),
+		versionLen:  uint8(len(version)),
 	}
-	d.versions, d.freeVersions, a.first = place(d.versions, d.freeVersions, r)
+	d.versions, d.freeVersions, a.firstVersion = storeRecord(d.versions, d.freeVersions, r)
 }
 
 func (d *adapterData) deleteVersion(hash uint64, m storer.Metadata) {
@@ -260,38 +268,39 @@
 		return
 	}
 	a := &d.adapters[position]
-	if found, link := d.findVersion(a, version); found != none {
-		d.dropVersion(a, found, link)
+	if found, link := d.findVersion(a, version); found != noRecord {
+		d.removeVersion(a, found, link)
 	}
 }
 
-// dropVersion takes the version out of its adapter's list.
-func (d *adapterData) dropVersion(a *adapterRecord, position uint32, link *uint32) {
+// removeVersion removes the version at a position, to which link refers, from its
+// adapter's list.
+func (d *adapterData) removeVersion(a *adapterRecord, position uint32, link *uint32) {
 	v := &d.versions[position]
-	*link = v.next
-	if a.current == position {
-		a.current = none
+	*link = v.nextVersion
+	if a.currentVersion == position {
+		a.currentVersion = noRecord
 	}
-	d.texts.drop(int(v.sourceLen) + d.prefixLen(a) + 1 + int(v.versionLen))
-	*v = versionRecord{next: none}
+	d.texts.release(int(v.sourceLen) + d.prefixLen(a) + 1 + int(v.versionLen))
+	*v = versionRecord{nextVersion: noRecord}
 	d.freeVersions = append(d.freeVersions, position)
 }
 
-// appendModels appends the models of a workspace.
+// appendModels appends the models of a workspace to models.
 func (d *adapterData) appendModels(models []Model, workspace string) []Model {
 	for i := range d.adapters {
 		a := &d.adapters[i]
 		if a.adapterLen == 0 || d.workspace(a) != workspace {
 			continue
 		}
-		for position := a.first; position != none; position = d.versions[position].next {
+		for position := a.firstVersion; position != noRecord; position = d.versions[position].nextVersion {
 			t := d.target(a, position)
 			models = append(models, Model{
 				Name:      t.Name,
 				Adapter:   t.Adapter,
 				Version:   t.Version,
 				BaseModel: t.BaseModel,
-				Current:   position == a.current,
+				Current:   position == a.currentVersion,
 			})
 		}
 	}
--- a/internal/state/indexer/builder.go
+++ b/internal/state/indexer/builder.go
@@ -6,23 +6,24 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// declaredAdapter is an adapter with its versions, from which a shard is built.
-type declaredAdapter struct {
-	hash     uint64
-	metadata storer.Metadata
-	base     string
-	current  string
-	versions []declaredVersion
+// adapterDeclaration is an adapter and its versions, as input to build a shard.
+type adapterDeclaration struct {
+	hash           uint64
+	metadata       storer.Metadata
+	base           string
+	currentVersion string
+	versions       []versionDeclaration
 }
 
-type declaredVersion struct {
+type versionDeclaration struct {
 	version string
 	source  string
 }
 
-// buildAdapters returns a shard's content without slack: arrays of the right
-// size, no dropped texts, and one text less for each adapter that has versions.
-func buildAdapters(declared []declaredAdapter) (adapterData, error) {
+// buildAdapters returns the data of a shard with minimal memory: slices of the exact
+// size, no released texts, and no separate name for an adapter that has versions, since
+// it shares the text of a version.
+func buildAdapters(declared []adapterDeclaration) (adapterData, error) {
 	var d adapterData
 	versions := 0
 	for i := range declared {
@@ -39,7 +40,7 @@
 	return d, nil
 }
 
-func (d *adapterData) build(declared *declaredAdapter) error {
+func (d *adapterData) build(declared *adapterDeclaration) error {
 	base, err := d.base(declared.base)
 	if err != nil {
 		return errors.Trace(err)
@@ -58,39 +59,39 @@
 	for i, v := range declared.versions {
 		d.addVersion(a, v.version, texts[i], v.source)
 	}
-	return d.setCurrent(a, declared.current)
+	return d.setCurrent(a, declared.currentVersion)
 }
 
-// declared returns what a shard holds, to build it anew.
-func (d *adapterData) declared() []declaredAdapter {
-	declared := make([]declaredAdapter, 0, len(d.adapters)-len(d.freeAdapters))
+// declarations returns the adapters of a shard, as input to rebuild it.
+func (d *adapterData) declarations() []adapterDeclaration {
+	declarations := make([]adapterDeclaration, 0, len(d.adapters)-len(d.freeAdapters))
 	for i := range d.adapters {
 		a := &d.adapters[i]
 		if a.adapterLen == 0 {
 			continue
 		}
-		r := declaredAdapter{
+		r := adapterDeclaration{
 			hash:     d.hash(uint32(i)),
 			metadata: storer.Metadata{Workspace: d.workspace(a), Name: d.adapter(a)},
 			base:     d.bases[a.base],
 		}
-		for position := a.first; position != none; position = d.versions[position].next {
+		for position := a.firstVersion; position != noRecord; position = d.versions[position].nextVersion {
 			t := d.target(a, position)
-			r.versions = append(r.versions, declaredVersion{version: t.Version, source: t.Source})
-			if position == a.current {
-				r.current = t.Version
+			r.versions = append(r.versions, versionDeclaration{version: t.Version, source: t.Source})
+			if position == a.currentVersion {
+				r.currentVersion = t.Version
 			}
 		}
-		declared = append(declared, r)
+		declarations = append(declarations, r)
 	}
-	return declared
+	return declarations
 }
 
-// rebuild drops the waste of a shard. The old content stays readable while the
-// new one is built.
-// Only its caller, the one writer, replaces data: it is read without mu.
+// rebuild frees the released memory of a shard. The old data stays readable while the
+// new data is built. It reads data without mu, since only its caller, the single
+// writer, replaces data.
 func (s *adapters) rebuild() error {
-	fresh, err := buildAdapters(s.data.declared())
+	fresh, err := buildAdapters(s.data.declarations())
 	if err != nil {
 		return errors.Annotate(err, "rebuild a shard")
 	}
--- a/internal/state/indexer/doc.go
+++ b/internal/state/indexer/doc.go
@@ -1,14 +1,13 @@
-// Package indexer holds the compact replica of the configuration which every
-// node keeps: what is needed to resolve a call, and nothing else.
+// Package indexer implements the compact replica of the configuration that every node
+// stores: the data that is needed to resolve a call, and nothing else.
 //
-// Texts lie in arenas and are handed out as parts of them, so a lookup
-// allocates nothing and what it returned stays valid for as long as it is held.
-// The replica is monotone: it never goes back to an earlier revision, not by a
-// delta and not by a snapshot.
+// Strings are stored in arenas and returned as substrings of them, so that a lookup
+// does not allocate, and its results stay valid for as long as they are referenced. The
+// revision of the replica never decreases, neither by a delta nor by a snapshot.
 //
-// Adapters are spread over shards by workspace and name; rules, services and
-// limits over shards by workspace. Each shard has its own lock. A delta is
-// applied change by change in the order of the log, so every reader sees each
-// resource move forward only; a reader of two resources may see the later one's
-// change first.
+// Adapters are divided into shards by workspace and name; rules, services and limits are
+// divided into shards by workspace. Each shard has its own lock. The changes of a delta
+// are applied one by one in the order of the log, so that every reader sees each
+// resource only move forward. A reader of two resources may see the later change
+// before the earlier one.
 package indexer
--- a/internal/state/indexer/index.go
+++ b/internal/state/indexer/index.go
@@ -18,59 +18,59 @@
 	shardCount = 1 << shardBits
 )
 
-// Settings are an index's options. There are none yet.
+// Settings are the options of an index. There are none yet.
 type Settings struct{}
 
-// Index is the compact replica of one node. Its methods may be called by any
-// goroutine.
+// Index is the compact replica of one node. Its methods are safe for concurrent use.
 type Index struct {
-	// writing is held by Apply and Reset; it orders the writers.
-	writing sync.Mutex
-
-	adapters [shardCount]adapters
-	spaces   [shardCount]spaces
-	keys     keys
-	members  atomic.Pointer[MemberView]
-	suspects atomic.Pointer[blamer.List]
-	// revision is what the whole replica has reached; it only rises.
+	// writeLock is held by Apply and StateLoad.Finish and serializes them.
+	writeLock sync.Mutex
+
+	adapters   [shardCount]adapters
+	workspaces [shardCount]workspaces
+	keys       keys
+	members    atomic.Pointer[MemberView]
+	suspects   atomic.Pointer[blamer.List]
+	// revision is the revision of the whole replica. It never decreases.
 	revision atomic.Uint64
 }
 
 // NewIndex returns an empty replica at revision 0.
 func NewIndex(Settings) *Index {
 	x := &Index{}
-	for i := range x.spaces {
-		x.spaces[i].data = map[string]*space{}
+	for i := range x.workspaces {
+		x.workspaces[i].data = map[string]*workspaceRecord{}
 	}
 	x.keys.data = newKeyData()
 	x.members.Store(&MemberView{})
 	return x
 }
 
-// Revision returns the revision that the replica has reached.
+// Revision returns the revision of the replica.
 func (x *Index) Revision() uint64 { return x.revision.Load() }
 
-// Members returns the membership. The view stays the same one for as long as no
-// member changes.
+// Members returns the membership. It returns the same view until a member changes.
 func (x *Index) Members() MemberView { return *x.members.Load() }
 
-// Suspects returns the requests under which backend servers ended. The list stays the same
-// one for as long as none changes.
+// Suspects returns the requests during which backend servers ended. It returns the same
+// list until one of them changes.
 func (x *Index) Suspects() *blamer.List { return x.suspects.Load() }
 
 func (x *Index) adapterShard(hash uint64) *adapters { return &x.adapters[shardOf(hash)] }
 
 func shardOf(hash uint64) int { return int(hash >> (64 - shardBits)) }
 
-func (x *Index) spaceShard(workspace string) *spaces {
-	return &x.spaces[spaceIndex(workspace)]
+func (x *Index) workspaceShard(workspace string) *workspaces {
+	return &x.workspaces[workspaceShardIndex(workspace)]
 }
 
-func spaceIndex(workspace string) int { return int(xxh3.HashString(workspace) >> (64 - shardBits)) }
+func workspaceShardIndex(workspace string) int {
+	return int(xxh3.HashString(workspace) >> (64 - shardBits))
+}
 
-// Resolve returns the adapter version that a call means; an empty version means
-// the current one. The errors are ErrUnknownAdapter, ErrUnknownVersion and
-// ErrNoCurrent. It allocates nothing.
+// Resolve returns the adapter version for a call; an empty version means the current
+// one. The errors are ErrUnknownAdapter, ErrUnknownVersion and ErrNoCurrent. It does not
+// allocate.
 func (x *Index) Resolve(workspace, adapter, version string) (Target, error) {
 	hash := hashOf(workspace, adapter)
 	s := x.adapterShard(hash)
@@ -79,10 +79,10 @@
 	return s.data.resolve(hash, workspace, adapter, version)
 }
 
-// Rule returns the most specific priority rule for a call of the adapter with
-// the key's name, and whether there is one. It allocates nothing.
+// Rule returns the most specific priority rule for a call of the adapter with the key
+// of that name, and whether there is one. It does not allocate.
 func (x *Index) Rule(workspace, adapter, key string) (storer.PriorityRuleSpec, bool) {
-	s := x.spaceShard(workspace)
+	s := x.workspaceShard(workspace)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	p, ok := s.data[workspace]
@@ -92,16 +92,17 @@
 	return p.rules.find(adapter, key)
 }
 
-// KeyByHash returns the holder of the bearer key with a SHA-256.
+// KeyByHash returns the holder of the bearer key with the given SHA-256 hash, and whether
+// there is one.
 func (x *Index) KeyByHash(hash [32]byte) (KeyHolder, bool) {
 	x.keys.mu.RLock()
 	defer x.keys.mu.RUnlock()
 	return x.keys.data.find(hash)
 }
 
-// Service returns a plain service of a workspace.
+// Service returns a plain service of a workspace, and whether it exists.
 func (x *Index) Service(workspace, name string) (storer.ServiceSpec, bool) {
-	s := x.spaceShard(workspace)
+	s := x.workspaceShard(workspace)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	p, ok := s.data[workspace]
@@ -112,9 +113,9 @@
 	return spec, ok
 }
 
-// Workspace returns a workspace.
+// Workspace returns a workspace, and whether it exists.
 func (x *Index) Workspace(name string) (storer.WorkspaceSpec, bool) {
-	s := x.spaceShard(name)
+	s := x.workspaceShard(name)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	p, ok := s.data[name]
@@ -124,8 +125,8 @@
 	return p.spec, true
 }
 
-// Models returns the models of a workspace, sorted by name. It looks through
-// all adapters.
+// Models returns the models of a workspace, sorted by name. It iterates over all
+// adapters of the replica.
 func (x *Index) Models(workspace string) []Model {
 	var models []Model
 	for i := range x.adapters {
@@ -141,20 +142,20 @@
 	return s.data.appendModels(models, workspace)
 }
 
-// Apply brings the replica from its revision to upTo. Changes that are not
-// newer than the replica are passed over, so a delta may come twice, late or
-// overlapping. A change that does not fit what the replica holds is an error;
-// the replica then stays at the revision before it, and needs a Reset.
+// Apply updates the replica from its revision to upTo. It ignores changes that are not
+// newer than the replica, so that a delta may be delivered twice, late or overlapping
+// with another. A change that contradicts the contents of the replica is an error: the
+// revision then stays as it was, and the replica needs a Reset.
 func (x *Index) Apply(changes []storer.Change, upTo uint64) error {
-	x.writing.Lock()
-	defer x.writing.Unlock()
-	reached := x.Revision()
-	if upTo <= reached {
+	x.writeLock.Lock()
+	defer x.writeLock.Unlock()
+	currentRevision := x.Revision()
+	if upTo <= currentRevision {
 		return nil
 	}
 	var members, suspects []storer.Change
 	for _, c := range changes {
-		if c.Revision <= reached {
+		if c.Revision <= currentRevision {
 			continue
 		}
 		if c.Revision > upTo {
@@ -173,7 +174,7 @@
 		}
 	}
 	if len(members) > 0 {
-		x.members.Store(x.members.Load().with(members[len(members)-1].Revision, members))
+		x.members.Store(x.members.Load().withChanges(members[len(members)-1].Revision, members))
 	}
 	if len(suspects) > 0 {
 		list, err := x.Suspects().With(suspects...)
@@ -201,7 +202,7 @@
 		spec, _ := r.Spec.(storer.KeySpec)
 		return x.keys.data.put(r.Metadata, spec)
 	case storer.KindWorkspace, storer.KindService, storer.KindPriorityRule:
-		s := x.spaceShard(r.Metadata.Workspace)
+		s := x.workspaceShard(r.Metadata.Workspace)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if c.Deleted {
@@ -211,7 +212,7 @@
 		}
 		return nil
 	default:
-		// A newer control host may know more kinds; they concern newer nodes.
+		// A newer control host may send kinds that only newer nodes use.
 		return nil
 	}
 }
@@ -224,7 +225,7 @@
 	if err := s.apply(hash, c); err != nil {
 		return errors.Trace(err)
 	}
-	if s.data.texts.wasteful() {
+	if s.data.texts.needsCompaction() {
 		return s.rebuild()
 	}
 	return nil
--- a/internal/state/indexer/index_test.go
+++ b/internal/state/indexer/index_test.go
@@ -14,7 +14,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// hash is the key hash made of one hexadecimal digit.
+// hash returns the key hash that consists of one repeated hexadecimal digit.
 func hash(digit string) string { return strings.Repeat(digit, 64) }
 
 func resource(revision uint64, kind storer.Kind, workspace, name string, spec storer.Spec) storer.Resource {
@@ -25,7 +25,7 @@
 	}
 }
 
-// sample is the state at revision 9.
+// sample returns a whole state at revision 9.
 func sample() []storer.Resource {
 	return []storer.Resource{
 		resource(1, storer.KindWorkspace, "savannah", "savannah", storer.WorkspaceSpec{Share: 2}),
@@ -42,7 +42,7 @@
 	}
 }
 
-func filled() *Index {
+func sampleIndex() *Index {
 	x := NewIndex(Settings{})
 	Expect(x.Reset(sample(), 9)).To(Succeed())
 	return x
@@ -50,7 +50,7 @@
 
 var _ = Describe("Index", func() {
 	It("resolves calls with and without a version", func() {
-		x := filled()
+		x := sampleIndex()
 		Expect(x.Resolve("savannah", "title", "")).To(Equal(Target{
 			Workspace: "savannah",
 			Adapter:   "title",
@@ -73,7 +73,7 @@
 	})
 
 	It("finds rules by the most specific match, then the smaller name", func() {
-		x := filled()
+		x := sampleIndex()
 		rule, ok := x.Rule("savannah", "title", "rush")
 		Expect(ok).To(BeTrue())
 		Expect(rule.Priority).To(Equal(4))
@@ -87,8 +87,8 @@
 		Expect(rule.Priority).To(Equal(5))
 	})
 
-	It("follows a key whose hash changes", func() {
-		x := filled()
+	It("finds a key by its new hash after the hash changes", func() {
+		x := sampleIndex()
 		old, err := storer.ParseHash(hash("a"))
 		Expect(err).NotTo(HaveOccurred())
 		holder, ok := x.KeyByHash(old)
@@ -104,12 +104,12 @@
 		Expect(holder.Disabled).To(BeTrue())
 	})
 
-	// Symptom: after a fail-over of its connection a node routes by a rule that
-	// operators had replaced. Sequence: the node holds revision 10 and connects
-	// to a control host which has applied 9 only; that one sends its delta or
-	// its whole state. Cause: what is older than the replica was taken.
-	It("never goes back when it fails over to a control host that is behind", func() {
-		x := filled()
+	// Guards against a node that uses configuration which operators have replaced. The
+	// node has revision 10 and fails over to a control host that has applied only
+	// revision 9, which sends a delta or its whole state. State older than the replica
+	// must not be applied.
+	It("keeps its revision when it fails over to a control host that is behind", func() {
+		x := sampleIndex()
 		current := resource(10, storer.KindAdapter, "savannah", "title", storer.AdapterSpec{BaseModel: "clearance", Current: "v1"})
 		Expect(x.Apply([]storer.Change{{Revision: 10, Resource: current}}, 10)).To(Succeed())
 
@@ -121,16 +121,16 @@
 		Expect(x.Revision()).To(BeEquivalentTo(11))
 	})
 
-	It("keeps what it holds when a snapshot does not fit together", func() {
-		x := filled()
+	It("keeps its state when a snapshot is inconsistent", func() {
+		x := sampleIndex()
 		orphan := resource(20, storer.KindVersion, "savannah", "none@v1", storer.VersionSpec{Source: "none"})
 		Expect(x.Reset([]storer.Resource{orphan}, 20)).NotTo(Succeed())
 		Expect(x.Revision()).To(BeEquivalentTo(9))
 		Expect(x.Resolve("savannah", "title", "")).To(HaveField("Version", "v2"))
 	})
 
-	It("gives the same view of members until one changes", func() {
-		x := filled()
+	It("returns the same view of members until one changes", func() {
+		x := sampleIndex()
 		before := x.Members()
 		Expect(x.Apply(nil, 10)).To(Succeed())
 		Expect(x.Members().Revision).To(Equal(before.Revision))
@@ -140,8 +140,8 @@
 		Expect(before.Members).To(HaveLen(1))
 	})
 
-	It("looks up without allocation", func() {
-		x := filled()
+	It("does not allocate in lookups", func() {
+		x := sampleIndex()
 		key, err := storer.ParseHash(hash("a"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(testing.AllocsPerRun(100, func() {
@@ -155,15 +155,15 @@
 	})
 })
 
-// mix is a make-up of a deployment's configuration.
-type mix struct {
+// workload describes the configuration of a deployment.
+type workload struct {
 	name               string
 	versions, rulesPer int
 }
 
-// deployment makes n adapters in n/60 workspaces, each adapter with the given
-// number of versions and every rulesPer-th with a priority rule.
-func deployment(n int, m mix) []storer.Resource {
+// deployment returns the resources of n adapters in n/60 workspaces. Each adapter has
+// m.versions versions, and every m.rulesPer-th has a priority rule.
+func deployment(n int, m workload) []storer.Resource {
 	var rs []storer.Resource
 	for i := range n {
 		w := fmt.Sprintf("workspace-%04d", i%max(1, n/60))
@@ -188,10 +188,10 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkIndexHeap gives the replica's heap in MB after a Reset, and after
-// every version and rule was deleted and declared again by deltas.
+// BenchmarkIndexHeap reports the heap size of the replica in MB after a Reset, and after
+// deltas that delete and recreate every version and rule.
 func BenchmarkIndexHeap(b *testing.B) {
-	for _, m := range []mix{{"versions=1/rules=each", 1, 1}, {"versions=2/rules=tenth", 2, 10}, {"versions=2/rules=each", 2, 1}} {
+	for _, m := range []workload{{"versions=1/rules=each", 1, 1}, {"versions=2/rules=tenth", 2, 10}, {"versions=2/rules=each", 2, 1}} {
 		for _, n := range []int{3000, 15000, 61000} {
 			b.Run(fmt.Sprintf("%s/adapters=%d", m.name, n), func(b *testing.B) {
 				for b.Loop() {
@@ -202,7 +202,7 @@
 	}
 }
 
-func measureHeap(b *testing.B, n int, m mix) {
+func measureHeap(b *testing.B, n int, m workload) {
 	b.Helper()
 	before := heapInUse()
 	x := NewIndex(Settings{})
@@ -226,9 +226,9 @@
 	runtime.KeepAlive(x)
 }
 
-// BenchmarkIndexLoad gives the heap in MB which a restarting node needs just
-// before it goes over to a loaded state: by pages of 512, and with the whole
-// state as resources.
+// BenchmarkIndexLoad reports the heap size in MB of a restarting node before and after
+// Finish: MB-pages for a load in pages of 512 resources, MB-whole with the whole state as
+// resources in addition, MB-both after Finish.
 func BenchmarkIndexLoad(b *testing.B) {
 	for _, n := range []int{3000, 15000, 61000} {
 		b.Run(fmt.Sprintf("adapters=%d", n), func(b *testing.B) {
@@ -236,13 +236,13 @@
 				before := heapInUse()
 				x := NewIndex(Settings{})
 				l := x.BeginLoad()
-				for page := range slices.Chunk(deployment(n, mix{versions: 2, rulesPer: 10}), 512) {
+				for page := range slices.Chunk(deployment(n, workload{versions: 2, rulesPer: 10}), 512) {
 					if err := l.Add(page); err != nil {
 						b.Fatal(err)
 					}
 				}
 				b.ReportMetric(float64(heapInUse()-before)/1e6, "MB-pages")
-				whole := deployment(n, mix{versions: 2, rulesPer: 10})
+				whole := deployment(n, workload{versions: 2, rulesPer: 10})
 				b.ReportMetric(float64(heapInUse()-before)/1e6, "MB-whole")
 				if err := l.Finish(1); err != nil {
 					b.Fatal(err)
@@ -258,7 +258,7 @@
 func BenchmarkIndexResolve(b *testing.B) {
 	for _, n := range []int{3000, 15000, 61000} {
 		x := NewIndex(Settings{})
-		rs := deployment(n, mix{versions: 2, rulesPer: 10})
+		rs := deployment(n, workload{versions: 2, rulesPer: 10})
 		if err := x.Reset(rs, 1); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/state/indexer/keys.go
+++ b/internal/state/indexer/keys.go
@@ -11,23 +11,23 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// KeyHolder tells whose a bearer key is.
+// KeyHolder identifies the holder of a bearer key.
 type KeyHolder struct {
 	Workspace string
 	Name      string
 	Disabled  bool
 }
 
-// keyName names a key's resource.
+// keyName identifies the resource of a key.
 type keyName struct{ workspace, name string }
 
-// heldKey is a caller's key.
-type heldKey struct {
+// keyRecord is a caller's key.
+type keyRecord struct {
 	hash   [32]byte
 	holder KeyHolder
 }
 
-// keys holds the callers' keys.
+// keys contains the callers' keys.
 type keys struct {
 	mu sync.RWMutex
 	// data is guarded by mu.
@@ -35,23 +35,24 @@
 }
 
 type keyData struct {
-	// byPrefix holds the keys by the first eight bytes of their hash.
-	byPrefix map[uint64][]heldKey
-	// hashes holds each resource's hash, to find what a change replaces.
+	// byPrefix contains the keys by the first eight bytes of their hash.
+	byPrefix map[uint64][]keyRecord
+	// hashes contains the hash of each resource, to find the key that a change
+	// replaces.
 	hashes map[keyName][32]byte
 }
 
 func newKeyData() keyData {
-	return keyData{byPrefix: map[uint64][]heldKey{}, hashes: map[keyName][32]byte{}}
+	return keyData{byPrefix: map[uint64][]keyRecord{}, hashes: map[keyName][32]byte{}}
 }
 
-func prefixOf(hash [32]byte) uint64 { return binary.BigEndian.Uint64(hash[:8]) }
+func hashPrefix(hash [32]byte) uint64 { return binary.BigEndian.Uint64(hash[:8]) }
 
-// find compares whole hashes in constant time. What the table's lookup gives
-// away concerns the hash of the bearer key, of which a caller can't choose the
-// bytes one by one.
+// find returns the holder of the key with the hash. It compares whole hashes in constant
+// time. The timing of the map lookup only reveals information about the hash of the
+// bearer key, whose bytes a caller can't choose individually.
 func (d *keyData) find(hash [32]byte) (KeyHolder, bool) {
-	for _, k := range d.byPrefix[prefixOf(hash)] {
+	for _, k := range d.byPrefix[hashPrefix(hash)] {
 		if subtle.ConstantTimeCompare(k.hash[:], hash[:]) == 1 {
 			return k.holder, true
 		}
@@ -67,7 +68,7 @@
 	d.remove(m)
 	n := keyName{workspace: strings.Clone(m.Workspace), name: strings.Clone(m.Name)}
 	d.hashes[n] = hash
-	d.byPrefix[prefixOf(hash)] = append(d.byPrefix[prefixOf(hash)], heldKey{
+	d.byPrefix[hashPrefix(hash)] = append(d.byPrefix[hashPrefix(hash)], keyRecord{
 		hash:   hash,
 		holder: KeyHolder{Workspace: n.workspace, Name: n.name, Disabled: s.Disabled},
 	})
@@ -81,15 +82,15 @@
 		return
 	}
 	delete(d.hashes, n)
-	var rest []heldKey
-	for _, k := range d.byPrefix[prefixOf(hash)] {
+	var remaining []keyRecord
+	for _, k := range d.byPrefix[hashPrefix(hash)] {
 		if k.hash != hash {
-			rest = append(rest, k)
+			remaining = append(remaining, k)
 		}
 	}
-	if len(rest) == 0 {
-		delete(d.byPrefix, prefixOf(hash))
+	if len(remaining) == 0 {
+		delete(d.byPrefix, hashPrefix(hash))
 		return
 	}
-	d.byPrefix[prefixOf(hash)] = rest
+	d.byPrefix[hashPrefix(hash)] = remaining
 }
--- a/internal/state/indexer/loading.go
+++ b/internal/state/indexer/loading.go
@@ -10,35 +10,37 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Loading is a whole state on its way into a replica, page by page. The replica
-// goes on answering by what it holds until Finish. A node that restarts needs
-// room for its replica and one page, not for the whole state as resources.
+// StateLoad loads a whole state into a replica, page by page. Until Finish the replica
+// keeps answering from its current state. A restarting node therefore needs memory for
+// its replica and one page, not for the whole state as resources. A StateLoad is not
+// safe for concurrent use.
 type StateLoad struct {
-	target *Index
-	// fresh is what has been added.
-	fresh *Index
-	// currents hold the versions declared as current, by the adapter's position:
-	// they come after it. Equal texts are kept once, in names.
-	currents [shardCount]map[uint32]string
-	names    map[string]string
-	members  []Member
-	// changed is the highest revision of a member.
-	changed uint64
-	// suspects are the requests under which backend servers ended.
+	index *Index
+	// staged contains the state added so far.
+	staged *Index
+	// currentVersions are the versions declared as current, by the adapter's position.
+	// They are set in Finish, since versions are added after their adapter. Equal
+	// strings are stored once, in internedVersions.
+	currentVersions  [shardCount]map[uint32]string
+	internedVersions map[string]string
+	members          []Member
+	// membersRevision is the highest revision of a member.
+	membersRevision uint64
+	// suspects are the requests during which backend servers ended.
 	suspects []storer.Change
 }
 
-// Begin begins to replace the replica by a whole state.
+// BeginLoad starts to replace the contents of the replica by a whole state.
 func (x *Index) BeginLoad() *StateLoad {
-	l := &StateLoad{target: x, fresh: NewIndex(Settings{}), names: map[string]string{}}
-	for i := range l.currents {
-		l.currents[i] = map[uint32]string{}
+	l := &StateLoad{index: x, staged: NewIndex(Settings{}), internedVersions: map[string]string{}}
+	for i := range l.currentVersions {
+		l.currentVersions[i] = map[uint32]string{}
 	}
 	return l
 }
 
-// Add takes in a page. An adapter must come before its versions, as it does in
-// the order of storer.Store.All.
+// Add adds a page. An adapter must precede its versions, as in the order of
+// storer.Store.All.
 func (l *StateLoad) Add(rs []storer.Resource) error {
 	for i := range rs {
 		if err := l.add(rs[i]); err != nil {
@@ -54,18 +56,18 @@
 	case storer.AdapterSpec:
 		return l.addAdapter(m, spec)
 	case storer.VersionSpec:
-		return l.fresh.applyAdapter(storer.Change{Resource: r})
+		return l.staged.applyAdapter(storer.Change{Resource: r})
 	case storer.KeySpec:
-		return l.fresh.keys.data.put(m, spec)
+		return l.staged.keys.data.put(m, spec)
 	case storer.MemberSpec:
 		l.members = append(l.members, Member{Name: m.Name, Spec: spec})
-		l.changed = max(l.changed, m.Revision)
+		l.membersRevision = max(l.membersRevision, m.Revision)
 	case storer.SuspectSpec:
 		l.suspects = append(l.suspects, storer.Change{Resource: r})
 	case storer.PriorityRuleSpec:
-		l.fresh.spaceShard(m.Workspace).space(m.Workspace).rules.add(m.Name, spec)
+		l.staged.workspaceShard(m.Workspace).workspaceRecord(m.Workspace).rules.add(m.Name, spec)
 	default:
-		l.fresh.spaceShard(m.Workspace).put(r)
+		l.staged.workspaceShard(m.Workspace).put(r)
 	}
 	return nil
 }
@@ -75,36 +77,36 @@
 	spec.Current = ""
 	hash := hashOf(m.Workspace, m.Name)
 	shard := shardOf(hash)
-	data := &l.fresh.adapters[shard].data
+	data := &l.staged.adapters[shard].data
 	if err := data.putAdapter(hash, m, spec); err != nil {
 		return errors.Trace(err)
 	}
 	position, _ := data.find(hash, m.Workspace, m.Name)
 	if current == "" {
-		delete(l.currents[shard], position)
+		delete(l.currentVersions[shard], position)
 		return nil
 	}
-	kept, ok := l.names[current]
+	interned, ok := l.internedVersions[current]
 	if !ok {
-		kept = strings.Clone(current)
-		l.names[kept] = kept
+		interned = strings.Clone(current)
+		l.internedVersions[interned] = interned
 	}
-	l.currents[shard][position] = kept
+	l.currentVersions[shard][position] = interned
 	return nil
 }
 
-// Finish has the replica go over to the state loaded, which is that of a
-// revision. A state older than the replica is refused with ErrStaleSnapshot: a node
-// that fails over to a control host which is behind must not take back what was
-// in force. With an error the replica stays as it was.
+// Finish replaces the contents of the replica by the loaded state, which has the given
+// revision. It refuses a state older than the replica with ErrStaleSnapshot, since a node
+// that fails over to a control host that is behind must not revert to an earlier
+// configuration. On an error the replica is unchanged.
 func (l *StateLoad) Finish(revision uint64) error {
-	x := l.target
-	x.writing.Lock()
-	defer x.writing.Unlock()
+	x := l.index
+	x.writeLock.Lock()
+	defer x.writeLock.Unlock()
 	if revision < x.Revision() {
 		return errors.Trace(ErrStaleSnapshot)
 	}
-	if err := l.settle(); err != nil {
+	if err := l.finalize(); err != nil {
 		return errors.Annotatef(err, "load revision %d", revision)
 	}
 	var none *blamer.List
@@ -113,37 +115,37 @@
 		return errors.Annotatef(err, "load revision %d", revision)
 	}
 	for i := range x.adapters {
-		x.adapters[i].replace(l.fresh.adapters[i].data)
+		x.adapters[i].replace(l.staged.adapters[i].data)
 	}
-	for i := range x.spaces {
-		x.spaces[i].replace(l.fresh.spaces[i].data)
+	for i := range x.workspaces {
+		x.workspaces[i].replace(l.staged.workspaces[i].data)
 	}
-	x.keys.replace(l.fresh.keys.data)
+	x.keys.replace(l.staged.keys.data)
 	if !slices.Equal(x.members.Load().Members, l.members) {
-		x.members.Store(&MemberView{Revision: l.changed, Members: l.members})
+		x.members.Store(&MemberView{Revision: l.membersRevision, Members: l.members})
 	}
 	x.suspects.Store(suspects)
 	x.revision.Store(revision)
 	return nil
 }
 
-// settle ties up what could only be known once all was there, and drops the
-// slack of growing.
-func (l *StateLoad) settle() error {
-	for i := range l.fresh.adapters {
-		data := &l.fresh.adapters[i].data
-		for position, version := range l.currents[i] {
+// finalize completes the staged state after the last page: it sets the current versions,
+// sorts rules and members, and frees unused memory.
+func (l *StateLoad) finalize() error {
+	for i := range l.staged.adapters {
+		data := &l.staged.adapters[i].data
+		for position, version := range l.currentVersions[i] {
 			if err := data.setCurrent(&data.adapters[position], version); err != nil {
 				return errors.Trace(err)
 			}
 		}
-		l.currents[i] = nil
-		if err := l.fresh.adapters[i].rebuild(); err != nil {
+		l.currentVersions[i] = nil
+		if err := l.staged.adapters[i].rebuild(); err != nil {
 			return errors.Trace(err)
 		}
 	}
-	for i := range l.fresh.spaces {
-		for _, p := range l.fresh.spaces[i].data {
+	for i := range l.staged.workspaces {
+		for _, p := range l.staged.workspaces[i].data {
 			p.rules.sort()
 		}
 	}
@@ -151,13 +153,13 @@
 	return nil
 }
 
-// Reset replaces the replica by the whole state at a revision, in any order, as
-// Begin, Add and Finish do.
+// Reset replaces the contents of the replica by the whole state at a revision, as
+// BeginLoad, Add and Finish do. The resources may be in any order.
 func (x *Index) Reset(rs []storer.Resource, revision uint64) error {
 	l := x.BeginLoad()
-	for _, first := range []bool{true, false} {
+	for _, adaptersOnly := range []bool{true, false} {
 		for i := range rs {
-			if (rs[i].Kind == storer.KindAdapter) != first {
+			if (rs[i].Kind == storer.KindAdapter) != adaptersOnly {
 				continue
 			}
 			if err := l.Add(rs[i : i+1]); err != nil {
@@ -168,7 +170,7 @@
 	return l.Finish(revision)
 }
 
-func (s *spaces) replace(data map[string]*space) {
+func (s *workspaces) replace(data map[string]*workspaceRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.data = data
--- a/internal/state/indexer/members.go
+++ b/internal/state/indexer/members.go
@@ -13,17 +13,16 @@
 	Spec storer.MemberSpec
 }
 
-// MemberView is the membership at one revision. It is shared: nobody changes
-// it.
+// MemberView is the membership at one revision. It is immutable, since it is shared.
 type MemberView struct {
-	// Revision is that of the last change of a member.
+	// Revision is the revision of the last change of a member.
 	Revision uint64
 	// Members are sorted by name.
 	Members []Member
 }
 
-// with returns the view after a batch of changes.
-func (v *MemberView) with(revision uint64, changes []storer.Change) *MemberView {
+// withChanges returns the view after a batch of changes. It does not modify v.
+func (v *MemberView) withChanges(revision uint64, changes []storer.Change) *MemberView {
 	members := slices.Clone(v.Members)
 	for _, c := range changes {
 		i, found := slices.BinarySearchFunc(members, c.Resource.Metadata.Name, compareMember)
--- a/internal/state/indexer/model_test.go
+++ b/internal/state/indexer/model_test.go
@@ -24,8 +24,8 @@
 	return rapid.SampledFrom(values).Draw(t, label)
 }
 
-// drawChange returns a command on a small set of names, with texts long enough
-// to cross the arenas' chunks.
+// drawChange returns a command on a small set of names. Its texts are long enough for the
+// arenas to need several chunks.
 func drawChange(t *rapid.T) storer.Command {
 	workspace, adapter := draw(t, "workspace", workspaceNames), draw(t, "adapter", adapterNames)
 	r := storer.Resource{Metadata: storer.Metadata{Workspace: workspace, Name: adapter}}
@@ -50,30 +50,31 @@
 	return storer.PutResource{Resource: r}
 }
 
-// naiveRule picks the rule that counts, as its documentation says.
-func naiveRule(rs []storer.Resource, workspace, adapter, key string) (best storer.PriorityRuleSpec, found bool) {
-	var fit []storer.Resource
+// referenceRule returns the rule that applies to a call, by a direct implementation of
+// the documented order.
+func referenceRule(rs []storer.Resource, workspace, adapter, key string) (best storer.PriorityRuleSpec, found bool) {
+	var matching []storer.Resource
 	for _, r := range rs {
 		if s, ok := r.Spec.(storer.PriorityRuleSpec); ok && r.Metadata.Workspace == workspace &&
 			(s.Adapter == "" || s.Adapter == adapter) && (s.Key == "" || s.Key == key) {
-			fit = append(fit, r)
+			matching = append(matching, r)
 		}
 	}
-	if len(fit) == 0 {
+	if len(matching) == 0 {
 		return best, false
 	}
 	rank := func(r storer.Resource) int {
 		s := r.Spec.(storer.PriorityRuleSpec)
 		return 2*min(1, len(s.Adapter)) + min(1, len(s.Key))
 	}
-	slices.SortFunc(fit, func(a, b storer.Resource) int {
+	slices.SortFunc(matching, func(a, b storer.Resource) int {
 		return cmp.Or(rank(b)-rank(a), strings.Compare(a.Metadata.Name, b.Metadata.Name))
 	})
-	return fit[0].Spec.(storer.PriorityRuleSpec), true
+	return matching[0].Spec.(storer.PriorityRuleSpec), true
 }
 
-// compare checks every lookup against the state as resources.
-func compare(t *rapid.T, x *Index, rs []storer.Resource) {
+// checkLookups compares the result of every lookup with the state as resources.
+func checkLookups(t *rapid.T, x *Index, rs []storer.Resource) {
 	specs := map[storer.Key]storer.Spec{}
 	for _, r := range rs {
 		specs[r.Key()] = r.Spec
@@ -94,7 +95,7 @@
 			}
 			for _, k := range keyNames {
 				got, ok := x.Rule(w, a, k)
-				if want, found := naiveRule(rs, w, a, k); got != want || ok != found {
+				if want, found := referenceRule(rs, w, a, k); got != want || ok != found {
 					t.Fatalf("rule of %s/%s for %q: got %v, want %v", w, a, k, got, want)
 				}
 			}
@@ -110,8 +111,8 @@
 	}
 }
 
-// TestPropertyIndexFollowsStore has a replica follow a store by deltas that may
-// come twice or overlap, by whole states that may be old, and by pages.
+// TestPropertyIndexFollowsStore compares a replica with a store that updates it by deltas,
+// which may be repeated or overlap, by whole states, which may be old, and by pages.
 func TestPropertyIndexFollowsStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := storer.NewStore(storer.Settings{Retention: storer.Retention{HistoryChanges: 6, VersionNameAge: 1, MinEntries: 1}})
@@ -158,18 +159,17 @@
 				old, oldRevision = s.All()
 			}
 			if x.Revision() < held {
-				t.Fatalf("went back from %d to %d", held, x.Revision())
+				t.Fatalf("revision decreased from %d to %d", held, x.Revision())
 			}
 			if rs, revision := s.All(); x.Revision() == revision {
-				compare(t, x, rs)
+				checkLookups(t, x, rs)
 			}
 		}
 	})
 }
 
-// TestReadersSeeWholeTargets has readers resolve while the replica is changed,
-// rebuilt and reset. Run with -race, it shows that what was handed out is never
-// written again.
+// TestReadersSeeWholeTargets resolves concurrently while the replica is changed, rebuilt
+// and reset. With -race it also checks that returned strings are never overwritten.
 func TestReadersSeeWholeTargets(t *testing.T) {
 	x := NewIndex(Settings{})
 	adapter := resource(1, storer.KindAdapter, "a", "x", storer.AdapterSpec{BaseModel: "m", Current: "1"})
--- a/internal/state/indexer/rules.go
+++ b/internal/state/indexer/rules.go
@@ -10,7 +10,7 @@
 
 // ruleRecord is one priority rule.
 type ruleRecord struct {
-	// text is ADAPTER, KEY and NAME, joined.
+	// text is the concatenation of ADAPTER, KEY and NAME.
 	text           textRef
 	deadlineMillis uint32
 	adapterLen     uint8
@@ -19,8 +19,8 @@
 	priority       uint8
 }
 
-// rules are the priority rules of one workspace, sorted by adapter, key and
-// name, so that the first of those with one match is the one that counts.
+// rules are the priority rules of one workspace, sorted by adapter, key and name. Among
+// rules with the same adapter and key, the first one applies.
 type rules struct {
 	texts   arena
 	records []ruleRecord
@@ -31,14 +31,14 @@
 }
 
 func (r *rules) key(i int) string {
-	return r.whole(i)[int(r.records[i].adapterLen) : int(r.records[i].adapterLen)+int(r.records[i].keyLen)]
+	return r.fullText(i)[int(r.records[i].adapterLen) : int(r.records[i].adapterLen)+int(r.records[i].keyLen)]
 }
 
 func (r *rules) name(i int) string {
-	return r.whole(i)[int(r.records[i].adapterLen)+int(r.records[i].keyLen):]
+	return r.fullText(i)[int(r.records[i].adapterLen)+int(r.records[i].keyLen):]
 }
 
-func (r *rules) whole(i int) string { return r.texts.text(r.records[i].text, r.records[i].length()) }
+func (r *rules) fullText(i int) string { return r.texts.text(r.records[i].text, r.records[i].length()) }
 
 func (r ruleRecord) length() int { return int(r.adapterLen) + int(r.keyLen) + int(r.nameLen) }
 
@@ -63,7 +63,8 @@
 	return strings.Compare(r.name(i), name)
 }
 
-// position returns the place of the first rule not before adapter, key and name.
+// position returns the index of the first rule that does not sort before adapter, key
+// and name.
 func (r *rules) position(adapter, key, name string) int {
 	low, high := 0, len(r.records)
 	for low < high {
@@ -79,9 +80,9 @@
 
 // find returns the most specific rule for a call.
 func (r *rules) find(adapter, key string) (storer.PriorityRuleSpec, bool) {
-	i, ok := r.findOf(adapter, key)
+	i, ok := r.findExact(adapter, key)
 	if !ok && adapter != "" {
-		i, ok = r.findOf("", key)
+		i, ok = r.findExact("", key)
 	}
 	if !ok {
 		return storer.PriorityRuleSpec{}, false
@@ -89,9 +90,9 @@
 	return r.spec(i), true
 }
 
-// findOf returns the rule for the key among those that name exactly the
-// adapter; failing that, the one for all keys.
-func (r *rules) findOf(adapter, key string) (int, bool) {
+// findExact returns the index of the rule for the key among those that name exactly this
+// adapter, or else of the one for all keys.
+func (r *rules) findExact(adapter, key string) (int, bool) {
 	first := r.position(adapter, "", "")
 	if first == len(r.records) || r.adapter(first) != adapter {
 		return 0, false
@@ -105,8 +106,8 @@
 	return first, r.records[first].keyLen == 0
 }
 
-// record adds the rule's text.
-func (r *rules) record(name string, s storer.PriorityRuleSpec) ruleRecord {
+// newRecord returns the record of a rule and adds its text to the arena.
+func (r *rules) newRecord(name string, s storer.PriorityRuleSpec) ruleRecord {
 	return ruleRecord{
 		text:           r.texts.add(s.Adapter, s.Key, name),
 		deadlineMillis: uint32(s.DeadlineMillis),
@@ -126,33 +127,34 @@
 	r.remove(name)
 	i = r.position(s.Adapter, s.Key, name)
 	if len(r.records) == cap(r.records) {
-		// By itself it would grow to twice its size, in every workspace.
+		// Grow by 1/8: append would double the capacity, in every workspace.
 		r.records = append(make([]ruleRecord, 0, len(r.records)*9/8+1), r.records...)
 	}
-	r.records = slices.Insert(r.records, i, r.record(name, s))
+	r.records = slices.Insert(r.records, i, r.newRecord(name, s))
 }
 
-// remove takes out the rule with a name. Changes are rare and a workspace's
-// rules few, so it looks through them.
+// remove removes the rule with the name. It searches linearly, since changes are rare
+// and a workspace has few rules.
 func (r *rules) remove(name string) {
 	for i := range r.records {
 		if r.name(i) == name {
-			r.texts.drop(r.records[i].length())
+			r.texts.release(r.records[i].length())
 			r.records = slices.Delete(r.records, i, i+1)
 			break
 		}
 	}
-	if r.texts.wasteful() {
-		*r = r.rebuilt()
+	if r.texts.needsCompaction() {
+		*r = r.compacted()
 	}
 }
 
-// add appends a rule out of order; sort follows.
+// add appends a rule without keeping the order. The caller calls sort before any lookup,
+// unless it adds the rules in order.
 func (r *rules) add(name string, s storer.PriorityRuleSpec) {
-	r.records = append(r.records, r.record(name, s))
+	r.records = append(r.records, r.newRecord(name, s))
 }
 
-// sort puts rules that were added into their order.
+// sort sorts the rules after calls of add.
 func (r *rules) sort() {
 	type named struct {
 		name string
@@ -169,21 +171,21 @@
 			strings.Compare(a.name, b.name),
 		)
 	})
-	fresh := r.emptied()
+	fresh := r.emptyCopy()
 	for i := range sorted {
 		fresh.add(sorted[i].name, sorted[i].spec)
 	}
 	*r = fresh
 }
 
-// emptied returns room for what r holds, without slack.
-func (r *rules) emptied() rules {
-	return rules{texts: arena{expected: r.texts.live}, records: make([]ruleRecord, 0, len(r.records))}
+// emptyCopy returns empty rules with exactly the capacity for the rules in r.
+func (r *rules) emptyCopy() rules {
+	return rules{texts: arena{expectedBytes: r.texts.liveBytes}, records: make([]ruleRecord, 0, len(r.records))}
 }
 
-// rebuilt returns the same rules without dropped texts.
-func (r *rules) rebuilt() rules {
-	fresh := r.emptied()
+// compacted returns the same rules without released texts.
+func (r *rules) compacted() rules {
+	fresh := r.emptyCopy()
 	for i := range r.records {
 		fresh.add(r.name(i), r.spec(i))
 	}
--- a/internal/state/indexer/spaces.go
+++ b/internal/state/indexer/spaces.go
@@ -7,24 +7,25 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// spaces is one shard of what belongs to workspaces, beside their adapters.
-type spaces struct {
+// workspaces is one shard of the workspaces with their services and rules. Adapters are
+// stored separately.
+type workspaces struct {
 	mu sync.RWMutex
-	// data holds the workspaces by name; guarded by mu.
-	data map[string]*space
+	// data contains the workspaces by name; guarded by mu.
+	data map[string]*workspaceRecord
 }
 
-// space is one workspace.
-type space struct {
+// workspaceRecord is one workspace.
+type workspaceRecord struct {
 	spec     storer.WorkspaceSpec
 	services map[string]storer.ServiceSpec
 	rules    rules
 }
 
-// put applies the write of a workspace, a service or a rule. The caller holds
-// mu for writing, or the shard is not yet in use.
-func (s *spaces) put(r storer.Resource) {
-	p := s.space(r.Metadata.Workspace)
+// put adds or replaces a workspace, a service or a rule. The caller holds mu for
+// writing, or the shard is not yet in use.
+func (s *workspaces) put(r storer.Resource) {
+	p := s.workspaceRecord(r.Metadata.Workspace)
 	switch spec := r.Spec.(type) {
 	case storer.WorkspaceSpec:
 		p.spec = spec
@@ -38,18 +39,19 @@
 	}
 }
 
-// space has no lock of its own. The caller holds mu.
-func (s *spaces) space(workspace string) *space {
+// workspaceRecord returns the record of a workspace, and adds it if it is missing. The
+// caller holds mu.
+func (s *workspaces) workspaceRecord(workspace string) *workspaceRecord {
 	p, ok := s.data[workspace]
 	if !ok {
-		p = &space{}
+		p = &workspaceRecord{}
 		s.data[strings.Clone(workspace)] = p
 	}
 	return p
 }
 
-// remove has no lock of its own. The caller holds mu.
-func (s *spaces) remove(r storer.Resource) {
+// remove removes a workspace, a service or a rule. The caller holds mu.
+func (s *workspaces) remove(r storer.Resource) {
 	p, ok := s.data[r.Metadata.Workspace]
 	if !ok {
 		return
--- a/internal/state/indexer/table.go
+++ b/internal/state/indexer/table.go
@@ -1,34 +1,36 @@
 package indexer
 
 const (
-	// positionBits is the number of bits of a record's position in a slot; the
-	// rest is a tag of the record's hash.
+	// positionBits is the number of bits of a slot for the record's position; the
+	// other bits are a tag from the record's hash.
 	positionBits = 20
 	positionMask = 1<<positionBits - 1
 	// tombstone marks a slot whose record was removed.
 	tombstone = 1<<32 - 1
-	// maxRecords is the number of records one table can hold.
+	// maxRecords is the maximum number of records in one table.
 	maxRecords = positionMask - 1
 
 	minSlots = 8
 )
 
-// table is a hash table with open addressing from hashes to record positions.
-// The records lie elsewhere, as does the comparison of their names: a slot's
-// tag spares all but one comparison in 4096 of those that would fail.
+// table is a hash table with open addressing that maps hashes to record positions. The
+// records are stored elsewhere, and the caller compares their names. The 12-bit tag of a
+// slot avoids all but one in 4096 of the comparisons that would fail.
 type table struct {
-	// slots are zero when empty, tombstone, or tag and position plus one. Their
-	// number is zero or a power of two, and a quarter of them or more is empty.
+	// slots contains 0 for an empty slot, tombstone, or a tag and a position plus one.
+	// The number of slots is 0 or a power of two; at least a quarter of them is empty.
 	slots []uint32
-	// used counts the slots that are not empty, live those with a record.
-	used, live int
+	// usedSlots is the number of slots that are not empty, including tombstones;
+	// liveSlots is the number of slots with a record.
+	usedSlots, liveSlots int
 }
 
-func slotOf(hash uint64, position uint32) uint32 {
+func makeSlot(hash uint64, position uint32) uint32 {
 	return tagOf(hash)<<positionBits | (position + 1)
 }
 
-// tagOf takes bits which choose neither the shard nor the first slot.
+// tagOf returns the tag of a hash. It uses bits that determine neither the shard nor the
+// first slot.
 func tagOf(hash uint64) uint32 { return uint32(hash>>32) & (1<<(32-positionBits) - 1) }
 
 // find returns the position of the record with the hash for which equal holds.
@@ -47,14 +49,14 @@
 	return 0, false
 }
 
-// insert adds a record which the table does not hold. hashOf gives the hash of
-// a record that it does hold.
+// insert adds a record that is not in the table. hashOf returns the hash of a record that
+// is already in the table.
 func (t *table) insert(hash uint64, position uint32, hashOf func(position uint32) uint64) {
 	if position >= maxRecords {
 		panic("indexer: too many records in one shard")
 	}
-	if 4*(t.used+1) > 3*len(t.slots) {
-		t.resize(t.live+1, hashOf)
+	if 4*(t.usedSlots+1) > 3*len(t.slots) {
+		t.resize(t.liveSlots+1, hashOf)
 	}
 	t.put(hash, position)
 }
@@ -65,31 +67,31 @@
 	for t.slots[i] != 0 {
 		i = (i + 1) & mask
 	}
-	t.slots[i] = slotOf(hash, position)
-	t.used++
-	t.live++
+	t.slots[i] = makeSlot(hash, position)
+	t.usedSlots++
+	t.liveSlots++
 }
 
-// remove takes out the record at a position.
+// remove removes the record with the hash at a position.
 func (t *table) remove(hash uint64, position uint32) {
 	mask := uint64(len(t.slots) - 1)
 	for i := hash & mask; t.slots[i] != 0; i = (i + 1) & mask {
-		if t.slots[i] == slotOf(hash, position) {
+		if t.slots[i] == makeSlot(hash, position) {
 			t.slots[i] = tombstone
-			t.live--
+			t.liveSlots--
 			return
 		}
 	}
 }
 
-// resize makes room for n records.
+// resize rebuilds the table with room for n records and without tombstones.
 func (t *table) resize(n int, hashOf func(position uint32) uint64) {
 	old := t.slots
 	size := minSlots
 	for 3*size < 4*(n+1) {
 		size *= 2
 	}
-	t.slots, t.used, t.live = make([]uint32, size), 0, 0
+	t.slots, t.usedSlots, t.liveSlots = make([]uint32, size), 0, 0
 	for _, s := range old {
 		if s != 0 && s != tombstone {
 			position := s&positionMask - 1
--- a/internal/state/indexer/table_test.go
+++ b/internal/state/indexer/table_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPropertyTable runs a table whose records collide against a map. The
-// records' hashes are their values.
+// TestPropertyTable compares a table, whose records collide, with a map. The value of a
+// record is its hash.
 func TestPropertyTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d table
@@ -18,7 +18,7 @@
 		}
 		held := map[uint64]uint32{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			// Hashes agree in their low bits, and some in their tags too.
+			// Many hashes have equal low bits, and some also have equal tags.
 			h := rapid.Uint64Range(0, 20).Draw(t, "hash")<<43 | rapid.Uint64Range(0, 3).Draw(t, "slot")
 			position, ok := find(h)
 			if want, exists := held[h]; ok != exists || ok && position != want {
--- a/internal/state/indexer/target.go
+++ b/internal/state/indexer/target.go
@@ -11,12 +11,13 @@
 	// ErrNoCurrent means that the call names no version and the adapter
 	// declares none as current.
 	ErrNoCurrent = errors.ConstError("adapter without a current version")
-	// ErrStaleSnapshot means that a snapshot is older than the replica.
+	// ErrStaleSnapshot means that a snapshot is older than the replica. It is an
+	// error of StateLoad.Finish and Index.Reset, not of Resolve.
 	ErrStaleSnapshot = errors.ConstError("snapshot older than the replica")
 )
 
-// Target is one adapter version as a call resolves to it. Its texts are parts
-// of the replica's own and stay valid.
+// Target is the adapter version to which a call resolves. Its strings refer to memory of
+// the replica and stay valid.
 type Target struct {
 	Workspace string
 	Adapter   string
@@ -28,13 +29,13 @@
 	BaseModel string
 }
 
-// Model is one line of a workspace's list of models.
+// Model is one entry of a workspace's list of models.
 type Model struct {
 	// Name is WORKSPACE/ADAPTER@VERSION.
 	Name      string
 	Adapter   string
 	Version   string
 	BaseModel string
-	// Current means that calls which name no version get this one.
+	// Current reports whether calls that name no version resolve to this one.
 	Current bool
 }
