--- a/internal/state/configurer/check.go
+++ b/internal/state/configurer/check.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxName is the greatest length of a name, that of a DNS label.
-const maxName = 63
+// maxNameLength is the maximum length of a name in bytes, which is that of a DNS label.
+const maxNameLength = 63
 
-// Bounds that several settings share.
+// Limits used for several settings.
 const (
 	minInterval = Duration(time.Millisecond)
 	maxInterval = Duration(time.Minute)
@@ -22,9 +22,9 @@
 	maxTokens   = 1 << 40
 )
 
-// Check returns the problems of s, without places; nil where there are none. It
-// takes defaults for zero values, and looks only at the sections of the roles
-// that s names. It reads no files.
+// Check returns the problems of s, without line and column, or nil. It uses the defaults
+// for zero values, and checks only the sections of the roles in s.Roles. It reads no
+// files.
 func (s Settings) Check() []Problem {
 	s = s.WithDefaults()
 	c := &checker{}
@@ -43,7 +43,7 @@
 		c.companion(s.Companion, s.Stop)
 	}
 	if s.HasRole(RoleControl) && s.HasRole(RoleCompanion) && 3*s.Companion.HeartbeatInterval > s.Control.MemberLease {
-		c.fault("Companion.HeartbeatInterval", "more than a third of Control.MemberLease, %v, so that one late heartbeat ends it", s.Control.MemberLease)
+		c.addProblem("Companion.HeartbeatInterval", "more than a third of Control.MemberLease, %v, so that one late heartbeat ends it", s.Control.MemberLease)
 	}
 	c.operators(s.Operators)
 	c.peers(s.Peers)
@@ -61,31 +61,31 @@
 	problems []Problem
 }
 
-// fault adds a problem.
-func (c *checker) fault(path, format string, args ...any) {
+// addProblem adds a problem of the field at path.
+func (c *checker) addProblem(path, format string, args ...any) {
 	c.problems = append(c.problems, Problem{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
 // name checks a name: 1 to 63 letters, digits, hyphens, underscores and dots.
 func (c *checker) name(path, value string) {
 	if value == "" {
-		c.fault(path, "required")
+		c.addProblem(path, "required")
 		return
 	}
-	if len(value) > maxName {
-		c.fault(path, "longer than %d characters", maxName)
+	if len(value) > maxNameLength {
+		c.addProblem(path, "longer than %d characters", maxNameLength)
 		return
 	}
 	for _, r := range value {
 		if !isNameRune(r) {
-			c.fault(path, "%q holds %q; a name has letters, digits, '-', '_' and '.'", value, r)
+			c.addProblem(path, "%q holds %q; a name has letters, digits, '-', '_' and '.'", value, r)
 			return
 		}
 	}
 }
 
-// IsName tells whether s is a name as the settings take it: 1 to 63 letters,
-// digits, hyphens, underscores and dots.
+// IsName reports whether s is a valid name in settings: 1 to 63 letters, digits,
+// hyphens, underscores and dots.
 func IsName(s string) bool {
 	c := &checker{}
 	c.name("", s)
@@ -96,29 +96,29 @@
 	return 'a' <= r && r <= 'z' || 'A' <= r && r <= 'Z' || '0' <= r && r <= '9' || r == '-' || r == '_' || r == '.'
 }
 
-// address checks an IP and port, and returns it; ok is false after a fault. It
-// takes only the canonical form, so that equal addresses are equal strings.
+// address checks and returns an IP and port; ok is false if they are invalid. It accepts
+// only the canonical form, so that equal addresses are equal strings.
 func (c *checker) address(path, value string) (a netip.AddrPort, ok bool) {
 	if value == "" {
-		c.fault(path, "required")
+		c.addProblem(path, "required")
 		return a, false
 	}
 	a, err := netip.ParseAddrPort(value)
 	if err != nil || a.String() != value {
-		c.fault(path, `%q is no IP and port, such as "10.20.1.5:7400"`, value)
+		c.addProblem(path, `%q is no IP and port, such as "10.20.1.5:7400"`, value)
 		return a, false
 	}
 	return a, true
 }
 
-// peer checks an address that other processes, or this one, connect to.
-func (c *checker) peer(path, value string) (a netip.AddrPort, ok bool) {
+// connectAddress checks an address to which this or another process connects.
+func (c *checker) connectAddress(path, value string) (a netip.AddrPort, ok bool) {
 	a, ok = c.address(path, value)
 	if !ok {
 		return a, false
 	}
 	if a.Addr().IsUnspecified() || a.Addr().IsMulticast() || a.Port() == 0 {
-		c.fault(path, "%q is no address to connect to", value)
+		c.addProblem(path, "%q is no address to connect to", value)
 		return a, false
 	}
 	return a, true
@@ -128,47 +128,47 @@
 func (c *checker) path(path, value string) {
 	switch {
 	case value == "":
-		c.fault(path, "required")
+		c.addProblem(path, "required")
 	case !filepath.IsAbs(value):
-		c.fault(path, "%q is no absolute path", value)
+		c.addProblem(path, "%q is no absolute path", value)
 	}
 }
 
-// roles checks that roles names at least one, and none twice.
+// roles checks that there is at least one role and no role is given twice.
 func (c *checker) roles(roles []Role) {
 	if len(roles) == 0 {
-		c.fault("Roles", "required")
+		c.addProblem("Roles", "required")
 	}
 	seen := make(map[Role]bool, len(roles))
 	for i, r := range roles {
-		path := element("Roles", i)
+		path := elementPath("Roles", i)
 		if seen[r] {
-			c.fault(path, "%v given twice", r)
+			c.addProblem(path, "%v given twice", r)
 		}
 		seen[r] = true
 		checkEnum(c, path, r, RoleControl)
 	}
 }
 
-// controlHosts checks that hosts are complete and differ in identity and
-// address: two hosts with one identity would vote twice.
+// controlHosts checks that hosts are complete and differ in ID and address: two hosts
+// with the same ID would vote twice.
 func (c *checker) controlHosts(hosts []ControlHost) {
 	if len(hosts) == 0 {
-		c.fault("ControlHosts", "required")
+		c.addProblem("ControlHosts", "required")
 	}
 	identities := make(map[uint64]bool, len(hosts))
 	addresses := make(map[string]bool, len(hosts))
 	for i, h := range hosts {
-		path := element("ControlHosts", i)
+		path := elementPath("ControlHosts", i)
 		switch {
 		case h.ID == 0:
-			c.fault(path+".ID", "required, from 1")
+			c.addProblem(path+".ID", "required, from 1")
 		case identities[h.ID]:
-			c.fault(path+".ID", "%d given twice", h.ID)
+			c.addProblem(path+".ID", "%d given twice", h.ID)
 		}
 		identities[h.ID] = true
-		if _, ok := c.peer(path+".Address", h.Address); ok && addresses[h.Address] {
-			c.fault(path+".Address", "%q given twice", h.Address)
+		if _, ok := c.connectAddress(path+".Address", h.Address); ok && addresses[h.Address] {
+			c.addProblem(path+".Address", "%q given twice", h.Address)
 		}
 		addresses[h.Address] = true
 		c.name(path+".FailureDomain", h.FailureDomain)
@@ -176,19 +176,19 @@
 	}
 }
 
-// operators checks the operators' listener.
+// operators checks the section Operators.
 func (c *checker) operators(o OperatorsSettings) {
 	a, ok := c.address("Operators.Listen", o.Listen)
 	switch {
 	case o.KeyFile != "":
 		c.path("Operators.KeyFile", o.KeyFile)
 	case ok && !a.Addr().IsLoopback():
-		c.fault("Operators.KeyFile", "required, since Operators.Listen is not on the loopback")
+		c.addProblem("Operators.KeyFile", "required, since Operators.Listen is not on the loopback")
 	}
 }
 
-// listeners checks that no two listeners of the process share an address, of
-// which the second could not open.
+// listeners checks that no two listeners of the process have the same address, since the
+// second one could not be opened.
 func (c *checker) listeners(s Settings) {
 	listeners := []struct {
 		path, address string
@@ -206,30 +206,29 @@
 			continue
 		}
 		if other, ok := paths[l.address]; ok {
-			c.fault(l.path, "%q is %s already", l.address, other)
+			c.addProblem(l.path, "%q is %s already", l.address, other)
 		}
 		paths[l.address] = l.path
 	}
 }
 
-// element returns the path of the element i of the array at path.
-func element(path string, i int) string {
+// elementPath returns the path of element i of the array at path.
+func elementPath(path string, i int) string {
 	return path + "[" + strconv.Itoa(i) + "]"
 }
 
-// checkRange checks that value lies between low and high, both included; NaN
-// doesn't.
+// checkRange checks that value is between low and high, inclusive. NaN is refused.
 func checkRange[T cmp.Ordered](c *checker, path string, value, low, high T) {
 	if value >= low && value <= high {
 		return
 	}
-	c.fault(path, "%v is not between %v and %v", value, low, high)
+	c.addProblem(path, "%v is not between %v and %v", value, low, high)
 }
 
-// checkEnum checks that value lies between zero and last, which a value set by a
-// program may not.
+// checkEnum checks that value is between 0 and last. Values from a settings file are,
+// but a program may set others.
 func checkEnum[T enum](c *checker, path string, value, last T) {
 	if value < 0 || value > last {
-		c.fault(path, "%d is no %T", int(value), value)
+		c.addProblem(path, "%d is no %T", int(value), value)
 	}
 }
--- a/internal/state/configurer/companion.go
+++ b/internal/state/configurer/companion.go
@@ -19,97 +19,98 @@
 	DefaultDrainTimeout         = Duration(3 * time.Minute)
 )
 
-// CompanionSettings are the settings of a companion, which stands beside one
-// backend server.
+// CompanionSettings are the settings of a companion, which manages one backend server.
 type CompanionSettings struct {
 	// Listen is the IP and port on which entries reach this companion. The
-	// companion announces it, so that the IP is never the unspecified one.
+	// companion announces it, so that the IP must not be the unspecified address.
 	// Required.
 	Listen string
 
 	// Kind is the kind of the backend server; BackendKindEngine by default.
 	Kind BackendKind
 
-	// EngineAddress is the IP and port of the engine, where BackendKindEngine is
-	// set. On the loopback unless ChecksFencing is set: an engine that takes orders
-	// from anybody must not be reachable by anybody. With neither this nor
-	// ServiceAddress the companion waits until its backend server announces itself.
+	// EngineAddress is the IP and port of the engine if Kind is BackendKindEngine.
+	// It must be a loopback address unless ChecksFencing is set, since an engine that
+	// accepts orders from any sender must not be reachable over the network. Without
+	// EngineAddress and ServiceAddress, the companion waits until its backend server
+	// announces itself.
 	EngineAddress string
 
-	// ServiceAddress is the IP and port of the plain service, where
-	// BackendKindService is set.
+	// ServiceAddress is the IP and port of the plain service if Kind is
+	// BackendKindService.
 	ServiceAddress string
 
 	// ServiceName is the name under which operators declared the plain service.
 	// Required with ServiceAddress; an announcement must not contradict it.
 	ServiceName string
 
-	// BaseModel is the base model that the engine runs. Required with
-	// EngineAddress; an announcement must not contradict it.
+	// BaseModel is the base model of the engine. Required with EngineAddress; an
+	// announcement must not contradict it.
 	BaseModel string
 
-	// Slots is the number of adapters that the engine holds at once. Zero, the
-	// default, takes the number that the engine announces.
+	// Slots is the maximum number of adapters loaded in the engine. If it is 0, the
+	// default, the number that the engine announces is used.
 	Slots int
 
-	// MaxBatch is the number of requests that the backend server runs at once.
-	// Zero, the default, takes the number that the backend server announces.
+	// MaxBatch is the maximum number of requests that the backend server runs
+	// concurrently. If it is 0, the default, the number that the backend server
+	// announces is used.
 	MaxBatch int
 
-	// ChecksFencing tells that the engine refuses an order with an old fencing
-	// number.
+	// ChecksFencing states that the engine refuses an order with an outdated
+	// fencing number.
 	ChecksFencing bool
 
-	// OrderLife is the longest time for which an order sent to the engine can
-	// still take effect. A companion that starts beside an engine without
-	// fencing waits it out; DefaultOrderLife by default.
+	// OrderLife is the maximum time after which an order sent to the engine can
+	// still take effect; DefaultOrderLife by default. A companion waits for this time
+	// when it starts with an engine without fencing.
 	OrderLife Duration
 
 	// HeartbeatInterval is the time between two renewals of the membership;
 	// DefaultCompanionHeartbeat by default.
 	HeartbeatInterval Duration
 
-	// AnswerBuffer bounds the memory for answers that no entry has
+	// AnswerBuffer is the maximum size of the buffer for answers that no entry has
 	// acknowledged; DefaultAnswerBuffer by default.
 	AnswerBuffer Size
 
-	// AnswerRetention is the time for which an answer is kept for an entry
-	// that comes back; DefaultAnswerRetention by default.
+	// AnswerRetention is the time for which an answer is retained for an entry that
+	// reconnects; DefaultAnswerRetention by default.
 	AnswerRetention Duration
 
-	// QueueLimit is the number of requests that wait at once;
-	// DefaultQueueLimit by default.
+	// QueueLimit is the maximum number of queued requests; DefaultQueueLimit by
+	// default.
 	QueueLimit int
 
-	// QueueTokens is the number of tokens, by estimate, of the requests that
-	// wait at once; DefaultCompanionQueueTokens by default.
+	// QueueTokens is the maximum estimated number of tokens of the queued requests;
+	// DefaultCompanionQueueTokens by default.
 	QueueTokens int64
 
-	// StaticLoadRate is the number of loads per second that this companion
-	// allows itself where Control can't be reached; DefaultStaticLoadRate by
-	// default. The sum over all companions stays under Control's StoreRate.
+	// StaticLoadRate is the number of loads per second that this companion may start
+	// while it can't reach a control host; DefaultStaticLoadRate by default. The sum
+	// over all companions should be less than ControlSettings.StoreRate.
 	StaticLoadRate float64
 
-	// LoadBackoff is the wait after a failed load.
+	// LoadBackoff is the backoff after failed loads.
 	LoadBackoff BackoffSettings
 
-	// Prefetch has adapters that are heating up loaded while the weight store
-	// is idle.
+	// Prefetch enables the loading of adapters with rising demand while the weight
+	// store is idle.
 	Prefetch bool
 
-	// DrainTimeout is the longest time that a leaving backend server waits for
+	// DrainTimeout is the maximum time for which a leaving backend server waits for
 	// its requests; DefaultDrainTimeout by default.
 	DrainTimeout Duration
 }
 
-// BackoffSettings describe an exponential wait with jitter.
+// BackoffSettings describe an exponential backoff with jitter.
 type BackoffSettings struct {
 	// Initial is the wait after the first failure; DefaultBackoffInitial by
 	// default.
 	Initial Duration
 
-	// Max is the longest wait, no less than Initial; DefaultBackoffMax by
-	// default.
+	// Max is the longest wait, at least Initial; by default DefaultBackoffMax, or
+	// Initial if that is longer.
 	Max Duration
 }
 
@@ -127,8 +128,8 @@
 	return c
 }
 
-// BackendAddress returns the address of the backend server of c.Kind; empty where
-// the companion waits for an announcement.
+// BackendAddress returns the address of the backend server according to c.Kind. It is
+// empty if the companion waits for an announcement.
 func (c CompanionSettings) BackendAddress() string {
 	if c.Kind == BackendKindService {
 		return c.ServiceAddress
@@ -139,7 +140,7 @@
 // companion checks the section Companion.
 func (c *checker) companion(m CompanionSettings, stop StopSettings) {
 	if a, ok := c.address("Companion.Listen", m.Listen); ok && a.Addr().IsUnspecified() {
-		c.fault("Companion.Listen", "%q can't be announced to entries; name the IP that they reach", m.Listen)
+		c.addProblem("Companion.Listen", "%q can't be announced to entries; name the IP that they reach", m.Listen)
 	}
 	checkEnum(c, "Companion.Kind", m.Kind, BackendKindService)
 	switch m.Kind {
@@ -156,19 +157,19 @@
 	checkRange(c, "Companion.QueueTokens", m.QueueTokens, 1, maxTokens)
 	checkRange(c, "Companion.DrainTimeout", m.DrainTimeout, minInterval, maxTimeout)
 	if stop.GracePeriod < m.DrainTimeout {
-		c.fault("Stop.GracePeriod", "%v is shorter than Companion.DrainTimeout, %v, so that a planned stop cuts requests off", stop.GracePeriod, m.DrainTimeout)
+		c.addProblem("Stop.GracePeriod", "%v is shorter than Companion.DrainTimeout, %v, so that a planned stop cuts requests off", stop.GracePeriod, m.DrainTimeout)
 	}
 }
 
-// engine checks what only a companion beside an engine has.
+// engine checks the settings that only apply to a companion of an engine.
 func (c *checker) engine(m CompanionSettings) {
-	if !m.awaits() {
-		a, ok := c.peer("Companion.EngineAddress", m.EngineAddress)
+	if !m.awaitsAnnouncement() {
+		a, ok := c.connectAddress("Companion.EngineAddress", m.EngineAddress)
 		if ok && !m.ChecksFencing && !a.Addr().IsLoopback() {
-			c.fault("Companion.EngineAddress", "%q is not on the loopback, which an engine that doesn't check fencing numbers needs", m.EngineAddress)
+			c.addProblem("Companion.EngineAddress", "%q is not on the loopback, which an engine that doesn't check fencing numbers needs", m.EngineAddress)
 		}
 		if m.BaseModel == "" {
-			c.fault("Companion.BaseModel", "required")
+			c.addProblem("Companion.BaseModel", "required")
 		}
 	}
 	checkRange(c, "Companion.Slots", m.Slots, 0, maxCount)
@@ -178,17 +179,18 @@
 	checkRange(c, "Companion.LoadBackoff.Max", m.LoadBackoff.Max, m.LoadBackoff.Initial, maxTimeout)
 }
 
-// service checks what only a companion beside a plain service has.
+// service checks the settings that only apply to a companion of a plain service.
 func (c *checker) service(m CompanionSettings) {
-	if !m.awaits() {
-		c.peer("Companion.ServiceAddress", m.ServiceAddress)
+	if !m.awaitsAnnouncement() {
+		c.connectAddress("Companion.ServiceAddress", m.ServiceAddress)
 	}
-	if !m.awaits() || m.ServiceName != "" {
+	if !m.awaitsAnnouncement() || m.ServiceName != "" {
 		c.name("Companion.ServiceName", m.ServiceName)
 	}
 }
 
-// awaits tells whether the settings leave the address to an announcement.
-func (c CompanionSettings) awaits() bool {
+// awaitsAnnouncement reports whether the address of the backend server is not set and
+// therefore comes from an announcement.
+func (c CompanionSettings) awaitsAnnouncement() bool {
 	return c.EngineAddress == "" && c.ServiceAddress == ""
 }
--- a/internal/state/configurer/decoder.go
+++ b/internal/state/configurer/decoder.go
@@ -12,90 +12,90 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder puts the tree of a settings file into a struct. It differs from
-// encoding/json by what it refuses (unknown and doubled fields, names in another
-// case, nulls) and by going on after a fault, with the place of each.
+// decoder decodes the syntax tree of a settings file into a struct. Unlike encoding/json
+// it refuses unknown and duplicate fields, names in a different case, and nulls. It
+// continues after an error and records the location of each.
 type decoder struct {
 	data     []byte
 	problems []Problem
 
-	// places holds the offset in data of each value by its field path.
-	places map[string]int
+	// offsets contains the offset in data of each value by its field path.
+	offsets map[string]int
 }
 
-// object puts the members of o into the struct s.
-func (d *decoder) object(path string, o *hujson.Object, s reflect.Value) {
+// object decodes the members of o into the struct target.
+func (d *decoder) object(path string, o *hujson.Object, target reflect.Value) {
 	seen := make(map[string]bool, len(o.Members))
 	for _, m := range o.Members {
 		name := m.Name.Value.(hujson.Literal).String()
-		field := join(path, name)
-		f, ok := s.Type().FieldByName(name)
+		field := joinPath(path, name)
+		f, ok := target.Type().FieldByName(name)
 		switch {
 		case seen[name]:
-			d.fault(field, m.Name.StartOffset, "field given twice")
+			d.addProblem(field, m.Name.StartOffset, "field given twice")
 		case !ok || !f.IsExported():
-			d.fault(field, m.Name.StartOffset, "unknown field")
+			d.addProblem(field, m.Name.StartOffset, "unknown field")
 		default:
-			d.value(field, m.Value, s.FieldByIndex(f.Index))
+			d.value(field, m.Value, target.FieldByIndex(f.Index))
 		}
 		seen[name] = true
 	}
 }
 
-// value puts v into the settable value into, by the kind of the latter.
-func (d *decoder) value(path string, v hujson.Value, into reflect.Value) {
-	d.places[path] = v.StartOffset
-	if want := wanted(into); want != given(v.Value.Kind()) {
-		d.fault(path, v.StartOffset, "%s where %s%s is wanted", given(v.Value.Kind()), want, unit(into))
+// value decodes v into the settable value target, according to the kind of target.
+func (d *decoder) value(path string, v hujson.Value, target reflect.Value) {
+	d.offsets[path] = v.StartOffset
+	if want := expectedKind(target); want != actualKind(v.Value.Kind()) {
+		d.addProblem(path, v.StartOffset, "%s where %s%s is wanted", actualKind(v.Value.Kind()), want, unitHint(target))
 		return
 	}
 	switch n := v.Value.(type) {
 	case *hujson.Object:
-		d.object(path, n, into)
+		d.object(path, n, target)
 	case *hujson.Array:
-		into.Set(reflect.MakeSlice(into.Type(), len(n.Elements), len(n.Elements)))
+		target.Set(reflect.MakeSlice(target.Type(), len(n.Elements), len(n.Elements)))
 		for i, e := range n.Elements {
-			d.value(path+"["+strconv.Itoa(i)+"]", e, into.Index(i))
+			d.value(path+"["+strconv.Itoa(i)+"]", e, target.Index(i))
 		}
 	case hujson.Literal:
-		d.literal(path, v.StartOffset, n, into)
+		d.literal(path, v.StartOffset, n, target)
 	}
 }
 
-// literal puts l, which has the kind that into wants, into it.
-func (d *decoder) literal(path string, offset int, l hujson.Literal, into reflect.Value) {
-	if t, ok := into.Addr().Interface().(encoding.TextUnmarshaler); ok {
+// literal decodes l, whose kind has been checked, into target.
+func (d *decoder) literal(path string, offset int, l hujson.Literal, target reflect.Value) {
+	if t, ok := target.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		if err := t.UnmarshalText([]byte(l.String())); err != nil {
-			d.fault(path, offset, "%v", err)
+			d.addProblem(path, offset, "%v", err)
 		}
 		return
 	}
-	if json.Unmarshal(l, into.Addr().Interface()) != nil {
-		d.fault(path, offset, "%s is out of range or no whole number", l)
+	if json.Unmarshal(l, target.Addr().Interface()) != nil {
+		d.addProblem(path, offset, "%s is out of range or no whole number", l)
 	}
 }
 
-// fault adds a problem at offset.
-func (d *decoder) fault(path string, offset int, format string, args ...any) {
+// addProblem adds a problem of the field at path, located at offset in the file.
+func (d *decoder) addProblem(path string, offset int, format string, args ...any) {
 	p := Problem{Path: path, Message: fmt.Sprintf(format, args...)}
 	p.Line, p.Column = lineColumn(d.data, offset)
 	d.problems = append(d.problems, p)
 }
 
-// locate sets the place of p: that of its field, or of the nearest value around
-// it where the file doesn't give the field.
-func (d *decoder) locate(p Problem) Problem {
+// withLocation returns p with the line and column of its field, or of the innermost
+// enclosing value if the file does not contain the field.
+func (d *decoder) withLocation(p Problem) Problem {
 	path := p.Path
 	for {
-		if offset, ok := d.places[path]; ok {
+		if offset, ok := d.offsets[path]; ok {
 			p.Line, p.Column = lineColumn(d.data, offset)
 			return p
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
 }
 
-// The kinds of values, as the messages name them.
+// Kinds of values, as named in messages.
 const (
 	kindObject = "an object"
 	kindArray  = "an array"
@@ -105,8 +105,8 @@
 	kindNull   = "null"
 )
 
-// given names the kind of a value in the file.
-func given(k hujson.Kind) string {
+// actualKind returns the name of the kind of a value in the file.
+func actualKind(k hujson.Kind) string {
 	switch k {
 	case '{':
 		return kindObject
@@ -123,9 +123,9 @@
 	}
 }
 
-// wanted names the kind of value that belongs into v. It panics on a type that
-// no settings field has.
-func wanted(v reflect.Value) string {
+// expectedKind returns the name of the kind of value that v can be decoded from. It
+// panics on a type that no settings field has.
+func expectedKind(v reflect.Value) string {
 	if _, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		return kindString
 	}
@@ -145,8 +145,9 @@
 	}
 }
 
-// unit tells, after kindString, how a value of the type of v is written.
-func unit(v reflect.Value) string {
+// unitHint returns the part of a message, after kindString, that describes the form of a
+// value of the type of v.
+func unitHint(v reflect.Value) string {
 	switch v.Interface().(type) {
 	case Duration:
 		return ` with its unit, such as "250ms",`
@@ -157,8 +158,8 @@
 	}
 }
 
-// syntaxProblem returns the problem for an error of hujson.Parse, which carries
-// the place only in its text.
+// syntaxProblem returns the problem for an error of hujson.Parse, which contains the line
+// and column only in its text.
 func syntaxProblem(err error) Problem {
 	p := Problem{Message: err.Error()}
 	if _, e := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &p.Line, &p.Column); e != nil {
@@ -170,23 +171,24 @@
 	return p
 }
 
-// lineColumn returns the line and the column of offset in data, both from 1.
+// lineColumn returns the line and the column, in bytes, of offset in data, both counted
+// from 1.
 func lineColumn(data []byte, offset int) (line, column int) {
 	before := data[:offset]
 	return 1 + bytes.Count(before, []byte{'\n'}), offset - bytes.LastIndexByte(before, '\n')
 }
 
-// join returns the path of the field name within path.
-func join(path, name string) string {
+// joinPath returns the path of the field name in the object at path.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-// parent returns the path of the value that holds the one at path; empty for
+// parentPath returns the path of the value that contains the one at path; it is empty for
 // the file as a whole.
-func parent(path string) string {
+func parentPath(path string) string {
 	for i := len(path) - 1; i >= 0; i-- {
 		if path[i] == '.' || path[i] == '[' {
 			return path[:i]
--- a/internal/state/configurer/duration.go
+++ b/internal/state/configurer/duration.go
@@ -11,8 +11,8 @@
 // "250ms" or "1m30s".
 type Duration time.Duration
 
-// String returns d in the form that ParseDuration reads, without the zero seconds
-// and minutes at the end that time.Duration writes.
+// String returns d in the form that ParseDuration accepts, without the trailing zero
+// seconds and minutes that time.Duration writes.
 func (d Duration) String() string {
 	s := time.Duration(d).String()
 	if strings.HasSuffix(s, "m0s") {
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// ParseDuration reads a duration with its unit. It differs from
-// time.ParseDuration by refusing "0", so that no number stands without its unit.
+// ParseDuration parses a duration with its unit. Unlike time.ParseDuration it refuses
+// "0", so that every number has a unit.
 func ParseDuration(s string) (Duration, error) {
 	v, err := time.ParseDuration(s)
 	if err != nil || strings.TrimLeft(s, "+-") == "0" {
--- a/internal/state/configurer/entry.go
+++ b/internal/state/configurer/entry.go
@@ -21,58 +21,60 @@
 
 // EntrySettings are the settings of an entry.
 type EntrySettings struct {
-	// Listen is the IP and port that callers reach. Required.
+	// Listen is the IP and port to which callers connect. Required.
 	Listen string
 
-	// MaxHeaderBytes bounds a request's header; DefaultMaxHeaderBytes by
-	// default.
+	// MaxHeaderBytes is the maximum size of a request header; DefaultMaxHeaderBytes
+	// by default.
 	MaxHeaderBytes Size
 
-	// MaxBodyBytes bounds a request's body; DefaultMaxBodyBytes by default.
+	// MaxBodyBytes is the maximum size of a request body; DefaultMaxBodyBytes by
+	// default.
 	MaxBodyBytes Size
 
-	// HeaderTimeout is the longest time in which a caller sends a header;
+	// HeaderTimeout is the maximum time in which a caller must send a header;
 	// DefaultHeaderTimeout by default.
 	HeaderTimeout Duration
 
-	// BodyTimeout is the longest time in which a caller sends a body;
+	// BodyTimeout is the maximum time in which a caller must send a body;
 	// DefaultBodyTimeout by default.
 	BodyTimeout Duration
 
-	// RequestTimeout is the longest time that a request takes, and its deadline
-	// where the caller states none; DefaultRequestTimeout by default.
+	// RequestTimeout is the maximum duration of a request, and its deadline if the
+	// caller sets none; DefaultRequestTimeout by default.
 	RequestTimeout Duration
 
-	// MaxInFlight is the number of requests that the entry holds at once;
+	// MaxInFlight is the maximum number of requests in progress in the entry;
 	// DefaultMaxInFlight by default.
 	MaxInFlight int
 
-	// QueueTokens is the number of tokens, by estimate, of the requests that
-	// the entry holds at once; DefaultEntryQueueTokens by default.
+	// QueueTokens is the maximum estimated number of tokens of the requests in
+	// progress in the entry; DefaultEntryQueueTokens by default.
 	QueueTokens int64
 
-	// RetryBudget is the share of recent successes that may be spent on
-	// retries, above 0 and at most 1; DefaultRetryBudget by default.
+	// RetryBudget is the maximum ratio of retries to recent successes, greater than 0
+	// and at most 1; DefaultRetryBudget by default.
 	RetryBudget float64
 
-	// HedgeAfter is the time after which an idempotent request without a first
-	// byte is sent to a second backend server. Zero, the default, never does.
+	// HedgeAfter is the time after which an idempotent request whose answer has not
+	// started is sent to a second backend server. 0, the default, disables this.
 	HedgeAfter Duration
 
-	// StallWeight is what a second of load stall weighs against BatchWeight in
-	// the choice of a backend server; DefaultWeight by default.
+	// StallWeight is the weight of one second of load stall in the choice of a
+	// backend server, relative to BatchWeight; DefaultWeight by default.
 	StallWeight float64
 
-	// BatchWeight is what an unfilled batch weighs against StallWeight;
+	// BatchWeight is the weight of an unfilled batch, relative to StallWeight;
 	// DefaultWeight by default.
 	BatchWeight float64
 
-	// TargetFill is the share of a batch up to which requests are packed on
-	// one backend server before they spill to another, above 0 and at most 1;
+	// TargetFill is the ratio up to which the batch of one backend server is filled
+	// before requests are sent to another, greater than 0 and at most 1;
 	// DefaultTargetFill by default.
 	TargetFill float64
 
-	// Policy is the way to choose a backend server; PolicyMarigold by default.
+	// Policy is the policy for the choice of a backend server; PolicyMarigold by
+	// default.
 	Policy Policy
 }
 
@@ -108,6 +110,6 @@
 	checkRange(c, "Entry.TargetFill", e.TargetFill, 0.01, 1)
 	checkEnum(c, "Entry.Policy", e.Policy, PolicyConsistentHash)
 	if stop.GracePeriod < e.RequestTimeout {
-		c.fault("Stop.GracePeriod", "%v is shorter than Entry.RequestTimeout, %v, so that a planned stop cuts requests off", stop.GracePeriod, e.RequestTimeout)
+		c.addProblem("Stop.GracePeriod", "%v is shorter than Entry.RequestTimeout, %v, so that a planned stop cuts requests off", stop.GracePeriod, e.RequestTimeout)
 	}
 }
--- a/internal/state/configurer/enums.go
+++ b/internal/state/configurer/enums.go
@@ -13,16 +13,16 @@
 //go:generate stringer -type=LogLevel -trimprefix=LogLevel
 //go:generate stringer -type=LogFormat -trimprefix=LogFormat
 
-// Role is a part that a process plays in a deployment.
+// Role is a role of a process in a deployment.
 type Role int
 
 // The roles.
 const (
-	// RoleEntry takes the calls and chooses the backend servers.
+	// RoleEntry accepts calls and chooses the backend servers.
 	RoleEntry Role = iota
-	// RoleCompanion stands beside a backend server and gives its orders.
+	// RoleCompanion manages one backend server and sends it its orders.
 	RoleCompanion
-	// RoleControl holds the replicated log and grants load permits.
+	// RoleControl stores the replicated log and grants load permits.
 	RoleControl
 )
 
@@ -37,44 +37,44 @@
 	BackendKindService
 )
 
-// Policy is a way to choose a backend server.
+// Policy is a policy for the choice of a backend server.
 type Policy int
 
-// The policies. All but PolicyMarigold are baselines to measure against.
+// The policies. All except PolicyMarigold are baselines for comparisons.
 const (
-	// PolicyMarigold weighs residency, load stalls and batch fill.
+	// PolicyMarigold chooses by residency, load stalls and batch fill.
 	PolicyMarigold Policy = iota
 	// PolicyRandom chooses at random.
 	PolicyRandom
-	// PolicyLeastLoaded chooses the one with the fewest requests.
+	// PolicyLeastLoaded chooses the backend server with the fewest requests.
 	PolicyLeastLoaded
-	// PolicyConsistentHash chooses by a hash of the adapter alone.
+	// PolicyConsistentHash chooses only by a hash of the adapter.
 	PolicyConsistentHash
 )
 
-// LogLevel is the weight of a log line.
+// LogLevel is the lowest severity that is logged.
 type LogLevel int
 
-// The log levels. LogLevelInfo stands first, since it is the default.
+// The log levels. LogLevelInfo is the zero value, since it is the default.
 const (
-	// LogLevelInfo logs what operators follow in ordinary work.
+	// LogLevelInfo logs normal operation, warnings and errors.
 	LogLevelInfo LogLevel = iota
-	// LogLevelDebug logs each decision too.
+	// LogLevelDebug also logs individual decisions.
 	LogLevelDebug
-	// LogLevelWarn logs only what may need attention.
+	// LogLevelWarn logs only conditions that may need attention, and errors.
 	LogLevelWarn
-	// LogLevelError logs only failures.
+	// LogLevelError logs only errors.
 	LogLevelError
 )
 
-// LogFormat is the form of a log line.
+// LogFormat is the format of a log line.
 type LogFormat int
 
 // The log formats.
 const (
-	// LogFormatJSON writes one JSON object a line.
+	// LogFormatJSON writes one JSON object per line.
 	LogFormatJSON LogFormat = iota
-	// LogFormatConsole writes coloured text for a terminal.
+	// LogFormatConsole writes colored text for a terminal.
 	LogFormatConsole
 )
 
@@ -83,7 +83,7 @@
 	return marshalEnum(r, RoleControl)
 }
 
-// UnmarshalText sets r by its name.
+// UnmarshalText sets r to the role with the name in text.
 func (r *Role) UnmarshalText(text []byte) error {
 	return unmarshalEnum(r, RoleControl, text)
 }
@@ -93,7 +93,7 @@
 	return marshalEnum(k, BackendKindService)
 }
 
-// UnmarshalText sets k by its name.
+// UnmarshalText sets k to the kind with the name in text.
 func (k *BackendKind) UnmarshalText(text []byte) error {
 	return unmarshalEnum(k, BackendKindService, text)
 }
@@ -103,7 +103,7 @@
 	return marshalEnum(p, PolicyConsistentHash)
 }
 
-// UnmarshalText sets p by its name.
+// UnmarshalText sets p to the policy with the name in text.
 func (p *Policy) UnmarshalText(text []byte) error {
 	return unmarshalEnum(p, PolicyConsistentHash, text)
 }
@@ -113,7 +113,7 @@
 	return marshalEnum(l, LogLevelError)
 }
 
-// UnmarshalText sets l by its name.
+// UnmarshalText sets l to the level with the name in text.
 func (l *LogLevel) UnmarshalText(text []byte) error {
 	return unmarshalEnum(l, LogLevelError, text)
 }
@@ -123,18 +123,18 @@
 	return marshalEnum(f, LogFormatConsole)
 }
 
-// UnmarshalText sets f by its name.
+// UnmarshalText sets f to the format with the name in text.
 func (f *LogFormat) UnmarshalText(text []byte) error {
 	return unmarshalEnum(f, LogFormatConsole, text)
 }
 
-// enum is an integer type with names from stringer, whose values run from zero.
+// enum is an integer type with names from stringer, whose values are consecutive from 0.
 type enum interface {
 	~int
 	fmt.Stringer
 }
 
-// marshalEnum returns the name of v, which lies between zero and last.
+// marshalEnum returns the name of v. It returns an error if v is not between 0 and last.
 func marshalEnum[T enum](v, last T) ([]byte, error) {
 	if v < 0 || v > last {
 		return nil, errors.NotValidf("%T %d", v, int(v))
@@ -142,8 +142,7 @@
 	return []byte(v.String()), nil
 }
 
-// unmarshalEnum sets v to the value between zero and last that has the name in
-// text.
+// unmarshalEnum sets v to the value between 0 and last that has the name in text.
 func unmarshalEnum[T enum](v *T, last T, text []byte) error {
 	var names []string
 	for e := T(0); e <= last; e++ {
--- a/internal/state/configurer/parse.go
+++ b/internal/state/configurer/parse.go
@@ -10,23 +10,23 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxFileBytes is the size of the largest settings file that is read. It bounds
-// the depth to which a file can nest, too, since the parser recurses.
+// MaxFileBytes is the maximum size of a settings file. It also limits the nesting depth,
+// which matters because the parser is recursive.
 const MaxFileBytes = 256 * KiB
 
-// Load reads the settings file at path as Parse does. A file that can't be read
-// gives an *Error too.
+// Load reads the settings file at path and parses it as Parse does. The error is an
+// *Error, also if the file can't be read.
 func Load(path string) (Settings, error) {
 	data, err := readFile(path)
 	if err != nil {
-		return Settings{}, newError(path, []Problem{{Message: "can't be read: " + reason(err)}})
+		return Settings{}, newError(path, []Problem{{Message: "can't be read: " + reasonWithoutPath(err)}})
 	}
 	return Parse(path, data)
 }
 
-// Parse reads the settings in data, checks them and puts the defaults in. The
-// name is that of the file in messages. The error is an *Error with the place
-// of each fault in data.
+// Parse parses the settings in data, checks them and fills in the defaults. The name is
+// the file name used in messages. The error is an *Error with the line and column of
+// each problem in data.
 func Parse(name string, data []byte) (Settings, error) {
 	if Size(len(data)) > MaxFileBytes {
 		return Settings{}, newError(name, []Problem{{Message: "larger than " + MaxFileBytes.String()}})
@@ -36,16 +36,16 @@
 		return Settings{}, newError(name, []Problem{syntaxProblem(err)})
 	}
 	var s Settings
-	d := &decoder{data: data, places: make(map[string]int)}
+	d := &decoder{data: data, offsets: make(map[string]int)}
 	d.value("", root, reflect.ValueOf(&s).Elem())
-	found := d.problems
-	checked := s.Check()
-	if !touches(found, "Roles") {
-		checked = append(checked, d.unread(s)...)
+	decodeProblems := d.problems
+	checkProblems := s.Check()
+	if !overlapsAny(decodeProblems, "Roles") {
+		checkProblems = append(checkProblems, d.unusedSections(s)...)
 	}
-	for _, p := range checked {
-		if !touches(found, p.Path) {
-			d.problems = append(d.problems, d.locate(p))
+	for _, p := range checkProblems {
+		if !overlapsAny(decodeProblems, p.Path) {
+			d.problems = append(d.problems, d.withLocation(p))
 		}
 	}
 	if err := newError(name, d.problems); err != nil {
@@ -54,38 +54,39 @@
 	return s.WithDefaults(), nil
 }
 
-// unread returns a problem for each section of the file that belongs to a role
-// that the process doesn't run. Such a section has no effect, which the operator
-// who wrote it would otherwise find out only in production.
-func (d *decoder) unread(s Settings) []Problem {
+// unusedSections returns a problem for each section of the file that belongs to a role
+// the process does not have. Such a section has no effect, which its author would
+// otherwise discover only in production.
+func (d *decoder) unusedSections(s Settings) []Problem {
 	var found []Problem
 	for r := RoleEntry; r <= RoleControl; r++ {
-		if _, ok := d.places[r.String()]; ok && !s.HasRole(r) {
+		if _, ok := d.offsets[r.String()]; ok && !s.HasRole(r) {
 			found = append(found, Problem{Path: r.String(), Message: "has no effect, since Roles doesn't name " + r.String()})
 		}
 	}
 	return found
 }
 
-// touches reports whether one of the problems lies at path, or around or within
-// it: a field that couldn't be read isn't called missing besides.
-func touches(problems []Problem, path string) bool {
+// overlapsAny reports whether the path of one of the problems is equal to path, contains
+// it, or is contained in it. It avoids reporting a field that could not be decoded as
+// missing as well.
+func overlapsAny(problems []Problem, path string) bool {
 	for _, p := range problems {
-		if within(p.Path, path) || within(path, p.Path) {
+		if containsPath(p.Path, path) || containsPath(path, p.Path) {
 			return true
 		}
 	}
 	return false
 }
 
-// within reports whether path is outer or lies within it.
-func within(outer, path string) bool {
+// containsPath reports whether path is equal to outer or is contained in it.
+func containsPath(outer, path string) bool {
 	rest, ok := strings.CutPrefix(path, outer)
 	return ok && (outer == "" || rest == "" || rest[0] == '.' || rest[0] == '[')
 }
 
-// readFile returns the content of the file at path, of which it reads no more
-// than one byte beyond MaxFileBytes.
+// readFile returns the contents of the file at path. It reads at most MaxFileBytes and
+// one more byte, by which Parse recognizes a file that is too large.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -96,9 +97,9 @@
 	return data, errors.Trace(err)
 }
 
-// reason returns the text of err without the path, which stands in the message
-// already.
-func reason(err error) string {
+// reasonWithoutPath returns the text of err without the path, which the message already
+// contains.
+func reasonWithoutPath(err error) string {
 	var p *os.PathError
 	if errors.As(err, &p) {
 		return p.Err.Error()
--- a/internal/state/configurer/parse_test.go
+++ b/internal/state/configurer/parse_test.go
@@ -16,7 +16,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// examples are the settings files that the project publishes.
+// examples is the glob pattern of the published settings files.
 const examples = "../../../examples/*/*.jsonc"
 
 var _ = Describe("Parse", func() {
@@ -25,7 +25,7 @@
 		panic("configurer: no testdata")
 	}
 	for _, f := range files {
-		It("names file, line, column and field of each fault in "+f, func() {
+		It("names the file, line, column and field of each problem in "+f, func() {
 			_, err := configurer.Load(f)
 			Expect(err).To(HaveOccurred())
 			golden := strings.TrimSuffix(f, ".jsonc") + ".golden"
@@ -46,7 +46,7 @@
 		}
 	})
 
-	It("refuses a file that is too large or missing", func() {
+	It("refuses a file that is too large or does not exist", func() {
 		_, err := configurer.Parse("big", make([]byte, configurer.MaxFileBytes+1))
 		Expect(err).To(MatchError("big: larger than 256KiB"))
 		_, err = configurer.Load("testdata/none")
@@ -55,7 +55,7 @@
 })
 
 var _ = Describe("Settings", func() {
-	It("have no default that Check refuses", func() {
+	It("have only defaults that pass Check", func() {
 		problems := (configurer.Settings{Roles: []configurer.Role{
 			configurer.RoleEntry, configurer.RoleCompanion, configurer.RoleControl,
 		}}).Check()
@@ -64,25 +64,26 @@
 		}
 	})
 
-	It("have a row with each field's default in docs/SETTINGS.md", func() {
+	It("have a row with the default of each field in docs/SETTINGS.md", func() {
 		page, err := os.ReadFile("../../../docs/SETTINGS.md")
 		Expect(err).NotTo(HaveOccurred())
-		for _, row := range rows("", reflect.ValueOf(configurer.Settings{}.WithDefaults())) {
+		for _, row := range tableRows("", reflect.ValueOf(configurer.Settings{}.WithDefaults())) {
 			Expect(string(page)).To(ContainSubstring("\n" + row))
 		}
 	})
 })
 
-// rows returns the beginnings of the rows that the page has for the fields of v.
-func rows(path string, v reflect.Value) []string {
+// tableRows returns the beginnings of the expected rows in docs/SETTINGS.md for the
+// fields of v.
+func tableRows(path string, v reflect.Value) []string {
 	var found []string
 	for i := range v.NumField() {
 		name, f := path+v.Type().Field(i).Name, v.Field(i)
 		switch {
 		case f.Kind() == reflect.Struct:
-			found = append(found, rows(name+".", f)...)
+			found = append(found, tableRows(name+".", f)...)
 		case f.Type() == reflect.TypeFor[[]configurer.ControlHost]():
-			found = append(found, rows(name+"[].", reflect.New(f.Type().Elem()).Elem())...)
+			found = append(found, tableRows(name+"[].", reflect.New(f.Type().Elem()).Elem())...)
 		default:
 			text, err := json.Marshal(f.Interface())
 			Expect(err).NotTo(HaveOccurred())
@@ -96,7 +97,7 @@
 	return found
 }
 
-var _ = DescribeTable("a companion's settings may leave its backend server to an announcement",
+var _ = DescribeTable("Check accepts companion settings without the address of the backend server",
 	func(m configurer.CompanionSettings, faults ...string) {
 		m.Listen = "10.0.0.1:7500"
 		s := configurer.Settings{
@@ -113,19 +114,19 @@
 	},
 	Entry("an engine", configurer.CompanionSettings{}),
 	Entry("a service", configurer.CompanionSettings{Kind: configurer.BackendKindService}),
-	Entry("a service with a wrong name",
+	Entry("a service with an invalid name",
 		configurer.CompanionSettings{Kind: configurer.BackendKindService, ServiceName: "a b"}, "Companion.ServiceName"),
-	Entry("an engine with an address alone",
+	Entry("an engine with only an address",
 		configurer.CompanionSettings{EngineAddress: "127.0.0.1:8000"}, "Companion.BaseModel"),
-	Entry("an engine with a service's address", configurer.CompanionSettings{ServiceAddress: "127.0.0.1:8000"},
+	Entry("an engine with the address of a service", configurer.CompanionSettings{ServiceAddress: "127.0.0.1:8000"},
 		"Companion.EngineAddress", "Companion.BaseModel"),
-	Entry("a service with an engine's address", configurer.CompanionSettings{
+	Entry("a service with the address of an engine", configurer.CompanionSettings{
 		Kind: configurer.BackendKindService, EngineAddress: "127.0.0.1:8000",
 	}, "Companion.ServiceAddress", "Companion.ServiceName"),
 )
 
-// FuzzParse holds Parse to its promise for any input: it returns settings that
-// are complete, or an *Error whose lines each name the file.
+// FuzzParse checks that for any input Parse returns either settings that pass Check or an
+// *Error with a limited number of lines, each of which starts with the file name.
 func FuzzParse(f *testing.F) {
 	for _, pattern := range []string{examples, "testdata/*.jsonc"} {
 		files, err := filepath.Glob(pattern)
@@ -150,17 +151,17 @@
 		}
 		lines := strings.Split(err.Error(), "\n")
 		if len(lines) > configurer.MaxProblems+1 {
-			t.Fatal("too many lines:", len(lines))
+			t.Fatal("error has too many lines:", len(lines))
 		}
 		for _, l := range lines {
 			if !strings.HasPrefix(l, "file:") {
-				t.Fatalf("line without the file's name: %q", l)
+				t.Fatalf("line does not start with the file name: %q", l)
 			}
 		}
 	})
 }
 
-// TestPropertyRoundTrip checks that settings written as JSON are read back equal.
+// TestPropertyRoundTrip checks that settings encoded as JSON are equal after parsing.
 func TestPropertyRoundTrip(t *testing.T) {
 	base, err := configurer.Load("../../../examples/peachtree/entry-a.jsonc")
 	if err != nil {
--- a/internal/state/configurer/peers.go
+++ b/internal/state/configurer/peers.go
@@ -1,26 +1,26 @@
 package configurer
 
-// PeersSettings name the files by which the system's processes prove to each
-// other who they are. All are given, or none: without them, whoever reaches a
-// messenger listener may do all that a process may.
+// PeersSettings name the files for the mutual authentication of the processes. Either all
+// files are set or none. Without them, any client that can reach a messenger listener has
+// the rights of a process.
 type PeersSettings struct {
-	// CertificateFile is the absolute path of this process's certificate in PEM,
-	// with those between it and the authority after it.
+	// CertificateFile is the absolute path of the certificate of this process in PEM,
+	// followed by the intermediate certificates.
 	CertificateFile string
 
-	// KeyFile is the absolute path of the certificate's key in PEM, which only
-	// its owner and group may read.
+	// KeyFile is the absolute path of the certificate's private key in PEM. Only its
+	// owner and group may have read permission.
 	KeyFile string
 
-	// AuthorityFile is the absolute path of the certificates in PEM of the
-	// authority that signs all processes' certificates.
+	// AuthorityFile is the absolute path of the PEM file with the certificates of the
+	// authority that signs the certificates of all processes.
 	AuthorityFile string
 }
 
-// Given reports whether the files are named.
+// IsSet reports whether any of the files is set.
 func (p PeersSettings) IsSet() bool { return p != PeersSettings{} }
 
-// peers checks that all files are named, or none.
+// peers checks that either all files are set or none.
 func (c *checker) peers(p PeersSettings) {
 	if !p.IsSet() {
 		return
--- a/internal/state/configurer/problem.go
+++ b/internal/state/configurer/problem.go
@@ -8,30 +8,30 @@
 	"unicode"
 )
 
-// MaxProblems is the number of problems that one Error names at most.
+// MaxProblems is the maximum number of problems in one Error.
 const MaxProblems = 10
 
-// maxMessage bounds the length in bytes of a message, which may quote the file.
-const maxMessage = 200
+// maxMessageBytes is the maximum length of a message, which may quote the file.
+const maxMessageBytes = 200
 
-// Problem is one fault of the settings.
+// Problem is one error in the settings.
 type Problem struct {
 	// Path names the field, such as "Control.ElectionTimeout" or
-	// "ControlHosts[1].Address"; empty for the file as a whole.
+	// "ControlHosts[1].Address"; it is empty for the file as a whole.
 	Path string
 
-	// Line is the line in the file, counted from 1; 0 where there is no file.
+	// Line is the line in the file, counted from 1, or 0 if it is not known.
 	Line int
 
-	// Column is the column in the file, counted in bytes from 1; 0 where there
-	// is no file.
+	// Column is the column in the file, counted in bytes from 1, or 0 if it is not
+	// known.
 	Column int
 
-	// Message says what is wrong.
+	// Message describes the problem.
 	Message string
 }
 
-// String returns the problem as "line:column: path: message", without what is
+// String returns the problem as "line:column: path: message", without the parts that are
 // not known.
 func (p Problem) String() string {
 	var b strings.Builder
@@ -50,16 +50,16 @@
 	// File is the name of the settings file.
 	File string
 
-	// Problems are the faults by their place in the file; never empty, and at
-	// most MaxProblems.
+	// Problems are the problems, sorted by line and column. There is at least one,
+	// and at most MaxProblems.
 	Problems []Problem
 
-	// Omitted is the number of faults beyond MaxProblems.
+	// Omitted is the number of problems beyond MaxProblems.
 	Omitted int
 }
 
-// Error returns one line for each problem, each beginning with the file's name,
-// and one more where problems were left out.
+// Error returns one line per problem, which starts with the file name, and one more line
+// if problems were omitted.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Problems)+1)
 	for _, p := range e.Problems {
@@ -75,8 +75,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// newError returns the Error for the problems of file, sorted by place and cut
-// to MaxProblems; nil without problems.
+// newError returns an *Error for the problems of file, sorted and limited to MaxProblems.
+// It returns nil if there are no problems.
 func newError(file string, problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
@@ -92,13 +92,12 @@
 	return &Error{File: file, Problems: kept, Omitted: len(problems) - len(kept)}
 }
 
-// oneLine returns s cut to maxMessage bytes, with a question mark in place of
-// each character that isn't printable. A message may quote the file; without
-// this, a line break or a terminal sequence in the file would forge lines of
-// the log.
+// oneLine returns s truncated to maxMessageBytes bytes, with a question mark in place of
+// each character that is not printable. A message may quote the file: otherwise a line
+// break or a terminal escape sequence in the file could forge log lines.
 func oneLine(s string) string {
-	if len(s) > maxMessage {
-		s = strings.ToValidUTF8(s[:maxMessage], "") + "..."
+	if len(s) > maxMessageBytes {
+		s = strings.ToValidUTF8(s[:maxMessageBytes], "") + "..."
 	}
 	return strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
--- a/internal/state/configurer/secret.go
+++ b/internal/state/configurer/secret.go
@@ -10,21 +10,21 @@
 	"github.com/juju/errors"
 )
 
-// redacted stands in place of a secret wherever one would be printed.
-const redacted = "REDACTED"
+// redactedText is printed in place of a secret.
+const redactedText = "REDACTED"
 
-// maxSecretBytes is the size of the largest file that holds a secret.
+// maxSecretBytes is the maximum size of a file with a secret.
 const maxSecretBytes = 4096
 
-// othersMay are the file modes that open a secret to others than its owner and,
-// for reading, its group.
-const othersMay fs.FileMode = 0o027
+// forbiddenModes are the permissions that a file with a secret must not have: the owner
+// has full access, the group may only read, and others have no access.
+const forbiddenModes fs.FileMode = 0o027
 
-// Secret is a text that never shows in logs, messages or JSON.
+// Secret is a text that never appears in logs, messages or JSON.
 type Secret struct {
-	// reveal returns the text; nil for the empty secret. The text hides in a
-	// function, since fmt prints the unexported fields of a struct around it
-	// without asking for its methods.
+	// reveal returns the text; it is nil for the empty secret. The text is stored in a
+	// closure, since fmt prints unexported fields of an enclosing struct without
+	// calling their methods.
 	reveal func() string
 }
 
@@ -33,7 +33,7 @@
 	return Secret{reveal: func() string { return text }}
 }
 
-// Reveal returns the text of s.
+// Reveal returns the text of s. It is the only way to read it.
 func (s Secret) Reveal() string {
 	if s.reveal == nil {
 		return ""
@@ -41,25 +41,24 @@
 	return s.reveal()
 }
 
-// String returns a text that doesn't depend on s.
+// String returns a fixed text that does not depend on s.
 func (s Secret) String() string {
-	return redacted
+	return redactedText
 }
 
-// Format writes what String returns, whatever the verb.
+// Format implements fmt.Formatter. It writes the result of String for every verb.
 func (s Secret) Format(f fmt.State, _ rune) {
-	io.WriteString(f, redacted) //nolint:errcheck // a fmt.State keeps its own errors
+	io.WriteString(f, redactedText) //nolint:errcheck // Format can't return an error.
 }
 
-// MarshalText returns what String returns, for encoding/json too.
+// MarshalText returns the result of String. It also covers encoding/json.
 func (s Secret) MarshalText() ([]byte, error) {
-	return []byte(redacted), nil
+	return []byte(redactedText), nil
 }
 
-// ReadSecret reads the secret in the file at path, without white space around
-// it. It refuses a file that others on the host may read, or that its group may
-// change: whoever copies such a key can do all that its owner can, and nothing
-// would show it.
+// ReadSecret reads the secret from the file at path, without leading and trailing white
+// space. It refuses a file that other users of the host may read or that its group may
+// write: a copied key gives all rights of its owner, and its use can't be detected.
 func ReadSecret(path string) (Secret, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -73,7 +72,7 @@
 	switch m := info.Mode(); {
 	case !m.IsRegular():
 		return Secret{}, errors.NotValidf("%s: a secret that is no regular file", path)
-	case m.Perm()&othersMay != 0:
+	case m.Perm()&forbiddenModes != 0:
 		return Secret{}, errors.NotValidf("%s: a secret with mode %04o (take 0600 or 0640)", path, m.Perm())
 	case info.Size() > maxSecretBytes:
 		return Secret{}, errors.NotValidf("%s: a secret of more than %d bytes", path, maxSecretBytes)
--- a/internal/state/configurer/secret_test.go
+++ b/internal/state/configurer/secret_test.go
@@ -13,10 +13,9 @@
 )
 
 var _ = Describe("Secret", func() {
-	// Symptom: a key stands in the log. A struct that holds the key in an
-	// unexported field is logged with %+v; fmt doesn't call the methods of an
-	// unexported field, and prints the text within.
-	It("shows in no form, within an unexported field either", func() {
+	// Guards against a key in the log. When a struct with the key in an unexported field
+	// is logged with %+v, fmt prints the field without calling its methods.
+	It("is never printed, not even in an unexported field", func() {
 		s := configurer.NewSecret("hunter2")
 		holder := struct{ key configurer.Secret }{s}
 		for _, verb := range []string{"%v", "%+v", "%#v", "%s", "%q", "%x", "%X", "%d"} {
@@ -27,7 +26,7 @@
 		Expect(s.Reveal()).To(Equal("hunter2"))
 	})
 
-	DescribeTable("is read from a file that only its owner and group read",
+	DescribeTable("is read from a file that only its owner and group can read",
 		func(mode os.FileMode, content, fault string) {
 			path := filepath.Join(GinkgoT().TempDir(), "key")
 			Expect(os.WriteFile(path, []byte(content), 0o600)).To(Succeed())
--- a/internal/state/configurer/settings.go
+++ b/internal/state/configurer/settings.go
@@ -6,67 +6,66 @@
 	"time"
 )
 
-// Defaults of the settings that every role shares.
+// Defaults of the settings that apply to all roles.
 const (
 	DefaultBalancerDelay = Duration(5 * time.Second)
 	DefaultGracePeriod   = Duration(3 * time.Minute)
 	DefaultRingSize      = 16384
 )
 
-// Settings are the settings of one process. The zero value of a field stands
-// for the default that the field's comment states; a field called required has
-// none.
+// Settings are the settings of one process. The zero value of a field stands for the
+// default in the field's comment; a required field has no default.
 type Settings struct {
 	// Node is the name of this process, unique in the deployment, such as
 	// "atl-a-entry-1". Required.
 	Node string
 
-	// Region is the name of the region that the host stands in. Required.
+	// Region is the name of the host's region. Required.
 	Region string
 
-	// FailureDomain is the name of the failure domain that the host stands in,
-	// unique over all regions. Required.
+	// FailureDomain is the name of the host's failure domain, unique in the whole
+	// deployment. Required.
 	FailureDomain string
 
-	// Roles are the roles that this process runs, each at most once. Required.
+	// Roles are the roles of this process, each at most once. Required.
 	Roles []Role
 
-	// DataFolder is the absolute path of the folder that holds all durable
-	// state. Required with RoleControl; the other roles keep nothing on disk.
+	// DataFolder is the absolute path of the folder for all durable state. Required
+	// with RoleControl; the other roles store nothing on disk.
 	DataFolder string
 
-	// ControlHosts tell where the control hosts are found. Required; the same
-	// in all files of a deployment.
+	// ControlHosts are the control hosts and their addresses. Required; the same in
+	// all files of a deployment.
 	ControlHosts []ControlHost
 
-	// Control is read with RoleControl.
+	// Control applies with RoleControl.
 	Control ControlSettings
 
-	// Entry is read with RoleEntry.
+	// Entry applies with RoleEntry.
 	Entry EntrySettings
 
-	// Companion is read with RoleCompanion.
+	// Companion applies with RoleCompanion.
 	Companion CompanionSettings
 
-	// Operators is the listener for operators.
+	// Operators configures the listener for operators.
 	Operators OperatorsSettings
 
-	// Peers says how the processes prove to each other who they are.
+	// Peers configures the mutual authentication of the processes.
 	Peers PeersSettings
 
-	// Log says what is logged and how.
+	// Log configures the log.
 	Log LogSettings
 
-	// Stop says how a planned stop goes.
+	// Stop configures a planned stop.
 	Stop StopSettings
 
-	// Events sizes the ring of events.
+	// Events configures the ring buffer of events.
 	Events EventSettings
 }
 
 // ControlHost is one host of the control group.
 type ControlHost struct {
-	// ID is the host's identity in the group; never zero, never used again for
+	// ID identifies the host in the group. It is never 0, and must not be reused for
 	// a host whose disk was lost.
 	ID uint64
 
@@ -80,53 +79,53 @@
 	Region string
 }
 
-// OperatorsSettings describe the listener for operators: resource API, metrics,
-// health and events.
+// OperatorsSettings configure the listener for operators, which serves the resource API,
+// metrics, health and events.
 type OperatorsSettings struct {
-	// Listen is the IP and port that operators reach. Required.
+	// Listen is the IP and port to which operators connect. Required.
 	Listen string
 
-	// KeyFile is the absolute path of the file that holds the operators' bearer
-	// key. Required unless Listen is on the loopback.
+	// KeyFile is the absolute path of the file with the operators' bearer key.
+	// Required unless Listen is a loopback address.
 	KeyFile string
 }
 
-// LogSettings say what is logged and how.
+// LogSettings configure the log.
 type LogSettings struct {
 	// Level is the lowest level that is logged; LogLevelInfo by default.
 	Level LogLevel
 
-	// Format is the form of a line; LogFormatJSON by default.
+	// Format is the format of a line; LogFormatJSON by default.
 	Format LogFormat
 }
 
-// StopSettings say how a planned stop goes.
+// StopSettings configure a planned stop.
 type StopSettings struct {
-	// BalancerDelay is the time between turning unready and accepting nothing
-	// more, in which the platform's balancer notices; DefaultBalancerDelay by
-	// default.
+	// BalancerDelay is the time between reporting the process as not ready and
+	// refusing new requests, in which the load balancer of the platform can react;
+	// DefaultBalancerDelay by default.
 	BalancerDelay Duration
 
-	// GracePeriod is the longest time that a stop waits for requests in
-	// progress after BalancerDelay; DefaultGracePeriod by default. No shorter
-	// than Entry.RequestTimeout or Companion.DrainTimeout, or else a planned
-	// stop cuts requests off.
+	// GracePeriod is the maximum time for which a stop waits for requests in progress
+	// after BalancerDelay; DefaultGracePeriod by default. It must not be shorter than
+	// Entry.RequestTimeout or Companion.DrainTimeout, since a planned stop would then
+	// abort requests.
 	GracePeriod Duration
 }
 
-// EventSettings size the ring of events.
+// EventSettings configure the ring buffer of events.
 type EventSettings struct {
-	// RingSize is the number of events kept; DefaultRingSize by default.
+	// RingSize is the number of events retained; DefaultRingSize by default.
 	RingSize int
 }
 
-// HasRole reports whether the process runs role r.
+// HasRole reports whether the process has role r.
 func (s Settings) HasRole(r Role) bool {
 	return slices.Contains(s.Roles, r)
 }
 
-// WithDefaults returns s with the documented default in place of each zero
-// value that has one. The slices are shared with s.
+// WithDefaults returns s with the default in place of each zero value that has one. The
+// result shares its slices with s.
 func (s Settings) WithDefaults() Settings {
 	s.Control = s.Control.withDefaults()
 	s.Entry = s.Entry.withDefaults()
@@ -137,9 +136,8 @@
 	return s
 }
 
-// ControlID returns the identity of this process in the control group: the ID
-// in Control, or else that of the control host whose address is Control.Listen.
-// It is zero where neither is there.
+// ControlID returns the ID of this process in the control group: Control.ID, or else that
+// of the control host whose address is Control.Listen. It returns 0 if there is neither.
 func (s Settings) ControlID() uint64 {
 	if s.Control.ID != 0 {
 		return s.Control.ID
--- a/internal/state/configurer/size.go
+++ b/internal/state/configurer/size.go
@@ -12,7 +12,7 @@
 // "64MiB".
 type Size int64
 
-// Sizes by their binary units.
+// Binary units.
 const (
 	Byte Size = 1
 	KiB       = 1024 * Byte
@@ -21,12 +21,12 @@
 	TiB       = 1024 * GiB
 )
 
-// maxSize is the largest size that ParseSize reads without loss, since it goes
-// through a float64.
-const maxSize = 1 << 53
+// maxSizeBytes is the largest size that ParseSize accepts: humanize.ParseBytes computes in
+// float64, which represents larger numbers only approximately.
+const maxSizeBytes = 1 << 53
 
-// String returns s in the largest binary unit that divides it, so that ParseSize
-// reads back the same number.
+// String returns s in the largest binary unit that divides it, so that ParseSize returns
+// the same number.
 func (s Size) String() string {
 	n, unit := s, "B"
 	for _, u := range []string{"KiB", "MiB", "GiB", "TiB"} {
@@ -53,12 +53,11 @@
 	return nil
 }
 
-// ParseSize reads a size with its unit, decimal ("64MB") or binary ("64MiB"). It
-// refuses a number without a unit, a fraction of a byte, and what exceeds 2^53
-// bytes.
+// ParseSize parses a size with its unit, decimal ("64MB") or binary ("64MiB"). It refuses
+// a number without a unit and more than 2^53 bytes. A fraction of a byte is discarded.
 func ParseSize(s string) (Size, error) {
 	v, err := humanize.ParseBytes(s)
-	if err != nil || !strings.HasSuffix(s, "B") || v > maxSize {
+	if err != nil || !strings.HasSuffix(s, "B") || v > maxSizeBytes {
 		return 0, errors.Errorf(`%q is no size with its unit, such as "64MiB"`, s)
 	}
 	return Size(v), nil
--- a/internal/state/configurer/suite_test.go
+++ b/internal/state/configurer/suite_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func init() {
 	_ = flag.Set("rapid.seed", "1")
