--- a/internal/state/spooler/spooler.go
+++ b/internal/state/spooler/spooler.go
@@ -1,5 +1,5 @@
-// Package spooler writes log lines without ever holding up who logs: lines wait in
-// a bounded buffer, and what does not fit is dropped and counted.
+// Package spooler writes log lines asynchronously, so that logging never blocks. Lines are
+// buffered up to a limit; lines beyond it are dropped and counted.
 package spooler
 
 import (
@@ -12,61 +12,68 @@
 
 // Defaults of Settings.
 const (
-	// DefaultBytes holds about two thousand lines: some seconds of a busy entry.
+	// DefaultMaxBytes is enough for about two thousand lines, which a busy entry
+	// writes in some seconds.
 	DefaultMaxBytes = 512 << 10
-	// DefaultInterval gathers the lines of one moment into one system call.
+	// DefaultFlushInterval allows the lines logged within it to be written with one
+	// system call.
 	DefaultFlushInterval = 100 * time.Millisecond
 )
 
-// Settings are a Spooler's options. The zero value of a field means its documented
-// default.
+// Settings are the options of a Spooler. The zero value of a field stands for its default.
 type Settings struct {
-	// Bytes bounds the lines that wait.
-	MaxBytes      int
+	// MaxBytes is the maximum total size of the buffered lines; DefaultMaxBytes by
+	// default.
+	MaxBytes int
+	// FlushInterval is the interval between writes to the output;
+	// DefaultFlushInterval by default.
 	FlushInterval time.Duration
 }
 
-// Spooler is a writer of lines. Several goroutines may use it.
+// Spooler is an asynchronous writer of lines. Its methods are safe for concurrent use.
 type Spooler struct {
 	settings Settings
 	out      io.Writer
 	stop     chan struct{}
-	done     sync.WaitGroup
+	finished sync.WaitGroup
 
 	mu sync.Mutex
-	// waiting holds whole lines; guarded by mu, as all below.
-	waiting []byte
-	// dropped counts the lines lost since the last write, total all of them.
-	dropped, total uint64
+	// pending contains the buffered lines, which are always complete; guarded by mu,
+	// as are the fields below.
+	pending []byte
+	// dropped is the number of lines dropped since the last flush, droppedTotal the
+	// number since the start.
+	dropped, droppedTotal uint64
 }
 
-// NewSpooler returns a spooler that writes to out until Close.
+// NewSpooler returns a spooler that writes to out until Close is called.
 func NewSpooler(out io.Writer, s Settings) *Spooler {
 	s.MaxBytes = cmp.Or(s.MaxBytes, DefaultMaxBytes)
 	s.FlushInterval = cmp.Or(s.FlushInterval, DefaultFlushInterval)
 	w := &Spooler{settings: s, out: out, stop: make(chan struct{})}
-	w.done.Go(w.run)
+	w.finished.Go(w.run)
 	return w
 }
 
-// Write takes one line. It never fails and never waits for the output.
+// Write buffers one line, or drops it if the buffer is full. It never fails and never
+// waits for the output.
 func (s *Spooler) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waiting)+len(line) > s.settings.MaxBytes {
+	if len(s.pending)+len(line) > s.settings.MaxBytes {
 		s.dropped++
-		s.total++
+		s.droppedTotal++
 		return len(line), nil
 	}
-	s.waiting = append(s.waiting, line...)
+	s.pending = append(s.pending, line...)
 	return len(line), nil
 }
 
-// Dropped returns the number of lines lost so far.
+// Dropped returns the number of lines dropped since the start.
 func (s *Spooler) Dropped() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total
+	return s.droppedTotal
 }
 
 func (s *Spooler) run() {
@@ -85,8 +92,8 @@
 
 func (s *Spooler) flush() {
 	s.mu.Lock()
-	lines, dropped := s.waiting, s.dropped
-	s.waiting, s.dropped = nil, 0
+	lines, dropped := s.pending, s.dropped
+	s.pending, s.dropped = nil, 0
 	s.mu.Unlock()
 	if dropped > 0 {
 		lines = fmt.Appendf(lines, "{\"level\":\"warn\",\"message\":\"log lines dropped\",\"Dropped\":%d}\n", dropped)
@@ -94,13 +101,14 @@
 	if len(lines) == 0 {
 		return
 	}
-	// There is nowhere to report that the log can't be written.
+	// The error is ignored, since it could only be reported in the log itself.
 	_, _ = s.out.Write(lines)
 }
 
-// Close writes what waits, and waits for it.
+// Close writes the buffered lines and returns once they are written. It must be called
+// only once.
 func (s *Spooler) Close() error {
 	close(s.stop)
-	s.done.Wait()
+	s.finished.Wait()
 	return nil
 }
--- a/internal/state/spooler/spooler_test.go
+++ b/internal/state/spooler/spooler_test.go
@@ -10,23 +10,22 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/spooler"
 )
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct {
-	let     chan struct{}
+// blockedWriter is an output whose Write blocks until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
 	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	return s.written.Write(p)
 }
 
-// TestNeverHoldsUp: symptom: all requests of an entry stop at once. Sequence: the
-// reader of its log stops reading; the log's pipe fills up; each request writes a
-// line and waits. Cause: lines were written by who logged them.
-func TestNeverHoldsUp(t *testing.T) {
+// TestWriteDoesNotBlock guards against requests of an entry that all block in writing a log
+// line, because the reader of the log has stopped reading and the pipe is full.
+func TestWriteDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{let: make(chan struct{})}
+		out := &blockedWriter{unblock: make(chan struct{})}
 		s := spooler.NewSpooler(out, spooler.Settings{MaxBytes: 100, FlushInterval: time.Second})
 		line := []byte(strings.Repeat("x", 9) + "\n")
 		for range 30 {
@@ -37,7 +36,7 @@
 		if got := s.Dropped(); got != 20 {
 			t.Errorf("%d lines dropped, want 20", got)
 		}
-		close(out.let)
+		close(out.unblock)
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
@@ -48,10 +47,10 @@
 	})
 }
 
-// TestGathers shows that the lines of one moment go out together.
-func TestGathers(t *testing.T) {
+// TestFlushJoinsLines checks that lines logged within one interval are written together.
+func TestFlushJoinsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var out counter
+		var out countingWriter
 		s := spooler.NewSpooler(&out, spooler.Settings{FlushInterval: time.Second})
 		for range 5 {
 			_, _ = s.Write([]byte("line\n"))
@@ -67,9 +66,9 @@
 	})
 }
 
-type counter struct{ writes, bytes int }
+type countingWriter struct{ writes, bytes int }
 
-func (c *counter) Write(p []byte) (int, error) {
+func (c *countingWriter) Write(p []byte) (int, error) {
 	c.writes++
 	c.bytes += len(p)
 	return len(p), nil
