--- a/internal/state/identifier/doc.go
+++ b/internal/state/identifier/doc.go
@@ -1,3 +1,3 @@
-// Package identifier tells which requests are the same, whichever host they come to and
-// whatever id their caller gave each attempt.
+// Package identifier computes identities of requests, so that repetitions of a request are
+// recognized at any host and regardless of the request ids that the caller chooses.
 package identifier
--- a/internal/state/identifier/identity.go
+++ b/internal/state/identifier/identity.go
@@ -12,43 +12,45 @@
 	"github.com/juju/errors"
 )
 
-// identityBytes is the size of an Identity: two different requests have the same with a
-// probability of 2^-64 among four thousand million.
+// identityBytes is the size of an Identity. Among four billion different requests, the
+// probability that any two have the same identity is about 2^-64.
 const identityBytes = 16
 
-// Identity names a request by its content.
+// Identity identifies a request by its content and its caller.
 //
-// It is cut from a cryptographic hash which the caller's workspace goes into: what becomes of one
-// caller's request must not depend on another's, and a short hash would let a caller make
-// requests that pass for somebody else's. Where callers bring no key, only the same content
-// is the same request: who sends it too is kept from what it would end as well.
+// It is a truncated cryptographic hash that includes the caller, since the handling of one
+// caller's request must not depend on the requests of another. With a shorter hash a caller
+// could construct requests with the identity of another caller's request. For requests
+// without a key the identity depends on the content only: if one caller's request is
+// quarantined, the same request from others is quarantined too.
 type Identity [identityBytes]byte
 
-// Request is what makes two requests the same.
+// Request contains the properties that determine the identity of a request.
 type Request struct {
-	// Caller is who sends it, by its key or workspace; empty where callers bring none. An address
-	// is none: one caller comes by several, since it depends on the way to the entry, on
-	// proxies between and on the failure domain.
+	// Caller identifies the caller by its key or workspace; it is empty if callers
+	// send no key. It is never a network address: the address of a caller varies with
+	// the route to the entry, with proxies and with the failure domain.
 	Caller string
 	Method string
 	Host   string
-	// Target is the path with its query, as the caller sent it. The query counts where
-	// there is no body: it then is what is asked. Beside a body it holds options, and
-	// callers add to it what differs each time.
+	// Target is the path with its query, as the caller sent it. The query is part of
+	// the identity only if there is no body, since it then specifies the request. With
+	// a body it contains options, and callers add parameters that differ each time.
 	Target string
 	Body   []byte
 }
 
-// Place returns a hash of all but the body. It is quick, and only sorts requests out that
-// can't be the same: anybody can make others with the same.
+// PlaceHash returns a hash of everything except the body. It is fast, but not
+// cryptographic: different hashes prove that two requests differ, whereas equal hashes
+// prove nothing, since collisions can be constructed.
 func (r Request) PlaceHash() uint64 {
 	h := xxhash.New()
-	r.writeHead(h)
+	r.writeHeader(h)
 	return h.Sum64()
 }
 
-// writeHead writes what comes before the body.
-func (r Request) writeHead(h hash.Hash) {
+// writeHeader writes everything except the body to h.
+func (r Request) writeHeader(h hash.Hash) {
 	path, query, _ := strings.Cut(r.Target, "?")
 	if len(r.Body) > 0 {
 		query = ""
@@ -61,16 +63,16 @@
 // Identify returns the identity of a request.
 func Identify(r Request) Identity {
 	h := sha256.New()
-	r.writeHead(h)
-	// A hash never fails to be written to.
+	r.writeHeader(h)
+	// Write of a hash never returns an error.
 	_, _ = h.Write(r.Body)
 	var id Identity
 	copy(id[:], h.Sum(nil))
 	return id
 }
 
-// writeText writes a text with its length before it, so that no part can pass for the end
-// of the one before.
+// writeText writes a text preceded by its length, so that different sequences of texts
+// never give the same bytes.
 func writeText(h hash.Hash, text string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(text)))
@@ -81,7 +83,7 @@
 // String returns the identity in hexadecimal.
 func (i Identity) String() string { return hex.EncodeToString(i[:]) }
 
-// ParseIdentity is the inverse of String.
+// ParseIdentity parses the result of Identity.String.
 func ParseIdentity(text string) (Identity, error) {
 	var id Identity
 	data, err := hex.DecodeString(text)
--- a/internal/state/identifier/identity_test.go
+++ b/internal/state/identifier/identity_test.go
@@ -8,17 +8,18 @@
 
 var request = identifier.Request{Caller: "c", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body")}
 
-// TestIdentifyAgrees holds a value: hosts of different versions must come to the same.
-func TestIdentifyAgrees(t *testing.T) {
+// TestIdentifyIsStable checks a fixed value, since processes of different versions must
+// compute the same identity.
+func TestIdentifyIsStable(t *testing.T) {
 	const want = "41970e29dcf4428c893d72b062f28ac4"
 	if got := identifier.Identify(request).String(); got != want {
 		t.Errorf("the identity is %s, want %s", got, want)
 	}
 }
 
-// TestIdentifyTellsApart: requests that differ in one part, or in where one part ends and
-// the next begins, are not the same.
-func TestIdentifyTellsApart(t *testing.T) {
+// TestIdentifyDistinguishesRequests checks that requests have different identities if they
+// differ in one part, or in the boundary between two parts.
+func TestIdentifyDistinguishesRequests(t *testing.T) {
 	seen := map[identifier.Identity]identifier.Request{}
 	for _, change := range []func(*identifier.Request){
 		func(*identifier.Request) {},
@@ -43,33 +44,33 @@
 	}
 }
 
-// TestIdentifyBesideBody: what a caller adds to the path of a request with a body, such as
-// the time, does not make it another.
-func TestIdentifyBesideBody(t *testing.T) {
+// TestIdentifyIgnoresQueryWithBody checks that the query of a request with a body, such as
+// a time stamp that the caller adds, does not change the identity.
+func TestIdentifyIgnoresQueryWithBody(t *testing.T) {
 	other := request
 	other.Target = "/a?time=2"
 	if identifier.Identify(other) != identifier.Identify(request) || other.PlaceHash() != request.PlaceHash() {
-		t.Error("a query beside a body made another request")
+		t.Error("the query of a request with a body changed its identity or place hash")
 	}
 	other.Body = []byte("other")
 	if identifier.Identify(other) == identifier.Identify(request) || other.PlaceHash() != request.PlaceHash() {
-		t.Error("a place tells of more or less than what comes before the body")
+		t.Error("a different body did not change the identity, or changed the place hash")
 	}
 }
 
 func TestParseIdentity(t *testing.T) {
 	id := identifier.Identify(request)
 	if got, err := identifier.ParseIdentity(id.String()); err != nil || got != id {
-		t.Errorf("read back as %v, %v", got, err)
+		t.Errorf("parsed as %v, %v", got, err)
 	}
 	for _, bad := range []string{"", "0", "zz", id.String() + "00"} {
 		if _, err := identifier.ParseIdentity(bad); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-// BenchmarkIdentify measures a long prompt's request.
+// BenchmarkIdentify measures a request with a long prompt.
 func BenchmarkIdentify(b *testing.B) {
 	r := request
 	r.Body = make([]byte, 18000)
@@ -79,8 +80,8 @@
 	}
 }
 
-// BenchmarkPlace measures what each call costs while there is any suspect.
-func BenchmarkPlace(b *testing.B) {
+// BenchmarkPlaceHash measures the cost per call while there is at least one suspect.
+func BenchmarkPlaceHash(b *testing.B) {
 	for b.Loop() {
 		request.PlaceHash()
 	}
