--- a/internal/state/packer/packer.go
+++ b/internal/state/packer/packer.go
@@ -1,8 +1,9 @@
-// Package packer makes documents small for the log and for their way to all nodes.
+// Package packer compresses documents for the replicated log and for their distribution to
+// all nodes.
 //
-// A routing configuration of 1,200 routes is 300 KB of JSON, and goes to every entry and
-// companion at each change. Before entries with links of 10 Mbit a second it took a
-// quarter of a second each, in which answers waited behind it.
+// A routing configuration of 1,200 routes is 300 KB of JSON, and is sent to every entry and
+// companion at each change. Uncompressed, it occupies a link of 10 Mbit/s to an entry for a
+// quarter of a second, during which answers are delayed.
 package packer
 
 import (
@@ -13,19 +14,19 @@
 	"github.com/juju/errors"
 )
 
-// MaxBytes bounds an unpacked document: a few bytes could else ask for any amount of
-// memory.
+// MaxBytes is the maximum size of an unpacked document. Without a limit, a few packed bytes
+// could require any amount of memory.
 const MaxBytes = 64 << 20
 
-// packed begins a packed document. No text begins with it, so that documents that were
-// kept as they came are told apart.
-const packed = 0x01
+// packedMarker is the first byte of a packed document. No text starts with it, so that it
+// distinguishes packed documents from those stored uncompressed.
+const packedMarker = 0x01
 
-// Pack returns the packed form of a document, or the document itself where that is
-// smaller.
+// Pack returns the compressed form of a document, or the document itself if that is not
+// larger. A document that starts with the marker byte is always compressed.
 func Pack(document []byte) ([]byte, error) {
 	var out bytes.Buffer
-	out.WriteByte(packed)
+	out.WriteByte(packedMarker)
 	w, err := flate.NewWriter(&out, flate.DefaultCompression)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -42,10 +43,10 @@
 	return out.Bytes(), nil
 }
 
-func isPacked(b []byte) bool { return len(b) > 0 && b[0] == packed }
+func isPacked(b []byte) bool { return len(b) > 0 && b[0] == packedMarker }
 
-// Unpack is the inverse of Pack. One that is cut short or larger than MaxBytes is an
-// error.
+// Unpack is the inverse of Pack. It returns an error if the packed document is truncated or
+// invalid, or if the document is larger than MaxBytes.
 func Unpack(b []byte) ([]byte, error) {
 	if !isPacked(b) {
 		return b, nil
--- a/internal/state/packer/packer_test.go
+++ b/internal/state/packer/packer_test.go
@@ -12,7 +12,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/packer"
 )
 
-func TestUnpackIsTheInverse(t *testing.T) {
+func TestUnpackInvertsPack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		document := rapid.SliceOf(rapid.Byte()).Draw(t, "document")
 		p, err := packer.Pack(document)
@@ -25,10 +25,10 @@
 	})
 }
 
-// TestConfigurationIsSmall: symptom: for some seconds after a large configuration
-// answers are late at all entries. Sequence: an operator adds a thousand routes, and
-// changes a few more in the next seconds. Cause: each time 300 KB went to each entry,
-// over a link that carries a megabyte a second.
+// TestConfigurationIsSmall guards against late answers at all entries in the seconds after
+// a change of a large configuration. An operator adds a thousand routes and then changes a
+// few more; each change sends 300 KB of uncompressed JSON to each entry, over a link of
+// about one megabyte per second.
 func TestConfigurationIsSmall(t *testing.T) {
 	g := NewWithT(t)
 	var routes []string
@@ -41,12 +41,12 @@
 	g.Expect(len(p)).To(BeNumerically("<", len(document)/5))
 }
 
-func TestUnpackRefuses(t *testing.T) {
+func TestUnpackRefusesInvalidInput(t *testing.T) {
 	g := NewWithT(t)
 	p, err := packer.Pack(bytes.Repeat([]byte("route"), 1000))
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = packer.Unpack(p[:len(p)/2])
-	g.Expect(err).To(HaveOccurred(), "cut short")
+	g.Expect(err).To(HaveOccurred(), "truncated")
 	p, err = packer.Pack(make([]byte, packer.MaxBytes+1))
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = packer.Unpack(p)
--- a/internal/state/packer/suite_test.go
+++ b/internal/state/packer/suite_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The same verdict at each run.
+// A fixed seed makes the property tests reproducible.
 func init() { _ = flag.Set("rapid.seed", "1") }
