--- a/internal/state/hasher/mix.go
+++ b/internal/state/hasher/mix.go
@@ -1,10 +1,11 @@
 package hasher
 
-// Mix scrambles x (the finaliser of SplitMix64: Steele, Lea and Flood, "Fast
-// splittable pseudorandom number generators", 2014).
+// Mix returns a bijective scrambling of x, the finalizer of SplitMix64 (Steele, Lea and
+// Flood, "Fast splittable pseudorandom number generators", 2014).
 //
-// Of the exclusive or of two hashes it makes a third: without it the order of some
-// names by their hash with another would be nearly the same for like others.
+// Applied to the exclusive or of two hashes, it gives a hash of the pair. Without it, the
+// order of a set of names by their hash combined with another name's hash would be nearly
+// the same for similar hashes of that other name.
 func Mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
