--- a/internal/state/pauser/pauser.go
+++ b/internal/state/pauser/pauser.go
@@ -1,5 +1,4 @@
-// Package pauser waits for a time or for the end of a context, whichever is
-// first.
+// Package pauser implements a sleep that the end of a context interrupts.
 package pauser
 
 import (
@@ -7,7 +6,7 @@
 	"time"
 )
 
-// Pause waits for d and reports whether it passed before ctx ended.
+// Pause sleeps for d or until ctx is done, and reports whether the whole time has passed.
 func Pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/state/pauser/pauser_test.go
+++ b/internal/state/pauser/pauser_test.go
@@ -16,10 +16,10 @@
 		g := NewWithT(t)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		began := time.Now()
+		start := time.Now()
 		g.Expect(pauser.Pause(ctx, time.Second)).To(BeTrue())
-		g.Expect(time.Since(began)).To(Equal(time.Second))
+		g.Expect(time.Since(start)).To(Equal(time.Second))
 		g.Expect(pauser.Pause(ctx, time.Hour)).To(BeFalse())
-		g.Expect(time.Since(began)).To(Equal(time.Minute))
+		g.Expect(time.Since(start)).To(Equal(time.Minute))
 	})
 }
