--- a/internal/state/indexer/builder.go
+++ b/internal/state/indexer/builder.go
@@ -70,19 +70,19 @@
 		if a.adapterLen == 0 {
 			continue
 		}
-		r := adapterDeclaration{
+		declaration := adapterDeclaration{
 			hash:     d.hash(uint32(i)),
 			metadata: storer.Metadata{Workspace: d.workspace(a), Name: d.adapter(a)},
 			base:     d.bases[a.base],
 		}
 		for position := a.firstVersion; position != noRecord; position = d.versions[position].nextVersion {
 			t := d.target(a, position)
-			r.versions = append(r.versions, versionDeclaration{version: t.Version, source: t.Source})
+			declaration.versions = append(declaration.versions, versionDeclaration{version: t.Version, source: t.Source})
 			if position == a.currentVersion {
-				r.currentVersion = t.Version
+				declaration.currentVersion = t.Version
 			}
 		}
-		declarations = append(declarations, r)
+		declarations = append(declarations, declaration)
 	}
 	return declarations
 }
@@ -91,16 +91,16 @@
 // new data is built. It reads data without mu, since only its caller, the single
 // writer, replaces data.
 func (s *adapters) rebuild() error {
-	fresh, err := buildAdapters(s.data.declarations())
+	compacted, err := buildAdapters(s.data.declarations())
 	if err != nil {
 		return errors.Annotate(err, "rebuild a shard")
 	}
-	s.replace(fresh)
+	s.replace(compacted)
 	return nil
 }
 
-func (s *adapters) replace(fresh adapterData) {
+func (s *adapters) replace(compacted adapterData) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.data = fresh
+	s.data = compacted
 }
--- a/internal/state/indexer/index.go
+++ b/internal/state/indexer/index.go
@@ -85,11 +85,11 @@
 	s := x.workspaceShard(workspace)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	p, ok := s.data[workspace]
+	record, ok := s.data[workspace]
 	if !ok {
 		return storer.PriorityRuleSpec{}, false
 	}
-	return p.rules.find(adapter, key)
+	return record.rules.find(adapter, key)
 }
 
 // KeyByHash returns the holder of the bearer key with the given SHA-256 hash, and whether
@@ -105,11 +105,11 @@
 	s := x.workspaceShard(workspace)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	p, ok := s.data[workspace]
+	record, ok := s.data[workspace]
 	if !ok {
 		return storer.ServiceSpec{}, false
 	}
-	spec, ok := p.services[name]
+	spec, ok := record.services[name]
 	return spec, ok
 }
 
@@ -118,11 +118,11 @@
 	s := x.workspaceShard(name)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	p, ok := s.data[name]
+	record, ok := s.data[name]
 	if !ok {
 		return storer.WorkspaceSpec{}, false
 	}
-	return p.spec, true
+	return record.spec, true
 }
 
 // Models returns the models of a workspace, sorted by name. It iterates over all
--- a/internal/state/indexer/loading.go
+++ b/internal/state/indexer/loading.go
@@ -109,8 +109,8 @@
 	if err := l.finalize(); err != nil {
 		return errors.Annotatef(err, "load revision %d", revision)
 	}
-	var none *blamer.List
-	suspects, err := none.With(l.suspects...)
+	var noSuspects *blamer.List
+	suspects, err := noSuspects.With(l.suspects...)
 	if err != nil {
 		return errors.Annotatef(err, "load revision %d", revision)
 	}
@@ -145,8 +145,8 @@
 		}
 	}
 	for i := range l.staged.workspaces {
-		for _, p := range l.staged.workspaces[i].data {
-			p.rules.sort()
+		for _, record := range l.staged.workspaces[i].data {
+			record.rules.sort()
 		}
 	}
 	slices.SortFunc(l.members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
@@ -156,18 +156,18 @@
 // Reset replaces the contents of the replica by the whole state at a revision, as
 // BeginLoad, Add and Finish do. The resources may be in any order.
 func (x *Index) Reset(rs []storer.Resource, revision uint64) error {
-	l := x.BeginLoad()
+	load := x.BeginLoad()
 	for _, adaptersOnly := range []bool{true, false} {
 		for i := range rs {
 			if (rs[i].Kind == storer.KindAdapter) != adaptersOnly {
 				continue
 			}
-			if err := l.Add(rs[i : i+1]); err != nil {
+			if err := load.Add(rs[i : i+1]); err != nil {
 				return errors.Trace(err)
 			}
 		}
 	}
-	return l.Finish(revision)
+	return load.Finish(revision)
 }
 
 func (s *workspaces) replace(data map[string]*workspaceRecord) {
--- a/internal/state/indexer/rules.go
+++ b/internal/state/indexer/rules.go
@@ -171,11 +171,11 @@
 			strings.Compare(a.name, b.name),
 		)
 	})
-	fresh := r.emptyCopy()
+	result := r.emptyCopy()
 	for i := range sorted {
-		fresh.add(sorted[i].name, sorted[i].spec)
+		result.add(sorted[i].name, sorted[i].spec)
 	}
-	*r = fresh
+	*r = result
 }
 
 // emptyCopy returns empty rules with exactly the capacity for the rules in r.
@@ -185,9 +185,9 @@
 
 // compacted returns the same rules without released texts.
 func (r *rules) compacted() rules {
-	fresh := r.emptyCopy()
+	result := r.emptyCopy()
 	for i := range r.records {
-		fresh.add(r.name(i), r.spec(i))
+		result.add(r.name(i), r.spec(i))
 	}
-	return fresh
+	return result
 }
--- a/internal/state/indexer/spaces.go
+++ b/internal/state/indexer/spaces.go
@@ -25,34 +25,34 @@
 // put adds or replaces a workspace, a service or a rule. The caller holds mu for
 // writing, or the shard is not yet in use.
 func (s *workspaces) put(r storer.Resource) {
-	p := s.workspaceRecord(r.Metadata.Workspace)
+	record := s.workspaceRecord(r.Metadata.Workspace)
 	switch spec := r.Spec.(type) {
 	case storer.WorkspaceSpec:
-		p.spec = spec
+		record.spec = spec
 	case storer.ServiceSpec:
-		if p.services == nil {
-			p.services = map[string]storer.ServiceSpec{}
+		if record.services == nil {
+			record.services = map[string]storer.ServiceSpec{}
 		}
-		p.services[strings.Clone(r.Metadata.Name)] = spec
+		record.services[strings.Clone(r.Metadata.Name)] = spec
 	case storer.PriorityRuleSpec:
-		p.rules.put(r.Metadata.Name, spec)
+		record.rules.put(r.Metadata.Name, spec)
 	}
 }
 
 // workspaceRecord returns the record of a workspace, and adds it if it is missing. The
 // caller holds mu.
 func (s *workspaces) workspaceRecord(workspace string) *workspaceRecord {
-	p, ok := s.data[workspace]
+	record, ok := s.data[workspace]
 	if !ok {
-		p = &workspaceRecord{}
-		s.data[strings.Clone(workspace)] = p
+		record = &workspaceRecord{}
+		s.data[strings.Clone(workspace)] = record
 	}
-	return p
+	return record
 }
 
 // remove removes a workspace, a service or a rule. The caller holds mu.
 func (s *workspaces) remove(r storer.Resource) {
-	p, ok := s.data[r.Metadata.Workspace]
+	record, ok := s.data[r.Metadata.Workspace]
 	if !ok {
 		return
 	}
@@ -60,9 +60,9 @@
 	case storer.KindWorkspace:
 		delete(s.data, r.Metadata.Workspace)
 	case storer.KindService:
-		delete(p.services, r.Metadata.Name)
+		delete(record.services, r.Metadata.Name)
 	case storer.KindPriorityRule:
-		p.rules.remove(r.Metadata.Name)
+		record.rules.remove(r.Metadata.Name)
 	default:
 	}
 }
