--- a/internal/state/configurer/parse_test.go
+++ b/internal/state/configurer/parse_test.go
@@ -97,7 +97,7 @@
 	return found
 }
 
-var _ = DescribeTable("Check accepts companion settings without the address of the backend server",
+var _ = DescribeTable("Check allows companion settings to omit the address of the backend server",
 	func(m configurer.CompanionSettings, faults ...string) {
 		m.Listen = "10.0.0.1:7500"
 		s := configurer.Settings{
--- a/internal/state/configurer/problem.go
+++ b/internal/state/configurer/problem.go
@@ -88,8 +88,8 @@
 	slices.SortStableFunc(problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	kept := problems[:min(len(problems), MaxProblems)]
-	return &Error{File: file, Problems: kept, Omitted: len(problems) - len(kept)}
+	shown := problems[:min(len(problems), MaxProblems)]
+	return &Error{File: file, Problems: shown, Omitted: len(problems) - len(shown)}
 }
 
 // oneLine returns s truncated to maxMessageBytes bytes, with a question mark in place of
