--- a/internal/coordination/suspecter/suspecter_test.go
+++ b/internal/coordination/suspecter/suspecter_test.go
@@ -55,7 +55,7 @@
 func ended(life uint64, names ...string) storer.CountEnds {
 	c := storer.CountEnds{Service: "s", Life: life}
 	for _, name := range names {
-		c.Requests = append(c.Requests, storer.EndedRequest{Name: identifier.Identify(request(name)).String(), Place: request(name).PlaceHash()})
+		c.Requests = append(c.Requests, storer.EndedRequest{Name: identifier.Identify(request(name)).String(), Place: request(name).Place()})
 	}
 	return c
 }
@@ -81,8 +81,8 @@
 		c.apply(ended(2, "x"))
 		Expect(quarantined("x")).To(BeTrue())
 		Expect(quarantined("y")).To(BeFalse())
-		Expect(table.SuspectAt(c.tracker.View(), request("x").PlaceHash())).To(BeTrue())
-		Expect(table.SuspectAt(c.tracker.View(), request("z").PlaceHash())).To(BeFalse())
+		Expect(table.SuspectAt(c.tracker.View(), request("x").Place())).To(BeTrue())
+		Expect(table.SuspectAt(c.tracker.View(), request("z").Place())).To(BeFalse())
 	})
 
 	It("is kept from them by what an entry has seen itself, without contact to control", func() {
@@ -91,7 +91,7 @@
 			table.Ended(start, ended(life, "x"))
 		}
 		Expect(quarantined("x")).To(BeTrue())
-		Expect(table.SuspectAt(c.tracker.View(), request("x").PlaceHash())).To(BeTrue())
+		Expect(table.SuspectAt(c.tracker.View(), request("x").Place())).To(BeTrue())
 	})
 
 	It("adds up from both", func() {
@@ -126,7 +126,7 @@
 		c.apply(storer.ClearSuspects{Names: []string{identifier.Identify(request("x")).String()}})
 		table.Sync(c.tracker.View())
 		Expect(quarantined("x")).To(BeFalse())
-		Expect(table.SuspectAt(c.tracker.View(), request("x").PlaceHash())).To(BeFalse())
+		Expect(table.SuspectAt(c.tracker.View(), request("x").Place())).To(BeFalse())
 	})
 
 	It("needs six ends where its answer had begun each time", func() {
@@ -185,7 +185,7 @@
 		Expect(r.Due(start.Add(time.Hour))).To(BeEmpty())
 		table.Ended(start, ended(7, "old"))
 		table.Ended(start.Add(time.Hour), ended(8, "new"))
-		Expect(table.SuspectAt(c.tracker.View(), request("old").PlaceHash())).To(BeFalse())
+		Expect(table.SuspectAt(c.tracker.View(), request("old").Place())).To(BeFalse())
 	})
 
 	It("is remembered within bounds, those in quarantine last to go", func() {
@@ -201,7 +201,7 @@
 		for i := range 2000 {
 			table.Ended(start, ended(9, "n"+strconv.Itoa(i)))
 		}
-		Expect(table.SuspectAt(newControl().tracker.View(), request("n1999").PlaceHash())).To(BeFalse())
+		Expect(table.SuspectAt(newControl().tracker.View(), request("n1999").Place())).To(BeFalse())
 	})
 
 	It("is nothing where it has no identity", func() {
--- a/internal/coordination/suspecter/table_benchmark_test.go
+++ b/internal/coordination/suspecter/table_benchmark_test.go
@@ -19,7 +19,7 @@
 	for i := range storer.MaxSuspects {
 		full.apply(ended(1, "n"+strconv.Itoa(i)))
 	}
-	place, other := request("n7").PlaceHash(), request("other").PlaceHash()
+	place, other := request("n7").Place(), request("other").Place()
 	id := identifier.Identify(request("n7"))
 	b.Run("None", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/state/identifier/identity.go
+++ b/internal/state/identifier/identity.go
@@ -40,10 +40,10 @@
 	Body   []byte
 }
 
-// PlaceHash returns a hash of everything except the body. It is fast, but not
-// cryptographic: different hashes prove that two requests differ, whereas equal hashes
-// prove nothing, since collisions can be constructed.
-func (r Request) PlaceHash() uint64 {
+// Place returns a hash of everything except the body, by which a request is compared with
+// the suspects. It is fast, but not cryptographic: different hashes prove that two requests
+// differ, whereas equal hashes prove nothing, since collisions can be constructed.
+func (r Request) Place() uint64 {
 	h := xxhash.New()
 	r.writeHeader(h)
 	return h.Sum64()
--- a/internal/state/identifier/identity_test.go
+++ b/internal/state/identifier/identity_test.go
@@ -49,12 +49,12 @@
 func TestIdentifyIgnoresQueryWithBody(t *testing.T) {
 	other := request
 	other.Target = "/a?time=2"
-	if identifier.Identify(other) != identifier.Identify(request) || other.PlaceHash() != request.PlaceHash() {
-		t.Error("the query of a request with a body changed its identity or place hash")
+	if identifier.Identify(other) != identifier.Identify(request) || other.Place() != request.Place() {
+		t.Error("the query of a request with a body changed its identity or place")
 	}
 	other.Body = []byte("other")
-	if identifier.Identify(other) == identifier.Identify(request) || other.PlaceHash() != request.PlaceHash() {
-		t.Error("a different body did not change the identity, or changed the place hash")
+	if identifier.Identify(other) == identifier.Identify(request) || other.Place() != request.Place() {
+		t.Error("a different body did not change the identity, or changed the place")
 	}
 }
 
@@ -80,9 +80,9 @@
 	}
 }
 
-// BenchmarkPlaceHash measures the cost per call while there is at least one suspect.
-func BenchmarkPlaceHash(b *testing.B) {
+// BenchmarkPlace measures the cost per call while there is at least one suspect.
+func BenchmarkPlace(b *testing.B) {
 	for b.Loop() {
-		request.PlaceHash()
+		request.Place()
 	}
 }
--- a/internal/transport/gatekeeper/suspect.go
+++ b/internal/transport/gatekeeper/suspect.go
@@ -27,7 +27,7 @@
 // It is cheap as long as there are no suspects.
 func (q *request) maySuspect() bool {
 	known, t := q.entry.settings.Index.Suspects(), q.entry.suspects
-	return t.HasSuspects(known) && t.SuspectAt(known, q.identity().PlaceHash())
+	return t.HasSuspects(known) && t.SuspectAt(known, q.identity().Place())
 }
 
 // quarantined refuses a request if too many backend servers ended while they ran it.
@@ -57,7 +57,7 @@
 		return
 	}
 	of := q.identity()
-	requests := []storer.EndedRequest{{Name: identifier.Identify(of).String(), Place: of.PlaceHash(), Progressed: progressed}}
+	requests := []storer.EndedRequest{{Name: identifier.Identify(of).String(), Place: of.Place(), Progressed: progressed}}
 	for _, incarnation := range incarnations {
 		c := storer.CountEnds{Service: q.call.Pool.Name, Life: suspecter.Life(backend, incarnation), Requests: requests}
 		q.entry.suspects.Ended(q.entry.settings.Now(), c)
--- a/internal/transport/relayer/suspect.go
+++ b/internal/transport/relayer/suspect.go
@@ -40,7 +40,7 @@
 // placeHash returns a fast hash of all parts of the call except its body.
 func (j *job) placeHash() uint64 {
 	s := &j.identityCache
-	s.locate.Do(func() { s.placeHash = j.content().PlaceHash() })
+	s.locate.Do(func() { s.placeHash = j.content().Place() })
 	return s.placeHash
 }
 
--- a/internal/transport/relayer/suspect_test.go
+++ b/internal/transport/relayer/suspect_test.go
@@ -20,7 +20,7 @@
 // addSuspect records that incarnations of backend servers ended while they ran the
 // request that e.call sends.
 func (e *entry) addSuspect(lives int) {
-	spec := storer.SuspectSpec{Service: "s", Place: sentRequest.PlaceHash()}
+	spec := storer.SuspectSpec{Service: "s", Place: sentRequest.Place()}
 	for life := range uint64(lives) {
 		spec = spec.Ended(storer.SuspectLife{Life: life})
 	}
@@ -35,7 +35,7 @@
 		Eventually(e.crashes).Should(HaveLen(1))
 		end := e.crashes()[0]
 		Expect(end.Service).To(Equal("s"))
-		Expect(end.Requests).To(Equal([]storer.EndedRequest{{Name: identifier.Identify(sentRequest).String(), Place: sentRequest.PlaceHash()}}))
+		Expect(end.Requests).To(Equal([]storer.EndedRequest{{Name: identifier.Identify(sentRequest).String(), Place: sentRequest.Place()}}))
 	})
 
 	It("is reported as progressed if part of its answer had arrived", func() {
