--- a/internal/state/indexer/spaces.go
+++ b/internal/state/indexer/spaces.go
@@ -7,50 +7,52 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// spaces is one shard of what belongs to workspaces, beside their adapters.
-type spaces struct {
+// workspaces is one shard of the workspaces with their services and rules. Adapters are
+// stored separately.
+type workspaces struct {
 	mu sync.RWMutex
-	// data holds the workspaces by name; guarded by mu.
-	data map[string]*space
+	// data contains the workspaces by name; guarded by mu.
+	data map[string]*workspaceRecord
 }
 
-// space is one workspace.
-type space struct {
+// workspaceRecord is one workspace.
+type workspaceRecord struct {
 	spec     storer.WorkspaceSpec
 	services map[string]storer.ServiceSpec
 	rules    rules
 }
 
-// put applies the write of a workspace, a service or a rule. The caller holds
-// mu for writing, or the shard is not yet in use.
-func (s *spaces) put(r storer.Resource) {
-	p := s.space(r.Metadata.Workspace)
+// put adds or replaces a workspace, a service or a rule. The caller holds mu for
+// writing, or the shard is not yet in use.
+func (s *workspaces) put(r storer.Resource) {
+	record := s.workspaceRecord(r.Metadata.Workspace)
 	switch spec := r.Spec.(type) {
 	case storer.WorkspaceSpec:
-		p.spec = spec
+		record.spec = spec
 	case storer.ServiceSpec:
-		if p.services == nil {
-			p.services = map[string]storer.ServiceSpec{}
+		if record.services == nil {
+			record.services = map[string]storer.ServiceSpec{}
 		}
-		p.services[strings.Clone(r.Metadata.Name)] = spec
+		record.services[strings.Clone(r.Metadata.Name)] = spec
 	case storer.PriorityRuleSpec:
-		p.rules.put(r.Metadata.Name, spec)
+		record.rules.put(r.Metadata.Name, spec)
 	}
 }
 
-// space has no lock of its own. The caller holds mu.
-func (s *spaces) space(workspace string) *space {
-	p, ok := s.data[workspace]
+// workspaceRecord returns the record of a workspace, and adds it if it is missing. The
+// caller holds mu.
+func (s *workspaces) workspaceRecord(workspace string) *workspaceRecord {
+	record, ok := s.data[workspace]
 	if !ok {
-		p = &space{}
-		s.data[strings.Clone(workspace)] = p
+		record = &workspaceRecord{}
+		s.data[strings.Clone(workspace)] = record
 	}
-	return p
+	return record
 }
 
-// remove has no lock of its own. The caller holds mu.
-func (s *spaces) remove(r storer.Resource) {
-	p, ok := s.data[r.Metadata.Workspace]
+// remove removes a workspace, a service or a rule. The caller holds mu.
+func (s *workspaces) remove(r storer.Resource) {
+	record, ok := s.data[r.Metadata.Workspace]
 	if !ok {
 		return
 	}
@@ -58,9 +60,9 @@
 	case storer.KindWorkspace:
 		delete(s.data, r.Metadata.Workspace)
 	case storer.KindService:
-		delete(p.services, r.Metadata.Name)
+		delete(record.services, r.Metadata.Name)
 	case storer.KindPriorityRule:
-		p.rules.remove(r.Metadata.Name)
+		record.rules.remove(r.Metadata.Name)
 	default:
 	}
 }
