--- a/internal/protocol/messenger/pace.go
+++ b/internal/protocol/messenger/pace.go
@@ -12,7 +12,7 @@
 	_ struct{} `cbor:",toarray"`
 	// Attended means that something waits here for the other end: both beat at
 	// Settings.HeartbeatInterval, and not at QuietInterval.
-	Attended bool
+	Full bool
 }
 
 // Attend has both ends beat at the full pace from now on, until Rest: something at this
@@ -21,7 +21,7 @@
 // Between every entry and every companion most connections carry a call every twenty
 // seconds. At 68 entries before 117 companions, heartbeats at the full pace on all of
 // them were more than all other messages together.
-func (c *Conn) Attend() {
+func (c *Conn) UseFullPace() {
 	if c.settings.QuietInterval <= 0 || c.attending.Swap(true) {
 		return
 	}
@@ -31,17 +31,17 @@
 }
 
 // Rest ends what Attend began.
-func (c *Conn) Rest() {
+func (c *Conn) AllowQuietPace() {
 	if c.attending.Swap(false) {
 		c.sendPace()
 	}
 }
 
 // Attended reports whether this end has asked for the full pace.
-func (c *Conn) Attended() bool { return c.attending.Load() }
+func (c *Conn) UsesFullPace() bool { return c.attending.Load() }
 
 // Answered reports whether the other end was heard of since this one began to attend.
-func (c *Conn) Answered() bool { return c.heard.Load() > c.attendedAt.Load() }
+func (c *Conn) ReceivedAtFullPace() bool { return c.heard.Load() > c.attendedAt.Load() }
 
 // sendPace tells the other end of this one's pace. It does not wait: a write to a
 // silent connection blocks once its buffer is full.
@@ -51,7 +51,7 @@
 	}
 	go func() {
 		defer c.serving.Done()
-		if err := c.notice(MethodPace, Pace{Attended: c.attending.Load()}); err != nil {
+		if err := c.notice(MethodPace, Pace{Full: c.attending.Load()}); err != nil {
 			c.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("pace not told")
 		}
 	}()
@@ -65,7 +65,7 @@
 		return
 	}
 	c.peerPaces.Store(true)
-	if c.peerAttends.Store(p.Attended); p.Attended {
+	if c.peerAttends.Store(p.Full); p.Full {
 		c.hasten()
 	}
 }
--- a/internal/protocol/messenger/pace_test.go
+++ b/internal/protocol/messenger/pace_test.go
@@ -64,13 +64,13 @@
 		if near.Suspect() || near.Ended() {
 			t.Error("a quiet connection counts as silent")
 		}
-		near.Attend()
+		near.UseFullPace()
 		before = l.writes.Load()
 		pass(2 * time.Second)
 		if n := l.writes.Load() - before; n < 10 {
 			t.Errorf("%d heartbeats in 2 s while attended, want 10 or more", n)
 		}
-		near.Rest()
+		near.AllowQuietPace()
 		pass(time.Second)
 		before = l.writes.Load()
 		pass(20 * time.Second)
@@ -87,7 +87,7 @@
 	paired(t, func(near, _ *messenger.Conn, l line) {
 		pass(time.Second)
 		l.mute.Store(true)
-		near.Attend()
+		near.UseFullPace()
 		if silence, ok := near.Silence(); !ok || silence > 0 {
 			t.Errorf("silent for %v as it begins to be attended", silence)
 		}
--- a/internal/transport/relayer/attending.go
+++ b/internal/transport/relayer/attending.go
@@ -13,7 +13,7 @@
 	r.watchedMu.Lock()
 	defer r.watchedMu.Unlock()
 	if c, is := r.watched[name]; is {
-		c.conn.Attend()
+		c.conn.UseFullPace()
 	}
 }
 
@@ -28,10 +28,10 @@
 		silence, _ := c.conn.Silence()
 		_, waits := waiting[name]
 		switch {
-		case waits, fullPaceForAll, silence > 0 && !c.conn.Attended():
-			c.conn.Attend()
-		case c.conn.Answered():
-			c.conn.Rest()
+		case waits, fullPaceForAll, silence > 0 && !c.conn.UsesFullPace():
+			c.conn.UseFullPace()
+		case c.conn.ReceivedAtFullPace():
+			c.conn.AllowQuietPace()
 		}
 	}
 }
