--- a/internal/protocol/exchanger/conn.go
+++ b/internal/protocol/exchanger/conn.go
@@ -21,7 +21,7 @@
 	// ErrSent means that the request may have been received.
 	ErrSent = errors.ConstError("request sent without an answer")
 	// ErrForeign means that what came is no answer to the request.
-	ErrForeign = errors.ConstError("answer of another request")
+	ErrAnswerMismatch = errors.ConstError("answer of another request")
 )
 
 const (
@@ -158,7 +158,7 @@
 		}
 	}
 	c.Abort()
-	return nil, errors.Trace(ErrForeign)
+	return nil, errors.Trace(ErrAnswerMismatch)
 }
 
 // Finish gives the connection back after an answer that was read to its end. The
--- a/internal/protocol/exchanger/exchanger_test.go
+++ b/internal/protocol/exchanger/exchanger_test.go
@@ -82,12 +82,12 @@
 		p := exchanger.NewPool(exchanger.Settings{})
 		DeferCleanup(p.Close)
 		s := serve(well)
-		Expect(p.Listens(context.Background(), s.address())).To(BeTrue())
+		Expect(p.IsListening(context.Background(), s.address())).To(BeTrue())
 		Expect(s.network.Close()).To(Succeed())
-		Expect(p.Listens(context.Background(), s.address())).To(BeFalse())
+		Expect(p.IsListening(context.Background(), s.address())).To(BeFalse())
 		unanswered := exchanger.NewPool(exchanger.Settings{Dial: func(context.Context, string) (net.Conn, error) { return nil, syscall.ETIMEDOUT }})
 		DeferCleanup(unanswered.Close)
-		_, err := unanswered.Listens(context.Background(), s.address())
+		_, err := unanswered.IsListening(context.Background(), s.address())
 		Expect(err).To(HaveOccurred())
 	})
 
@@ -102,7 +102,7 @@
 		_, err = io.Copy(io.Discard, response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		conn.Finish(response, 0)
-		Expect(p.Listens(context.Background(), s.address())).To(BeTrue())
+		Expect(p.IsListening(context.Background(), s.address())).To(BeTrue())
 		Expect(s.accepted).To(HaveLen(1), "no second connection")
 		again, err := p.Get(context.Background(), s.address())
 		Expect(err).NotTo(HaveOccurred())
@@ -187,7 +187,7 @@
 		foreign := strings.Repeat("HTTP/1.1 200 OK\r\nId: x\r\nContent-Length: 1\r\n\r\nx", 5)
 		s := serve(func(conn net.Conn, reader *bufio.Reader) { answer(conn, reader, foreign) })
 		_, _, err := exchange(newPool(), s.address(), "1")
-		Expect(err).To(MatchError(exchanger.ErrForeign))
+		Expect(err).To(MatchError(exchanger.ErrAnswerMismatch))
 	})
 
 	It("doesn't use a connection again behind which bytes came", func() {
--- a/internal/protocol/exchanger/pool.go
+++ b/internal/protocol/exchanger/pool.go
@@ -27,7 +27,7 @@
 	DefaultIdleMargin = 700 * time.Millisecond
 	// DefaultSilence is the time without an acknowledgement after which the
 	// system gives a connection up that was silently forgotten on its way.
-	DefaultSilence = 1500 * time.Millisecond
+	DefaultUserTimeout = 1500 * time.Millisecond
 )
 
 // Settings are a Pool's options. The zero value of a field means its documented
@@ -36,7 +36,7 @@
 	DialTimeout time.Duration
 	IdleLimit   time.Duration
 	IdleMargin  time.Duration
-	Silence     time.Duration
+	UserTimeout time.Duration
 	// Now is a clock with monotonic readings; nil means time.Now.
 	Now func() time.Time
 	// Dial opens a connection; nil means TCP.
@@ -62,12 +62,12 @@
 	s.DialTimeout = cmp.Or(s.DialTimeout, DefaultDialTimeout)
 	s.IdleLimit = cmp.Or(s.IdleLimit, DefaultIdleLimit)
 	s.IdleMargin = cmp.Or(s.IdleMargin, DefaultIdleMargin)
-	s.Silence = cmp.Or(s.Silence, DefaultSilence)
+	s.UserTimeout = cmp.Or(s.UserTimeout, DefaultUserTimeout)
 	if s.Now == nil {
 		s.Now = time.Now
 	}
 	if s.Dial == nil {
-		s.Dial = Dialer(s.Silence)
+		s.Dial = Dialer(s.UserTimeout)
 	}
 	return &Pool{settings: s, idle: make(map[string][]*Conn), open: make(map[string]int)}
 }
@@ -157,7 +157,7 @@
 //
 // An idle connection that is still sound spares the new one: the end of its process would
 // have ended it.
-func (p *Pool) Listens(ctx context.Context, address string) (bool, error) {
+func (p *Pool) IsListening(ctx context.Context, address string) (bool, error) {
 	if p.soundIdle(address) {
 		return true, nil
 	}
--- a/internal/transport/relayer/fixture_test.go
+++ b/internal/transport/relayer/fixture_test.go
@@ -353,7 +353,7 @@
 
 // dialBackend opens a connection to a backend server.
 func (e *entry) dialBackend(ctx context.Context, address string) (net.Conn, error) {
-	conn, err := exchanger.Dialer(exchanger.DefaultSilence)(ctx, address)
+	conn, err := exchanger.Dialer(exchanger.DefaultUserTimeout)(ctx, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transport/relayer/loss.go
+++ b/internal/transport/relayer/loss.go
@@ -112,7 +112,7 @@
 	if m, ok := r.settings.View().Member(of.name); !ok || m.Spec.Incarnation == of.incarnation && m.Spec.State != storer.MemberStateServing {
 		return fateLeft
 	}
-	listens, err := r.settings.Pool.Listens(r.root, address)
+	listens, err := r.settings.Pool.IsListening(r.root, address)
 	if err == nil && !listens {
 		return fateEnded
 	}
