--- a/internal/protocol/orderer/caller.go
+++ b/internal/protocol/orderer/caller.go
@@ -142,7 +142,7 @@
 	ctx := httptrace.WithClientTrace(r.Context(), tried.trace())
 	answer, err := t.RoundTrip(r.WithContext(ctx))
 	if err != nil {
-		failure := &Error{Begun: tried.seal(), Cause: err}
+		failure := &Error{MayHaveBegun: tried.seal(), Cause: err}
 		if cause := context.Cause(ctx); cause != nil {
 			failure.Cause = cause
 		}
@@ -154,9 +154,9 @@
 // refusal turns an answer that is not a success into an *Error.
 func refusal(answer *http.Response) *Error {
 	e := &Error{
-		Begun:       mayHaveBegun(answer.StatusCode),
-		Status:      answer.StatusCode,
-		Incarnation: answer.Header.Get(HeaderIncarnation),
+		MayHaveBegun: mayHaveBegun(answer.StatusCode),
+		Status:       answer.StatusCode,
+		Incarnation:  answer.Header.Get(HeaderIncarnation),
 	}
 	if seconds, err := strconv.Atoi(answer.Header.Get("Retry-After")); err == nil && seconds > 0 {
 		e.RetryAfter = time.Duration(seconds) * time.Second
--- a/internal/protocol/orderer/engine.go
+++ b/internal/protocol/orderer/engine.go
@@ -147,7 +147,7 @@
 	incarnation := answer.Header.Get(HeaderIncarnation)
 	data, err := io.ReadAll(io.LimitReader(answer.Body, e.caller.settings.MaxAnswerBytes))
 	if err != nil {
-		return &Error{Begun: true, Status: answer.StatusCode, Incarnation: incarnation, Cause: err}
+		return &Error{MayHaveBegun: true, Status: answer.StatusCode, Incarnation: incarnation, Cause: err}
 	}
 	switch t := target.(type) {
 	case nil:
@@ -155,7 +155,7 @@
 		*t = data
 	default:
 		if err := json.Unmarshal(data, t); err != nil {
-			return &Error{Begun: true, Status: answer.StatusCode, Incarnation: incarnation, Cause: err}
+			return &Error{MayHaveBegun: true, Status: answer.StatusCode, Incarnation: incarnation, Cause: err}
 		}
 	}
 	return nil
--- a/internal/protocol/orderer/errors.go
+++ b/internal/protocol/orderer/errors.go
@@ -32,7 +32,7 @@
 	ErrWrongModel = errors.ConstError("answer of another model")
 	// ErrForgotten means that the engine no longer knows, or never knew, a request.
 	// It matches ErrUnknown: the request may still be on its way.
-	ErrForgotten = errors.ConstError("request not known to the engine")
+	ErrRequestNotFound = errors.ConstError("request not known to the engine")
 	// ErrSilent means that a connection delivered nothing for the silence limit.
 	ErrSilent = errors.ConstError("connection silent")
 )
@@ -41,7 +41,7 @@
 type Error struct {
 	// Begun tells whether the work may have begun. It decides between ErrUnknown
 	// and ErrNotRun.
-	Begun bool
+	MayHaveBegun bool
 	// Reason is the sentinel that says more, or nil.
 	Reason error
 	// Status is the HTTP status of the answer, or 0 where none came.
@@ -60,7 +60,7 @@
 // Error says what happened in one line.
 func (e *Error) Error() string {
 	outcome := ErrNotRun
-	if e.Begun {
+	if e.MayHaveBegun {
 		outcome = ErrUnknown
 	}
 	text := outcome.Error()
@@ -84,9 +84,9 @@
 func (e *Error) Is(target error) bool {
 	switch target {
 	case ErrUnknown:
-		return e.Begun
+		return e.MayHaveBegun
 	case ErrNotRun:
-		return !e.Begun
+		return !e.MayHaveBegun
 	}
 	if e.Reason != nil && target == e.Reason {
 		return true
--- a/internal/protocol/orderer/generate.go
+++ b/internal/protocol/orderer/generate.go
@@ -160,9 +160,9 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	e := refusal(answer)
-	e.Begun = true
+	e.MayHaveBegun = true
 	if e.Status == http.StatusNotFound {
-		e.Reason = ErrForgotten
+		e.Reason = ErrRequestNotFound
 	}
 	return nil, e
 }
@@ -192,7 +192,7 @@
 		f.incarnation = incarnation
 	}
 	if f.incarnation != incarnation {
-		return true, f.unknown(ErrForgotten, errors.Errorf("engine restarted as %s", incarnation))
+		return true, f.unknown(ErrRequestNotFound, errors.Errorf("engine restarted as %s", incarnation))
 	}
 	events := newEventReader(answer.Body, f.engine.caller.settings.MaxEventBytes, alive)
 	end, err := f.take(events, func(p Piece) error {
@@ -216,11 +216,11 @@
 	switch {
 	case errors.Is(e, ErrMoved):
 		return true
-	case errors.Is(e, ErrForgotten):
+	case errors.Is(e, ErrRequestNotFound):
 		// A request that was never heard of may still be on its way to the engine.
 		return f.last > 0 || f.incarnation != ""
 	default:
-		return !e.Begun
+		return !e.MayHaveBegun
 	}
 }
 
@@ -303,5 +303,5 @@
 }
 
 func (f *follower) unknown(reason, cause error) *Error {
-	return &Error{Begun: true, Reason: reason, Incarnation: f.incarnation, Cause: cause}
+	return &Error{MayHaveBegun: true, Reason: reason, Incarnation: f.incarnation, Cause: cause}
 }
--- a/internal/protocol/orderer/generate_test.go
+++ b/internal/protocol/orderer/generate_test.go
@@ -76,7 +76,7 @@
 		var a answer
 		err := p.client.Generate(t.Context(), call("r1"), a.take)
 		g.Expect(errors.Is(err, orderer.ErrUnknown)).To(BeTrue(), "%v", err)
-		g.Expect(errors.Is(err, orderer.ErrForgotten)).To(BeTrue(), "%v", err)
+		g.Expect(errors.Is(err, orderer.ErrRequestNotFound)).To(BeTrue(), "%v", err)
 		g.Expect(a.done).To(BeFalse())
 		g.Expect(p.engine.Record().Runs[0].Outcome).To(Equal(generator.Lost))
 		g.Expect(errors.Is(p.client.Generate(t.Context(), call("r2"), a.take), orderer.ErrNotResident)).To(BeTrue())
--- a/internal/protocol/orderer/load.go
+++ b/internal/protocol/orderer/load.go
@@ -100,9 +100,9 @@
 	}
 	reason := ErrLoadFailed
 	if w.seen == "" {
-		reason = ErrForgotten // The order may still be on its way.
+		reason = ErrRequestNotFound // The order may still be on its way.
 		w.patience--
 	}
 	ended := w.seen != "" || w.patience <= 0
-	return ended, &Error{Begun: true, Reason: reason, Incarnation: s.Incarnation}
+	return ended, &Error{MayHaveBegun: true, Reason: reason, Incarnation: s.Incarnation}
 }
--- a/internal/protocol/orderer/service.go
+++ b/internal/protocol/orderer/service.go
@@ -88,7 +88,7 @@
 func (b *serviceBody) Read(data []byte) (int, error) {
 	n, err := b.ReadCloser.Read(data)
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = &Error{Begun: true, Cause: err}
+		err = &Error{MayHaveBegun: true, Cause: err}
 	}
 	return n, err
 }
--- a/internal/protocol/orderer/stream_test.go
+++ b/internal/protocol/orderer/stream_test.go
@@ -63,7 +63,7 @@
 		"cut in a line":      {[]string{"i " + one + two[:30], "i " + two + done(3)}, "<1><2>", nil},
 		"cut after a line":   {[]string{"i " + one + strings.TrimSuffix(done(2), "\n"), "i " + two + done(3)}, "<1><2>", nil},
 		"other adapter":      {[]string{"i " + one + token(2, "titles/chain@2")}, "<1>", orderer.ErrWrongModel},
-		"other incarnation":  {[]string{"i " + one, "j " + two + done(3)}, "<1>", orderer.ErrForgotten},
+		"other incarnation":  {[]string{"i " + one, "j " + two + done(3)}, "<1>", orderer.ErrRequestNotFound},
 		"error in the end":   {[]string{"i " + one + "id: 2\ndata: {\"error\":{\"type\":\"x\"}}\n\n"}, "<1>", orderer.ErrUnknown},
 		"no end, no engine":  {[]string{"i " + one}, "<1>", orderer.ErrUnknown},
 		"event without end":  {[]string{"i id: 1\ndata: " + strings.Repeat("x", 2<<20)}, "", orderer.ErrUnknown},
--- a/internal/transport/companion/features_bench_test.go
+++ b/internal/transport/companion/features_bench_test.go
@@ -109,7 +109,7 @@
 func (p *enginePair) follow(i int, request string, number *int64, give func(orderer.Piece) error) error {
 	for {
 		err := p.clients[i].Resume(context.Background(), request, "w/a@1", *number, give)
-		if !errors.Is(err, orderer.ErrForgotten) {
+		if !errors.Is(err, orderer.ErrRequestNotFound) {
 			return err
 		}
 	}
--- a/internal/transport/companion/run.go
+++ b/internal/transport/companion/run.go
@@ -188,7 +188,7 @@
 	if errors.Is(context.Cause(ctx), errRestarted) {
 		return true
 	}
-	if !errors.Is(err, orderer.ErrForgotten) {
+	if !errors.Is(err, orderer.ErrRequestNotFound) {
 		return false
 	}
 	state, ok := r.companion.refreshState(context.WithoutCancel(ctx))
