--- a/internal/protocol/translator/completion.go
+++ b/internal/protocol/translator/completion.go
@@ -51,7 +51,7 @@
 // Completion is a parsed chat or completion request.
 type Completion struct {
 	Kind   messenger.CallKind
-	Model  Name
+	Model  ModelName
 	Stream bool
 	// MaxTokens is the most tokens that the answer may have; 0 means not told.
 	MaxTokens int64
@@ -92,7 +92,7 @@
 	if err := c.fields.decode(fieldModel, &model); err != nil {
 		return nil, err
 	}
-	name, err := ParseName(model)
+	name, err := ParseModelName(model)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
--- a/internal/protocol/translator/fault.go
+++ b/internal/protocol/translator/fault.go
@@ -72,7 +72,7 @@
 	Outcome messenger.Outcome
 	// Undecided tells that the outcome is unknown only since nobody could be asked whether
 	// the request's idempotency key has run before: this sending has not.
-	Undecided bool
+	KeyUndecided bool
 	// RetryAfter tells when to come back; 0 means that it is not told.
 	RetryAfter time.Duration
 }
@@ -87,7 +87,7 @@
 
 // Inherent reports whether the request itself is at fault: it would be refused by any
 // entry at any time, and so has never run.
-func (f *Fault) Inherent() bool {
+func (f *Fault) AlwaysRefused() bool {
 	switch f.Status {
 	case http.StatusBadRequest, http.StatusMethodNotAllowed, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity,
 		http.StatusRequestHeaderFieldsTooLarge:
@@ -167,7 +167,7 @@
 func (f *Fault) repeatable() bool {
 	switch f.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return f.Outcome == messenger.OutcomeNotRun || f.Undecided
+		return f.Outcome == messenger.OutcomeNotRun || f.KeyUndecided
 	default:
 		return f.Code == CodeKeyInProgress
 	}
--- a/internal/protocol/translator/fuzz_test.go
+++ b/internal/protocol/translator/fuzz_test.go
@@ -35,7 +35,7 @@
 			}
 			return
 		}
-		if again, err := translator.ParseName(c.Model.String()); err != nil || again != c.Model {
+		if again, err := translator.ParseModelName(c.Model.String()); err != nil || again != c.Model {
 			t.Fatalf("name %+v reads back as %+v, %v", c.Model, again, err)
 		}
 		if c.MaxTokens < 0 || c.MaxTokens > translator.MaxAnswerTokens || c.Tokens() <= 0 || c.PromptTokens > int64(len(body)) {
@@ -69,10 +69,10 @@
 		if d, err := translator.Deadline(h); err == nil && d < 0 {
 			t.Fatalf("deadline %v", d)
 		}
-		if k, err := translator.IdempotencyKey(h); err == nil && len(k) > translator.MaxKey {
+		if k, err := translator.IdempotencyKey(h); err == nil && len(k) > translator.MaxKeyBytes {
 			t.Fatalf("key of %d bytes", len(k))
 		}
-		for _, field := range translator.Forwarded(h) {
+		for _, field := range translator.ForwardedFields(h) {
 			if field.Name == "Authorization" || field.Name == "Connection" {
 				t.Fatalf("%s is forwarded", field.Name)
 			}
--- a/internal/protocol/translator/header.go
+++ b/internal/protocol/translator/header.go
@@ -33,7 +33,7 @@
 )
 
 // MaxKey bounds the bytes of an idempotency key.
-const MaxKey = 255
+const MaxKeyBytes = 255
 
 const bearerPrefix = "Bearer "
 
@@ -54,8 +54,8 @@
 		return "", nil
 	case len(keys) > 1:
 		return "", errors.NotValidf("more than one %s", HeaderIdempotencyKey)
-	case keys[0] == "" || len(keys[0]) > MaxKey:
-		return "", errors.NotValidf("%s of %d bytes; 1 to %d are allowed; it", HeaderIdempotencyKey, len(keys[0]), MaxKey)
+	case keys[0] == "" || len(keys[0]) > MaxKeyBytes:
+		return "", errors.NotValidf("%s of %d bytes; 1 to %d are allowed; it", HeaderIdempotencyKey, len(keys[0]), MaxKeyBytes)
 	}
 	return keys[0], nil
 }
@@ -85,7 +85,7 @@
 // Forwarded returns the fields of a request or answer that go on to the other
 // end. The caller's bearer key never does: a plain service could use it as the
 // caller.
-func Forwarded(h http.Header) []messenger.HeaderField {
+func ForwardedFields(h http.Header) []messenger.HeaderField {
 	drop := make(map[string]bool, len(notForwarded))
 	for _, name := range notForwarded {
 		drop[name] = true
@@ -109,7 +109,7 @@
 
 // CopyAnswer sets a plain service's header fields on the answer to the caller.
 // Fields of this project are the entry's to set, and never taken over.
-func CopyAnswer(to http.Header, fields []messenger.HeaderField) {
+func CopyAnswerHeader(to http.Header, fields []messenger.HeaderField) {
 	for _, f := range fields {
 		name := textproto.CanonicalMIMEHeaderKey(f.Name)
 		if strings.HasPrefix(name, "Marigoldpoint-") || name == "Content-Length" {
--- a/internal/protocol/translator/name.go
+++ b/internal/protocol/translator/name.go
@@ -7,11 +7,11 @@
 )
 
 // MaxName bounds the bytes of a workspace's, adapter's or version's name.
-const MaxName = 128
+const MaxNameBytes = 128
 
 // Name is what a caller writes as model: WORKSPACE/ADAPTER or
 // WORKSPACE/ADAPTER@VERSION.
-type Name struct {
+type ModelName struct {
 	Workspace string
 	Adapter   string
 	// Version is empty where the caller leaves it to the operators.
@@ -19,7 +19,7 @@
 }
 
 // String returns the name as a caller writes it.
-func (n Name) String() string {
+func (n ModelName) String() string {
 	if n.Version == "" {
 		return n.Workspace + "/" + n.Adapter
 	}
@@ -27,17 +27,17 @@
 }
 
 // ParseName reads a model's name.
-func ParseName(text string) (Name, error) {
+func ParseModelName(text string) (ModelName, error) {
 	workspace, rest, ok := strings.Cut(text, "/")
 	adapter, version, versioned := strings.Cut(rest, "@")
 	if !ok || !validPart(workspace) || !validPart(adapter) || versioned && !validPart(version) {
-		return Name{}, errors.NotValidf("model %.300q, which is not WORKSPACE/ADAPTER or WORKSPACE/ADAPTER@VERSION,", text)
+		return ModelName{}, errors.NotValidf("model %.300q, which is not WORKSPACE/ADAPTER or WORKSPACE/ADAPTER@VERSION,", text)
 	}
-	return Name{Workspace: workspace, Adapter: adapter, Version: version}, nil
+	return ModelName{Workspace: workspace, Adapter: adapter, Version: version}, nil
 }
 
 func validPart(part string) bool {
-	if part == "" || len(part) > MaxName {
+	if part == "" || len(part) > MaxNameBytes {
 		return false
 	}
 	for i := range len(part) {
--- a/internal/protocol/translator/translator_test.go
+++ b/internal/protocol/translator/translator_test.go
@@ -21,7 +21,7 @@
 			"model": "town/lyrics", "messages": [{"role": "user", "content": [{"type": "text", "text": "?"}]}],
 			"priority": -9, "logit_bias": {"7": 1}, "temperature": 0.50, "max_tokens": 10, "max_completion_tokens": 20}`))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(c.Model).To(Equal(translator.Name{Workspace: "town", Adapter: "lyrics"}))
+		Expect(c.Model).To(Equal(translator.ModelName{Workspace: "town", Adapter: "lyrics"}))
 		Expect(c.MaxTokens).To(Equal(int64(20)))
 		body, err := c.EngineBody("town/lyrics@3", 7)
 		Expect(err).NotTo(HaveOccurred())
@@ -69,9 +69,9 @@
 
 	It("never hands the caller's bearer key to a service, or a service's outcome to the caller", func() {
 		h := http.Header{"Authorization": {"Bearer abc"}, "Connection": {"x-hop"}, "X-Hop": {"1"}, "X-Case": {"2"}}
-		Expect(translator.Forwarded(h)).To(Equal([]messenger.HeaderField{{Name: "X-Case", Value: "2"}}))
+		Expect(translator.ForwardedFields(h)).To(Equal([]messenger.HeaderField{{Name: "X-Case", Value: "2"}}))
 		to := http.Header{}
-		translator.CopyAnswer(to, []messenger.HeaderField{{Name: "marigoldpoint-outcome", Value: "Completed"}, {Name: "x-a", Value: "1"}})
+		translator.CopyAnswerHeader(to, []messenger.HeaderField{{Name: "marigoldpoint-outcome", Value: "Completed"}, {Name: "x-a", Value: "1"}})
 		Expect(to).To(Equal(http.Header{"X-A": {"1"}}))
 	})
 })
--- a/internal/transport/gatekeeper/answer.go
+++ b/internal/transport/gatekeeper/answer.go
@@ -76,7 +76,7 @@
 	h := q.w.Header()
 	status := http.StatusOK
 	if a.answerHead != nil {
-		translator.CopyAnswer(h, a.answerHead.Header)
+		translator.CopyAnswerHeader(h, a.answerHead.Header)
 		if a.answerHead.ContentType != "" {
 			h.Set(translator.HeaderContentType, a.answerHead.ContentType)
 		}
--- a/internal/transport/gatekeeper/models.go
+++ b/internal/transport/gatekeeper/models.go
@@ -36,7 +36,7 @@
 	for _, m := range x.entry.settings.Index.Models(workspace) {
 		list.Data = append(list.Data, bodyOf(workspace, m.Name, m))
 		if m.Current {
-			name := translator.Name{Workspace: workspace, Adapter: m.Adapter}
+			name := translator.ModelName{Workspace: workspace, Adapter: m.Adapter}
 			list.Data = append(list.Data, bodyOf(workspace, name.String(), m))
 		}
 	}
@@ -45,7 +45,7 @@
 
 func (x *exchange) model() *translator.Fault {
 	id := x.r.PathValue("model")
-	name, err := translator.ParseName(id)
+	name, err := translator.ParseModelName(id)
 	if err != nil {
 		return unknownModel(id)
 	}
--- a/internal/transport/gatekeeper/serve.go
+++ b/internal/transport/gatekeeper/serve.go
@@ -116,10 +116,10 @@
 // another key, and have two bookings. Refusals that the same request would get at any
 // time, such as for a malformed body, remain NotRun.
 func (x *exchange) markUndecided(f *translator.Fault) {
-	if x.keyDecided || f.Outcome != messenger.OutcomeNotRun || x.r.Header.Get(translator.HeaderIdempotencyKey) == "" || f.Inherent() {
+	if x.keyDecided || f.Outcome != messenger.OutcomeNotRun || x.r.Header.Get(translator.HeaderIdempotencyKey) == "" || f.AlwaysRefused() {
 		return
 	}
-	f.Outcome, f.Undecided = messenger.OutcomeUnknown, true
+	f.Outcome, f.KeyUndecided = messenger.OutcomeUnknown, true
 	f.Message += "; whether a request with this idempotency key has run before is not known"
 }
 
--- a/internal/transport/gatekeeper/service.go
+++ b/internal/transport/gatekeeper/service.go
@@ -53,7 +53,7 @@
 		dispatch: messenger.Dispatch{
 			Request: x.id, Kind: messenger.CallKindService, Workspace: x.holder.Workspace,
 			Priority: rule.Priority, Tokens: serviceTokens, Idempotent: idempotent,
-			Method: x.r.Method, Path: target, Header: translator.Forwarded(x.r.Header), Body: body,
+			Method: x.r.Method, Path: target, Header: translator.ForwardedFields(x.r.Header), Body: body,
 		},
 	}
 	// A key has no effect on a call that may run again.
@@ -83,7 +83,7 @@
 	if x.r.URL.RawQuery != "" {
 		path += "?" + x.r.URL.RawQuery
 	}
-	if len(name) > translator.MaxName {
+	if len(name) > translator.MaxNameBytes {
 		return "", unknownService(name)
 	}
 	return path, nil
