--- a/cmd/marigoldpoint/standin.go
+++ b/cmd/marigoldpoint/standin.go
@@ -126,7 +126,7 @@
 		}
 	}
 	current := func(ctx context.Context) (announcer.Announcement, error) { return a.current(ctx, bound) }
-	client.Repeat(ctx, announcer.DefaultInterval, current, func(err error) {
+	client.AnnouncePeriodically(ctx, announcer.DefaultInterval, current, func(err error) {
 		if err != nil {
 			fmt.Fprintf(out, "not accepted by the companion: %v\n", err)
 			return
--- a/internal/protocol/announcer/announcement.go
+++ b/internal/protocol/announcer/announcement.go
@@ -88,7 +88,7 @@
 	if _, err := d.Token(); err != io.EOF {
 		return a, malformed("", "something follows the object")
 	}
-	return a, a.Check()
+	return a, a.Validate()
 }
 
 // read sets the field name to the next value of d.
@@ -135,7 +135,7 @@
 
 // Check returns what is wrong with a, an *Answer that names the field; nil where
 // nothing is.
-func (a Announcement) Check() error {
+func (a Announcement) Validate() error {
 	address, err := netip.ParseAddrPort(a.Address)
 	switch {
 	case err != nil || address.String() != a.Address:
--- a/internal/protocol/announcer/client.go
+++ b/internal/protocol/announcer/client.go
@@ -64,7 +64,7 @@
 
 // Repeat announces what current returns until ctx ends, at every interval. It
 // gives told each result that differs from the one before.
-func (c Client) Repeat(ctx context.Context, interval time.Duration, current func(context.Context) (Announcement, error), told func(error)) {
+func (c Client) AnnouncePeriodically(ctx context.Context, interval time.Duration, current func(context.Context) (Announcement, error), told func(error)) {
 	last := "never announced"
 	for {
 		a, err := current(ctx)
--- a/internal/transport/starter/announce_test.go
+++ b/internal/transport/starter/announce_test.go
@@ -110,7 +110,7 @@
 
 		repeating, stop := context.WithCancel(ctx)
 		announced := make(chan error, 1)
-		client.Repeat(repeating, time.Minute, current, func(err error) {
+		client.AnnouncePeriodically(repeating, time.Minute, current, func(err error) {
 			announced <- err
 			stop()
 		})
