--- a/internal/protocol/messenger/admission.go
+++ b/internal/protocol/messenger/admission.go
@@ -1,53 +1,56 @@
 package messenger
 
-// Part is one part of a prompt that several requests share, or the request's own.
+// Part is one part of a prompt, either shared by several requests or specific to one
+// request.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Admit asks the companion beside a backend server to have an adapter ready, and to
-// keep it there until Release. The request itself goes to the backend server
-// without the companion.
+// Admit asks the companion of a backend server to make an adapter resident and to keep
+// it resident until Release. The request itself is sent directly to the backend server,
+// not through the companion.
 type Admit struct {
 	// Request identifies the attempt.
 	Request string
-	// Incarnation is the life of the backend server that is meant.
+	// Incarnation is the incarnation of the backend server that the sender expects.
 	Incarnation string
-	// Model and Adapter name what the request needs; an empty Adapter means the
-	// model alone.
+	// Model and Adapter name what the request needs. An empty Adapter means the base
+	// model without an adapter.
 	Model   string
 	Adapter string
-	// Version is the newest that the entry knows of.
+	// Version is the newest version known to the entry.
 	Version uint64
-	// Parts are the prompt's, in order, Tokens all tokens of the prompt.
+	// Parts are the parts of the prompt in order. Tokens is the total number of tokens
+	// in the prompt.
 	Parts  []Part
 	Tokens int
-	// SlackMillis is the time by which the adapter must be ready for the request to
-	// meet its target; none where it can't any more.
+	// SlackMillis is the time in milliseconds within which the adapter must be ready
+	// for the request to meet its latency target. It is 0 if the target can no longer be
+	// met.
 	SlackMillis int64
-	// WaitMillis is how long the entry waits for the answer.
+	// WaitMillis is the time in milliseconds that the entry waits for the answer.
 	WaitMillis int64
-	// Movable tells that the request may go elsewhere where it would wait much longer
-	// than ExpectedMillis, until its prompt is read.
+	// Movable means that the request may be sent to another backend server if it would
+	// wait here much longer than ExpectedMillis before its prompt is processed.
 	Movable        bool
 	ExpectedMillis int64
 }
 
 // Admitted answers Admit once the adapter is ready.
 type Admitted struct {
-	// Version is the one that is ready, and no older than that in Admit.
+	// Version is the version that is ready. It is not older than Admit.Version.
 	Version uint64
 }
 
-// Release ends what Admit began: the backend server is done with the request, or
-// never got it.
+// Release ends the admission that Admit requested: the backend server has finished the
+// request, or never received it.
 type Release struct{ Request string }
 
-// Watch asks a companion to tell of its backend server's state on this connection,
-// the whole of it first. An entry that missed a part asks again.
+// Watch asks a companion to report the state of its backend server on this connection,
+// starting with the complete state. An entry that missed a delta sends Watch again.
 type Watch struct {
 	Node string
-	// FailureDomain is the entry's.
+	// FailureDomain is the failure domain of the entry.
 	FailureDomain string
 }
--- a/internal/protocol/messenger/broken_test.go
+++ b/internal/protocol/messenger/broken_test.go
@@ -11,16 +11,16 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// mute is a connection that can't be written to and gives nothing to read.
-type mute struct{ net.Conn }
+// deadConn is a connection on which every write fails and nothing can be read.
+type deadConn struct{ net.Conn }
 
-func (mute) Write([]byte) (int, error) { return 0, errors.New("no route") }
+func (deadConn) Write([]byte) (int, error) { return 0, errors.New("no route") }
 
-// Symptom: a stream whose connection broke ends as Unknown, or is run again
-// elsewhere, although its companion is well and has the rest.
-// Sequence: a call learns that its connection broke; the caller asks the pool for
-// another one and is given the same; that fails too, at once.
-// Cause: calls learnt it before Done was closed, or Done was not closed at all.
+// TestBrokenCallFindsDoneClosed guards against a stream that ends as Unknown, or runs
+// again elsewhere, after its connection broke although its companion is healthy and
+// holds the rest of the answer. A call returned the connection error before Done was
+// closed, or Done was never closed, so the pool handed out the same broken connection
+// again and the next call failed immediately.
 func TestBrokenCallFindsDoneClosed(t *testing.T) {
 	g := NewWithT(t)
 	ended := func(c *messenger.Conn) bool {
@@ -33,7 +33,7 @@
 	}
 	near, far := net.Pipe()
 	defer far.Close()
-	c := messenger.NewConn(mute{near}, messenger.Settings{})
+	c := messenger.NewConn(deadConn{near}, messenger.Settings{})
 	var broken *messenger.BrokenError
 	g.Expect(errors.As(c.Call(context.Background(), messenger.MethodResume, messenger.Resume{}, nil), &broken)).To(BeTrue())
 	g.Expect(ended(c)).To(BeTrue(), "after a failed write")
--- a/internal/protocol/messenger/conn.go
+++ b/internal/protocol/messenger/conn.go
@@ -15,92 +15,95 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// The defaults of a connection.
+// Defaults of Settings.
 const (
 	// DefaultHeartbeatInterval is the time between two heartbeats.
 	DefaultHeartbeatInterval = 500 * time.Millisecond
-	// DefaultSilenceLimit is the silence after which a connection is given up.
+	// DefaultSilenceLimit is the time without a received message after which a
+	// connection is closed.
 	DefaultSilenceLimit = 2 * time.Second
 	// refusalCode is the JSON-RPC error code of a Refusal.
 	refusalCode = -32050
 )
 
-// Handler serves what the other end sends. A notification's result is dropped;
-// its handling must be quick, since it holds up what comes after. An error that
-// is not a *Refusal crosses as ReasonInternal.
+// Handler handles the calls and notifications of the peer. The result of a notification
+// is discarded. Notifications must be handled quickly, since they block the messages
+// that follow. An error that is not a *Refusal reaches the peer as ReasonInternal.
 type Handler interface {
 	Handle(ctx context.Context, c *Conn, method Method, params json.RawMessage) (any, error)
 }
 
-// HandlerFunc is a Handler made of a function.
+// HandlerFunc adapts a function to a Handler.
 type HandlerFunc func(ctx context.Context, c *Conn, method Method, params json.RawMessage) (any, error)
 
-// Handle calls the function.
+// Handle calls f.
 func (f HandlerFunc) Handle(ctx context.Context, c *Conn, m Method, p json.RawMessage) (any, error) {
 	return f(ctx, c, m, p)
 }
 
 // Settings are a connection's options.
 type Settings struct {
-	// HeartbeatInterval is the time between heartbeats, the same at both ends; 0
-	// means DefaultHeartbeatInterval.
+	// HeartbeatInterval is the time between heartbeats at the full pace. It must be
+	// the same at both ends; 0 means DefaultHeartbeatInterval.
 	HeartbeatInterval time.Duration
-	// SilenceLimit is the silence after which the connection is closed; 0 means
-	// DefaultSilenceLimit. It must exceed twice the HeartbeatInterval.
+	// SilenceLimit is the time without a received message after which the connection
+	// is closed; 0 means DefaultSilenceLimit. It must exceed twice the
+	// HeartbeatInterval.
 	SilenceLimit time.Duration
-	// QuietInterval takes the place of HeartbeatInterval on a connection that neither
-	// end attends; 0 means that there is no such pace. It must be the same at both
-	// ends, and longer than HeartbeatInterval.
+	// QuietInterval replaces HeartbeatInterval while neither end requests the full
+	// pace; 0 means that heartbeats are always sent at the full pace. It must be the
+	// same at both ends and longer than HeartbeatInterval.
 	QuietInterval time.Duration
-	// Recorder stamps messages and records silent connections; it may be nil.
+	// Recorder provides the clock that timestamps messages and records silent
+	// connections; it may be nil.
 	Recorder *recorder.Recorder
-	// Handler serves the other end's calls; nil refuses them all.
+	// Handler handles the calls of the peer; nil refuses all of them.
 	Handler Handler
-	// Allow decides whether the other end of a network connection may send a
-	// message, before Handler is given it; its error, a *Refusal, is the answer.
-	// Nil allows all.
+	// Allow decides whether the peer of a network connection may send a message. It
+	// is called before Handler. Its error, a *Refusal, is returned to the peer. Nil
+	// allows all messages.
 	Allow func(network net.Conn, method Method, params json.RawMessage) error
 	Log   zerolog.Logger
 }
 
-// Conn is one connection between two processes. It may be used by several
-// goroutines.
+// Conn is a connection between two processes. It is safe for concurrent use.
 type Conn struct {
 	settings Settings
 	rpc      *jsonrpc2.Conn
 	stream   *stream
 	network  net.Conn
-	// heard is the time of the last message received, in nanoseconds since
-	// began.
-	heard atomic.Int64
-	// worked is the time of the last message either way which was no heartbeat,
-	// in nanoseconds since began.
-	worked atomic.Int64
-	// sent is the time of the last message sent, in nanoseconds since began.
-	sent  atomic.Int64
-	began time.Time
-	// attending tells that this end wants the full pace, since attendedAt, in
-	// nanoseconds since began.
-	attending  atomic.Bool
-	attendedAt atomic.Int64
-	// peerPaces tells that the other end knows of paces, and peerAttends that it wants
-	// the full one.
-	peerPaces   atomic.Bool
-	peerAttends atomic.Bool
-	// hurry has a heartbeat sent at once.
-	hurry chan struct{}
-	// ready is closed once rpc is set, since the read loop starts before that.
+	// lastReceived is the time of the last message received, in nanoseconds since
+	// started.
+	lastReceived atomic.Int64
+	// lastActivity is the time of the last message in either direction other than a
+	// heartbeat, in nanoseconds since started.
+	lastActivity atomic.Int64
+	// lastSent is the time of the last message sent, in nanoseconds since started.
+	lastSent atomic.Int64
+	started  time.Time
+	// fullPace reports whether this end requests the full pace. It has done so since
+	// fullPaceSince, in nanoseconds since started.
+	fullPace      atomic.Bool
+	fullPaceSince atomic.Int64
+	// peerSendsPace reports whether the peer has sent a Pace, and peerFullPace whether
+	// it requests the full pace.
+	peerSendsPace atomic.Bool
+	peerFullPace  atomic.Bool
+	// heartbeatNow requests that a heartbeat be sent immediately.
+	heartbeatNow chan struct{}
+	// ready is closed once rpc is set. The read loop starts before that.
 	ready  chan struct{}
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// closing means that no handler begins any more; guarded by mu, so that
-	// none begins while Close waits.
+	// closing means that no further handler may start; guarded by mu, so that none
+	// starts while Close waits.
 	closing bool
 	serving sync.WaitGroup
 }
 
-// NewConn serves and uses an open network connection until it closes.
+// NewConn returns a Conn on an open network connection and starts to serve it. The Conn
+// owns the network connection.
 func NewConn(network net.Conn, s Settings) *Conn {
 	if s.HeartbeatInterval <= 0 {
 		s.HeartbeatInterval = DefaultHeartbeatInterval
@@ -109,58 +112,60 @@
 		s.SilenceLimit = DefaultSilenceLimit
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Conn{settings: s, network: network, began: time.Now(), ready: make(chan struct{}), cancel: cancel, hurry: make(chan struct{}, 1)}
-	c.stream = newStream(network, func(n notice) { rpcHandler{c}.noticed(ctx, n) })
+	c := &Conn{settings: s, network: network, started: time.Now(), ready: make(chan struct{}), cancel: cancel, heartbeatNow: make(chan struct{}, 1)}
+	c.stream = newStream(network, func(n notice) { rpcHandler{c}.handleNotice(ctx, n) })
 	c.rpc = jsonrpc2.NewConn(
 		ctx, c.stream, rpcHandler{c},
-		jsonrpc2.OnRecv(c.received), jsonrpc2.OnSend(c.stamp), jsonrpc2.SetLogger(quietLogger{s.Log}),
+		jsonrpc2.OnRecv(c.received), jsonrpc2.OnSend(c.stamp), jsonrpc2.SetLogger(debugLogger{s.Log}),
 	)
-	// A handler may close the connection: beat is counted before any begins, or
-	// Close would not wait for it.
+	// A handler may close the connection. runHeartbeats is added to serving before any
+	// handler can start; otherwise Close might not wait for it.
 	c.serving.Add(1)
 	close(c.ready)
-	go c.beat(ctx)
+	go c.runHeartbeats(ctx)
 	if s.QuietInterval > 0 {
 		c.sendPace()
 	}
 	return c
 }
 
-// Peer returns the other end's address.
+// Peer returns the network address of the peer.
 func (c *Conn) Peer() string { return c.network.RemoteAddr().String() }
 
-// Idle returns the time since the last message either way, heartbeats left out.
+// Idle returns the time since the last message in either direction, not counting
+// heartbeats.
 func (c *Conn) Idle() time.Duration {
-	return time.Since(c.began) - time.Duration(c.worked.Load())
+	return time.Since(c.started) - time.Duration(c.lastActivity.Load())
 }
 
-// Suspect reports whether two heartbeats in a row have failed to come, by this
-// end's own HeartbeatInterval: both ends must beat at the same, or else the one
-// with the shorter interval takes every connection for suspect. The connection may
-// yet recover; a new one is the better choice for what is new.
+// Suspect reports whether two consecutive heartbeats are missing, judged by the
+// HeartbeatInterval of this end. Both ends must use the same interval; otherwise the end
+// with the shorter one considers every connection suspect. The connection may still
+// recover, but new calls should prefer a new connection.
 func (c *Conn) Suspect() bool {
 	silence, _ := c.Silence()
 	return silence > 2*c.settings.HeartbeatInterval+c.settings.HeartbeatInterval/4
 }
 
-// Silence returns for how long a message of the other end has been due: at the full
-// pace, the time since the last one, or since this end began to attend; at the quiet
-// pace, what exceeds the time between two heartbeats of it. Where none has come yet it
-// counts from the connection's begin, and ok is false.
+// Silence returns the time for which a message of the peer has been due. At the full
+// pace this is the time since the last message received or since this end requested the
+// full pace, whichever is later. At the quiet pace it is the time since the last message
+// in excess of QuietInterval. If no message has been received yet, the time counts from
+// the start of the connection and ok is false.
 func (c *Conn) Silence() (silence time.Duration, ok bool) {
-	heard := c.heard.Load()
-	since := time.Since(c.began)
+	lastReceived := c.lastReceived.Load()
+	since := time.Since(c.started)
 	switch {
-	case c.quiet():
-		return max(0, since-time.Duration(heard)-c.settings.QuietInterval), heard > 0
-	case c.attending.Load():
-		return since - time.Duration(max(heard, c.attendedAt.Load())), heard > 0
+	case c.atQuietPace():
+		return max(0, since-time.Duration(lastReceived)-c.settings.QuietInterval), lastReceived > 0
+	case c.fullPace.Load():
+		return since - time.Duration(max(lastReceived, c.fullPaceSince.Load())), lastReceived > 0
 	default:
-		return since - time.Duration(heard), heard > 0
+		return since - time.Duration(lastReceived), lastReceived > 0
 	}
 }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
 // Ended reports whether the connection has ended.
@@ -173,8 +178,8 @@
 	}
 }
 
-// Close ends the connection and waits for its handlers. A handler must not call
-// it.
+// Close closes the connection and waits for its handlers to return. A handler must not
+// call it.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.closing = true
@@ -184,8 +189,9 @@
 	return err
 }
 
-// begin counts a handler in, unless the connection is closing.
-func (c *Conn) begin() bool {
+// beginHandler adds a handler to serving and reports whether it may start. It returns
+// false if the connection is closing.
+func (c *Conn) beginHandler() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
@@ -203,13 +209,13 @@
 	return nil
 }
 
-// Call sends a request and waits for its answer. Its errors are a *Refusal, a
-// *BrokenError, or the context's error; after the latter the call may still
-// take effect.
+// Call sends a request and waits for its answer. The error is a *Refusal, a
+// *BrokenError or the error of ctx. After an error of ctx the call may still take
+// effect.
 func (c *Conn) Call(ctx context.Context, method Method, params, result any) error {
 	waiter, err := c.rpc.DispatchCall(ctx, string(method), params)
 	if err != nil {
-		return c.broken(err)
+		return c.brokenError(err)
 	}
 	if err = waiter.Wait(ctx, result); errors.Is(err, jsonrpc2.ErrClosed) {
 		<-c.Done()
@@ -217,16 +223,17 @@
 	return callError(err)
 }
 
-// broken returns the error of a message that could not be sent. By then Done is
-// closed, as it is when a call learns that its connection closed: the library
-// tells waiting calls before it closes Done, and for a write that failed it
-// doesn't. A caller that asked its pool at once would be given the same
-// connection again, and take the other end for one that can't be reached.
-func (c *Conn) broken(err error) error {
+// brokenError returns the error of a message that could not be sent. After a failed
+// write it closes the connection, so that Done is closed before the error is returned.
+// The library does not close Done after a failed write, and when a connection closes it
+// fails pending calls before it closes Done, which is why Call waits for Done. Otherwise
+// a caller that immediately asks its pool for a connection would get the same one again
+// and conclude that the peer is unreachable.
+func (c *Conn) brokenError(err error) error {
 	var failed *writeError
 	if errors.As(err, &failed) {
 		if err := c.abort(); err != nil {
-			c.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("closing a broken connection")
+			c.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("cannot close broken connection")
 		}
 	}
 	return &BrokenError{Sent: !errors.Is(err, jsonrpc2.ErrClosed), Cause: err}
@@ -252,19 +259,19 @@
 	return refusal
 }
 
-// Notify sends a message without waiting for its effect.
+// Notify sends a notification and does not wait until it is handled.
 func (c *Conn) Notify(ctx context.Context, method Method, params any) error {
-	if frequent(method) {
-		return c.notice(method, params)
+	if sentAsNotice(method) {
+		return c.sendNotice(method, params)
 	}
 	if err := c.rpc.Notify(ctx, string(method), params); err != nil {
-		return c.broken(err)
+		return c.brokenError(err)
 	}
 	return nil
 }
 
-// notice sends a frequent notification.
-func (c *Conn) notice(method Method, params any) error {
+// sendNotice sends a notification as a notice.
+func (c *Conn) sendNotice(method Method, params any) error {
 	if c.Ended() {
 		return &BrokenError{Cause: jsonrpc2.ErrClosed}
 	}
@@ -273,34 +280,34 @@
 		t = c.settings.Recorder.Clock().Now()
 	}
 	if method != MethodHeartbeat && method != MethodPace {
-		c.worked.Store(int64(time.Since(c.began)))
+		c.lastActivity.Store(int64(time.Since(c.started)))
 	}
-	c.sent.Store(int64(time.Since(c.began)))
+	c.lastSent.Store(int64(time.Since(c.started)))
 	if err := c.stream.writeNotice(method, t, params); err != nil {
-		return c.broken(err)
+		return c.brokenError(err)
 	}
 	return nil
 }
 
-// fallSilent gives the connection up.
-func (c *Conn) fallSilent() {
+// closeSilent closes a connection that has exceeded the silence limit and records this.
+func (c *Conn) closeSilent() {
 	c.settings.Recorder.Record(recorder.Event{Kind: recorder.KindConnectionSilent, Detail: c.Peer()})
 	if err := c.abort(); err != nil {
-		c.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("closing a silent connection")
+		c.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("cannot close silent connection")
 	}
 }
 
-// noteWork notes a message which is no heartbeat.
-func (c *Conn) noteWork(request *jsonrpc2.Request) {
+// recordActivity records the time of a message unless it is a heartbeat.
+func (c *Conn) recordActivity(request *jsonrpc2.Request) {
 	if request == nil || Method(request.Method) != MethodHeartbeat {
-		c.worked.Store(int64(time.Since(c.began)))
+		c.lastActivity.Store(int64(time.Since(c.started)))
 	}
 }
 
-// received notes the arrival of a message and observes its timestamp.
+// received records the arrival of a message and observes its timestamp.
 func (c *Conn) received(request *jsonrpc2.Request, response *jsonrpc2.Response) {
-	c.heard.Store(int64(time.Since(c.began)))
-	c.noteWork(request)
+	c.lastReceived.Store(int64(time.Since(c.started)))
+	c.recordActivity(request)
 	meta := (*json.RawMessage)(nil)
 	switch {
 	case response != nil:
@@ -317,10 +324,10 @@
 	}
 }
 
-// stamp puts the hybrid logical clock's reading on a message.
+// stamp adds the reading of the hybrid logical clock to an outgoing message.
 func (c *Conn) stamp(request *jsonrpc2.Request, response *jsonrpc2.Response) {
-	c.noteWork(request)
-	c.sent.Store(int64(time.Since(c.began)))
+	c.recordActivity(request)
+	c.lastSent.Store(int64(time.Since(c.started)))
 	if c.settings.Recorder == nil {
 		return
 	}
--- a/internal/protocol/messenger/conn_test.go
+++ b/internal/protocol/messenger/conn_test.go
@@ -19,23 +19,23 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// forgetful is a connection which, once forgotten, swallows what is written to
-// it and delivers nothing, as after a middle box lost track of it.
-type forgetful struct {
+// droppableConn is a connection that silently discards writes once dropped is set, as if
+// a middlebox had lost its connection state.
+type droppableConn struct {
 	net.Conn
-	forgotten atomic.Bool
+	dropped atomic.Bool
 }
 
-func (f *forgetful) Write(b []byte) (int, error) {
-	if f.forgotten.Load() {
+func (f *droppableConn) Write(b []byte) (int, error) {
+	if f.dropped.Load() {
 		return len(b), nil
 	}
 	return f.Conn.Write(b)
 }
 
-func pair(handler messenger.Handler, left, right *recorder.Recorder) (a, b *messenger.Conn, box *forgetful) {
+func pair(handler messenger.Handler, left, right *recorder.Recorder) (a, b *messenger.Conn, box *droppableConn) {
 	near, far := net.Pipe()
-	box = &forgetful{Conn: near}
+	box = &droppableConn{Conn: near}
 	a = messenger.NewConn(box, messenger.Settings{Recorder: left})
 	b = messenger.NewConn(far, messenger.Settings{Handler: handler, Recorder: right})
 	return a, b, box
@@ -49,7 +49,7 @@
 })
 
 var _ = Describe("Conn", func() {
-	It("carries typed answers, refusals and the clock", func() {
+	It("transfers typed answers, refusals and clock readings", func() {
 		ahead := func() time.Time { return time.Now().Add(time.Hour) }
 		left := recorder.NewRecorder(recorder.Settings{})
 		right := recorder.NewRecorder(recorder.Settings{Now: ahead})
@@ -71,8 +71,8 @@
 	})
 })
 
-// Notices and JSON-RPC messages of one connection arrive in the order in which
-// they were sent, whole, whatever bytes they carry.
+// TestPropertyOrder checks that notices and JSON-RPC messages of one connection arrive
+// complete and in the order in which they were sent, whatever bytes they contain.
 func TestPropertyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var got []messenger.Piece
@@ -114,9 +114,9 @@
 	})
 }
 
-// Symptom: a process runs out of memory. Sequence: something that is not a
-// process of ours connects, or bytes are damaged, and the length of a frame is
-// read as gigabytes. Cause: allocating on the word of the other end.
+// TestOversizedFrameEndsTheConnection guards against running out of memory when a foreign
+// process connects or bytes are corrupted, and the frame length reads as gigabytes: a
+// buffer must not be allocated from an unchecked length.
 func TestOversizedFrameEndsTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	near, far := net.Pipe()
@@ -128,10 +128,10 @@
 	g.Expect(near.Close()).To(Succeed())
 }
 
-// Symptom: a call on an open connection never returns, while new connections to
-// the same host work. Sequence: the connection is in use; a middle box forgets
-// it; writes still succeed and nothing comes back. Cause: without application
-// heartbeats neither end can tell silence from a slow answer.
+// TestSilentConnectionIsClosed guards against a call that never returns on an open
+// connection while new connections to the same host work. It happens when a middlebox
+// loses the connection state: writes still succeed and nothing is received. Without
+// application heartbeats neither end can distinguish this from a slow answer.
 func TestSilentConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -140,7 +140,7 @@
 		<-time.After(10 * messenger.DefaultSilenceLimit)
 		g.Expect(a.Call(context.Background(), messenger.MethodResume, messenger.Resume{}, nil)).To(Succeed(), "heartbeats keep an idle connection open")
 
-		box.forgotten.Store(true)
+		box.dropped.Store(true)
 		began := time.Now()
 		err := a.Call(context.Background(), messenger.MethodResume, messenger.Resume{}, nil)
 		var broken *messenger.BrokenError
--- a/internal/protocol/messenger/doc.go
+++ b/internal/protocol/messenger/doc.go
@@ -1,12 +1,13 @@
-// Package messenger carries typed messages between the system's own processes
-// as JSON-RPC 2.0 over long-lived TCP connections. The few notifications that are
-// most of the traffic while answers stream travel on the same connections in CBOR.
+// Package messenger transfers typed messages between the processes of the system as
+// JSON-RPC 2.0 over long-lived TCP connections. The few kinds of notifications that make
+// up most of the traffic while answers stream are sent on the same connections as
+// notices, encoded in CBOR.
 //
-// Either end of a connection may call and notify. Notifications are handled
-// one at a time in the order of their arrival; calls are handled each in a
-// goroutine of its own. Both ends send heartbeats, and a connection which has
-// been silent for the limit is closed: something between two hosts can lose
-// track of a connection, which then swallows all that is written to it while
-// new connections work. Every message carries the sender's hybrid logical
-// clock in its Meta member.
+// Either end of a connection may send calls and notifications. Notifications are handled
+// one at a time in the order of their arrival. Each call is handled in its own goroutine.
+// Both ends send heartbeats, and a connection on which nothing was received for the
+// silence limit is closed: a middlebox between two hosts can lose its connection state
+// and then drop everything sent on the connection, while new connections work. Every
+// message carries a reading of the sender's hybrid logical clock, JSON-RPC messages in
+// their Meta member.
 package messenger
--- a/internal/protocol/messenger/heartbeat_test.go
+++ b/internal/protocol/messenger/heartbeat_test.go
@@ -11,9 +11,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// TestHeartbeatsAreSmall: symptom: a seventh of all bytes between failure domains are
-// heartbeats. Sequence: 25 entries keep a connection to each of 46 companions, and
-// little is said on most of them. Cause: each heartbeat told its name and a time of 0.
+// TestHeartbeatsAreSmall guards against heartbeats that carry their method name and a
+// zero timestamp. With 25 entries connected to each of 46 companions and few messages on
+// most connections, such heartbeats were a seventh of all bytes between failure domains.
 func TestHeartbeatsAreSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -43,9 +43,8 @@
 	})
 }
 
-// TestOtherMessagesStandForHeartbeats: symptom: an entry is sent heartbeats by a
-// companion that tells it something ten times a second. Cause: heartbeats went out
-// whatever else was sent.
+// TestOtherMessagesStandForHeartbeats guards against heartbeats sent in addition to other
+// messages, for example by a companion that sends ten messages a second to an entry.
 func TestOtherMessagesStandForHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
--- a/internal/protocol/messenger/method.go
+++ b/internal/protocol/messenger/method.go
@@ -1,37 +1,35 @@
 package messenger
 
-// Method names a message between processes.
+// Method is the name of a message between processes.
 type Method string
 
-// The methods, by the role that serves them. The owner of each parameter type
-// is the package named in the comment.
+// The methods, grouped by the role that handles them. Parameter types belong to this
+// package or to the package named in the comment.
 const (
-	// MethodHeartbeat is a notification without parameters, both ways.
+	// MethodHeartbeat is a notification without parameters, sent by both ends.
 	MethodHeartbeat Method = "Heartbeat"
-	// MethodPace tells how often an end wants to hear of the other: Pace, both ways.
+	// MethodPace requests a heartbeat pace: Pace, sent by both ends.
 	MethodPace Method = "Pace"
 
-	// MethodDispatch hands a request to a companion: Dispatch, answered by
-	// Accepted.
+	// MethodDispatch sends a request to a companion: Dispatch, answered by Accepted.
 	MethodDispatch Method = "Companion.Dispatch"
-	// MethodResume asks for an answer from an offset on: Resume, answered by
-	// Accepted.
+	// MethodResume requests an answer from an offset on: Resume, answered by Accepted.
 	MethodResume Method = "Companion.Resume"
 	// MethodAcknowledge frees the buffered part of an answer: Acknowledge.
 	MethodAcknowledge Method = "Companion.Acknowledge"
-	// MethodCancel gives up a request: Cancel.
+	// MethodCancel cancels a request: Cancel.
 	MethodCancel Method = "Companion.Cancel"
 	// MethodPiece carries a part of an answer to an entry: Piece.
 	MethodPiece Method = "Entry.Piece"
 
-	// MethodAdmit has an adapter made ready for a request: Admit, answered by
-	// Admitted.
+	// MethodAdmit requests that an adapter be made ready for a request: Admit, answered
+	// by Admitted.
 	MethodAdmit Method = "Companion.Admit"
 	// MethodRelease ends an admission: Release.
 	MethodRelease Method = "Companion.Release"
-	// MethodWatch asks for the backend server's state: Watch.
+	// MethodWatch subscribes to the state of the backend server: Watch.
 	MethodWatch Method = "Companion.Watch"
-	// MethodState carries an engine's state to an entry (package placer).
+	// MethodState carries the state of an engine to an entry (package placer).
 	MethodState Method = "Entry.State"
 
 	// MethodReplicate carries messages of the replicated log between control
@@ -40,14 +38,13 @@
 	// MethodPropose submits a change to the replicated log (package
 	// distributor).
 	MethodPropose Method = "Control.Propose"
-	// MethodSubscribe begins the flow of deltas to a node (package
-	// distributor).
+	// MethodSubscribe subscribes a node to deltas (package distributor).
 	MethodSubscribe Method = "Control.Subscribe"
 	// MethodDelta carries changes to a node (package distributor).
 	MethodDelta Method = "Node.Delta"
-	// MethodApplied tells how far a node has come (package distributor).
+	// MethodApplied reports the revision that a node has applied (package distributor).
 	MethodApplied Method = "Control.Applied"
-	// MethodInForce asks how far a revision is in force (package distributor).
+	// MethodInForce requests how widely a revision is in force (package distributor).
 	MethodInForce Method = "Control.InForce"
 	// MethodRead reads resources behind a read barrier (package distributor).
 	MethodRead Method = "Control.Read"
@@ -55,29 +52,29 @@
 	// MethodPulse is a control host's heartbeat to its nodes, and a leader's to
 	// the control hosts (package distributor).
 	MethodPulse Method = "Node.Pulse"
-	// MethodTally asks a control host which of its nodes hold a revision
+	// MethodTally requests from a control host which of its nodes hold a revision
 	// (package distributor).
 	MethodTally Method = "Control.Tally"
-	// MethodBarrier asks the leader for a revision that covers all that was
-	// accepted (package distributor).
+	// MethodBarrier requests from the leader a revision that covers all changes accepted
+	// so far (package distributor).
 	MethodBarrier Method = "Control.Barrier"
-	// MethodReport tells a control host what an entry admitted of quotas, and asks for
-	// the revision that covers all that was accepted (package bucketer).
+	// MethodReport reports to a control host the quota that an entry has used, and
+	// requests the revision that covers all changes accepted so far (package bucketer).
 	MethodReport Method = "Control.Report"
 	// MethodReportBatch carries the reports of one control host to the leader (package
 	// bucketer).
 	MethodReportBatch Method = "Control.ReportBatch"
-	// MethodGoodbye tells a control host that a node leaves for good (package
+	// MethodGoodbye informs a control host that a node leaves permanently (package
 	// distributor).
 	MethodGoodbye Method = "Control.Goodbye"
 	// MethodGroup reads and changes the control group (package distributor).
 	MethodGroup Method = "Control.Group"
 
-	// MethodEnlist tells the leader of a control host that wants to belong to the
-	// group (package distributor).
+	// MethodEnlist informs the leader of a control host that requests to join the
+	// control group (package distributor).
 	MethodEnlist Method = "Control.Enlist"
 
-	// MethodJoin begins a backend server's membership (package registrar).
+	// MethodJoin starts the membership of a backend server (package registrar).
 	MethodJoin Method = "Control.Join"
 	// MethodRenew renews memberships (package registrar).
 	MethodRenew Method = "Control.Renew"
@@ -89,13 +86,12 @@
 	MethodShareDigest Method = "Control.ShareDigest"
 	// MethodLeave marks or ends a membership (package registrar).
 	MethodLeave Method = "Control.Leave"
-	// MethodVoid tells a companion that its membership ended (package
-	// registrar).
+	// MethodVoid informs a companion that its membership has ended (package registrar).
 	MethodVoid Method = "Companion.Void"
 	// MethodDigest carries residency and load changes (package registrar).
 	MethodDigest Method = "Node.Digest"
 
-	// MethodRequestPermit asks for a load permit (package permitter).
+	// MethodRequestPermit requests a load permit (package permitter).
 	MethodRequestPermit Method = "Control.RequestPermit"
 	// MethodFinishPermit returns a load permit (package permitter).
 	MethodFinishPermit Method = "Control.FinishPermit"
--- a/internal/protocol/messenger/pace.go
+++ b/internal/protocol/messenger/pace.go
@@ -7,123 +7,126 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Pace tells the other end how soon this end wants to know that it lives.
+// Pace is the heartbeat pace that one end requests of both ends.
 type Pace struct {
 	_ struct{} `cbor:",toarray"`
-	// Attended means that something waits here for the other end: both beat at
-	// Settings.HeartbeatInterval, and not at QuietInterval.
+	// Full means that the sender waits for its peer: both ends send heartbeats every
+	// Settings.HeartbeatInterval instead of every QuietInterval.
 	Full bool
 }
 
-// Attend has both ends beat at the full pace from now on, until Rest: something at this
-// end waits for the other. It does nothing where there is no slower pace.
+// UseFullPace makes both ends send heartbeats at the full pace until AllowQuietPace,
+// because something at this end waits for the peer. It has no effect if
+// Settings.QuietInterval is 0.
 //
-// Between every entry and every companion most connections carry a call every twenty
-// seconds. At 68 entries before 117 companions, heartbeats at the full pace on all of
-// them were more than all other messages together.
+// Most connections between entries and companions carry one call every twenty seconds.
+// With 68 entries and 117 companions, heartbeats at the full pace on all connections
+// outnumbered all other messages together.
 func (c *Conn) UseFullPace() {
-	if c.settings.QuietInterval <= 0 || c.attending.Swap(true) {
+	if c.settings.QuietInterval <= 0 || c.fullPace.Swap(true) {
 		return
 	}
-	c.attendedAt.Store(int64(time.Since(c.began)))
-	c.hasten()
+	c.fullPaceSince.Store(int64(time.Since(c.started)))
+	c.requestHeartbeat()
 	c.sendPace()
 }
 
-// Rest ends what Attend began.
+// AllowQuietPace withdraws the request of UseFullPace.
 func (c *Conn) AllowQuietPace() {
-	if c.attending.Swap(false) {
+	if c.fullPace.Swap(false) {
 		c.sendPace()
 	}
 }
 
-// Attended reports whether this end has asked for the full pace.
-func (c *Conn) UsesFullPace() bool { return c.attending.Load() }
+// UsesFullPace reports whether this end requests the full pace.
+func (c *Conn) UsesFullPace() bool { return c.fullPace.Load() }
 
-// Answered reports whether the other end was heard of since this one began to attend.
-func (c *Conn) ReceivedAtFullPace() bool { return c.heard.Load() > c.attendedAt.Load() }
+// ReceivedAtFullPace reports whether a message of the peer was received since this end
+// last requested the full pace.
+func (c *Conn) ReceivedAtFullPace() bool { return c.lastReceived.Load() > c.fullPaceSince.Load() }
 
-// sendPace tells the other end of this one's pace. It does not wait: a write to a
-// silent connection blocks once its buffer is full.
+// sendPace sends the requested pace to the peer. It does not wait, since a write to a
+// silent connection blocks once the send buffer is full.
 func (c *Conn) sendPace() {
-	if !c.begin() {
+	if !c.beginHandler() {
 		return
 	}
 	go func() {
 		defer c.serving.Done()
-		if err := c.notice(MethodPace, Pace{Full: c.attending.Load()}); err != nil {
-			c.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("pace not told")
+		if err := c.sendNotice(MethodPace, Pace{Full: c.fullPace.Load()}); err != nil {
+			c.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("cannot send heartbeat pace")
 		}
 	}()
 }
 
-// paced takes the other end's pace. One that wants to know soon is answered at once.
-func (c *Conn) paced(params []byte) {
+// handlePace stores the pace that the peer requests. A request for the full pace is
+// answered immediately with a heartbeat.
+func (c *Conn) handlePace(params []byte) {
 	var p Pace
 	if err := cbor.Unmarshal(params, &p); err != nil {
-		c.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("pace not understood")
+		c.settings.Log.Debug().Err(err).Str("Peer", c.Peer()).Msg("cannot decode heartbeat pace")
 		return
 	}
-	c.peerPaces.Store(true)
-	if c.peerAttends.Store(p.Full); p.Full {
-		c.hasten()
+	c.peerSendsPace.Store(true)
+	if c.peerFullPace.Store(p.Full); p.Full {
+		c.requestHeartbeat()
 	}
 }
 
-// hasten has a heartbeat sent at once.
-func (c *Conn) hasten() {
+// requestHeartbeat requests that a heartbeat be sent immediately.
+func (c *Conn) requestHeartbeat() {
 	select {
-	case c.hurry <- struct{}{}:
+	case c.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
-// quiet reports whether the slower pace is in force. An end that has told nothing of
-// its pace, such as one of an earlier version, knows the full one only.
-func (c *Conn) quiet() bool {
-	return c.settings.QuietInterval > 0 && c.peerPaces.Load() && !c.attending.Load() && !c.peerAttends.Load()
+// atQuietPace reports whether heartbeats are sent at the quiet pace. A peer that has sent
+// no Pace, such as one of an earlier version, supports only the full pace.
+func (c *Conn) atQuietPace() bool {
+	return c.settings.QuietInterval > 0 && c.peerSendsPace.Load() && !c.fullPace.Load() && !c.peerFullPace.Load()
 }
 
-// interval returns the time between two heartbeats.
+// interval returns the current time between two heartbeats.
 func (c *Conn) interval() time.Duration {
-	if c.quiet() {
+	if c.atQuietPace() {
 		return c.settings.QuietInterval
 	}
 	return c.settings.HeartbeatInterval
 }
 
-// beat sends heartbeats and closes the connection once it has been silent for
-// the limit. Without it a call on a connection which a middle box has forgotten
-// would hang until its deadline, although a new connection would serve it.
+// runHeartbeats sends heartbeats and closes the connection once it has exceeded the
+// silence limit. Otherwise a call on a connection whose state a middlebox has lost would
+// hang until its deadline, although a new connection would work.
 //
-// Whatever else was sent stands for a heartbeat: on connections that tell an engine's
-// state several times a second none is needed.
-func (c *Conn) beat(ctx context.Context) {
+// Any other message replaces a heartbeat: connections that report the state of an engine
+// several times a second need none.
+func (c *Conn) runHeartbeats(ctx context.Context) {
 	defer c.serving.Done()
 	timer := time.NewTimer(c.settings.HeartbeatInterval)
 	defer timer.Stop()
 	due := make(chan struct{}, 1)
 	go c.sendHeartbeats(ctx, due)
 	for {
-		hurried := false
+		immediate := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-c.Done():
 			c.cancel()
 			return
-		case <-c.hurry:
-			hurried = true
+		case <-c.heartbeatNow:
+			immediate = true
 		case <-timer.C:
 		}
 		if silence, _ := c.Silence(); silence > c.settings.SilenceLimit {
-			c.fallSilent()
+			c.closeSilent()
 			return
 		}
 		interval := c.interval()
-		quiet := time.Since(c.began) - time.Duration(c.sent.Load())
-		if !hurried && quiet < interval {
-			timer.Reset(interval - quiet)
+		sinceLastSent := time.Since(c.started) - time.Duration(c.lastSent.Load())
+		if !immediate && sinceLastSent < interval {
+			timer.Reset(interval - sinceLastSent)
 			continue
 		}
 		select {
@@ -134,8 +137,8 @@
 	}
 }
 
-// sendHeartbeats runs apart from the silence check: a write to a silent connection
-// blocks once its buffer is full.
+// sendHeartbeats runs in a goroutine separate from the silence check, since a write to a
+// silent connection blocks once the send buffer is full.
 func (c *Conn) sendHeartbeats(ctx context.Context, due <-chan struct{}) {
 	for {
 		select {
--- a/internal/protocol/messenger/refusal.go
+++ b/internal/protocol/messenger/refusal.go
@@ -7,61 +7,62 @@
 
 //go:generate stringer -type=Reason -trimprefix=Reason
 
-// Reason tells why a call was refused.
+// Reason is the reason for which a call was refused.
 type Reason int
 
-// The reasons. Each of them means that the call had no effect, unless its
-// comment says otherwise.
+// The reasons. Each means that the call had no effect, unless its comment states
+// otherwise.
 const (
 	ReasonNone Reason = iota
-	// ReasonMalformed means that the parameters could not be read.
+	// ReasonMalformed means that the parameters could not be decoded.
 	ReasonMalformed
-	// ReasonUnsupported means that the role does not serve the method.
+	// ReasonUnsupported means that the role does not support the method.
 	ReasonUnsupported
-	// ReasonNotLeader means that another control host leads; Leader tells it.
+	// ReasonNotLeader means that another control host is the leader, see
+	// Refusal.Leader.
 	ReasonNotLeader
-	// ReasonUnavailable means that the process can't serve the call now.
+	// ReasonUnavailable means that the process can't handle the call at present.
 	ReasonUnavailable
-	// ReasonStopping means that the process takes nothing new.
+	// ReasonStopping means that the process is stopping and accepts no new calls.
 	ReasonStopping
 	// ReasonOverloaded means that a queue or limit is full.
 	ReasonOverloaded
 	// ReasonDeadline means that the deadline can't be met.
 	ReasonDeadline
-	// ReasonStaleEpoch means that the membership meant has been replaced.
+	// ReasonStaleEpoch means that the membership named in the call has been replaced.
 	ReasonStaleEpoch
-	// ReasonNeverSeen means that the request never arrived and, if it arrives
-	// later, will be refused.
+	// ReasonNeverSeen means that the request has not arrived and will be refused if it
+	// arrives later.
 	ReasonNeverSeen
-	// ReasonDuplicate means that the request is known under another attempt.
+	// ReasonDuplicate means that another attempt of the request is already known.
 	ReasonDuplicate
 	// ReasonLoadFailed means that the version could not be loaded.
 	ReasonLoadFailed
 	// ReasonOutcomeUnknown means that the call may or may not take effect.
 	ReasonOutcomeUnknown
-	// ReasonCompacted means that the history asked for is no longer held.
+	// ReasonCompacted means that the requested history is no longer retained.
 	ReasonCompacted
-	// ReasonEngine means that the backend server refused the request before
-	// beginning it.
+	// ReasonEngine means that the backend server refused the request before it started.
 	ReasonEngine
-	// ReasonCancelled means that the caller gave the request up before it began.
+	// ReasonCancelled means that the caller canceled the request before it started.
 	ReasonCancelled
 	// ReasonInternal means that the handler failed; the effect is unknown.
 	ReasonInternal
 	// ReasonForbidden means that the sender may not make the call.
 	ReasonForbidden
 	// ReasonMisled means that the request would wait much longer than the sender
-	// expected; RetryAfterMillis is that wait.
+	// expected; Refusal.RetryAfterMillis is the wait.
 	ReasonMisled
 )
 
-// Refusal is the typed error of a call that the other end answered.
+// Refusal is the error with which the peer answered a call.
 type Refusal struct {
 	Reason Reason
 	Detail string
-	// RetryAfterMillis tells when to ask again; 0 means that it is not known.
+	// RetryAfterMillis is the time in milliseconds to wait before the next attempt; 0
+	// means that it is not known.
 	RetryAfterMillis int64
-	// Leader is the address of the leader, with ReasonNotLeader, where known.
+	// Leader is the address of the leader with ReasonNotLeader, or empty if unknown.
 	Leader string
 }
 
@@ -73,7 +74,8 @@
 	return fmt.Sprintf("%s: %s", r.Reason, r.Detail)
 }
 
-// RetryAfter returns the time to wait before asking again.
+// RetryAfter returns the time to wait before the next attempt; 0 means that it is not
+// known.
 func (r *Refusal) RetryAfter() time.Duration {
 	return time.Duration(r.RetryAfterMillis) * time.Millisecond
 }
@@ -83,15 +85,16 @@
 	return &Refusal{Reason: reason, Detail: detail}
 }
 
-// BrokenError is the error of a call whose connection failed before the answer.
+// BrokenError is the error of a call whose connection failed before the answer was
+// received.
 type BrokenError struct {
-	// Sent is false where the other end certainly did not receive the call.
+	// Sent is false if the peer certainly did not receive the call.
 	Sent bool
 	// Cause is the connection's error.
 	Cause error
 }
 
-// Error tells the cause and whether the call may have arrived.
+// Error returns the cause and whether the call may have been received.
 func (b *BrokenError) Error() string {
 	if b.Sent {
 		return fmt.Sprintf("connection broke after sending: %v", b.Cause)
--- a/internal/protocol/messenger/stream.go
+++ b/internal/protocol/messenger/stream.go
@@ -15,24 +15,25 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// MaxFrameBytes bounds one message. A longer one ends the connection: its length
-// would otherwise be allocated on the word of the other end.
+// MaxFrameBytes is the maximum size of one message. A longer one ends the connection,
+// since its buffer would otherwise be allocated from a length that the peer claims.
 const MaxFrameBytes = 64 << 20
 
-// The kinds of frames on a connection. A frame is its kind, one byte, the length
-// of its content as an unsigned varint, and the content.
+// The kinds of frames on a connection. A frame consists of its kind in one byte, the
+// length of its content as an unsigned varint, and the content.
 const (
-	// frameObject holds a JSON-RPC object.
+	// frameObject contains a JSON-RPC object.
 	frameObject byte = iota + 1
-	// frameNotice holds a notice in CBOR; an empty one is a heartbeat without a
-	// time. Between every entry and every companion they are most of the messages.
+	// frameNotice contains a notice in CBOR. An empty one is a heartbeat without a
+	// timestamp. These heartbeats are most of the messages between entries and
+	// companions.
 	frameNotice
 )
 
-// frequent tells the notifications that travel as notices. They are most of what
-// is sent while answers stream; as JSON-RPC objects each would be scanned four
-// times and its bytes grow by a third.
-func frequent(m Method) bool {
+// sentAsNotice reports whether notifications of a method are sent as notices. These make
+// up most of the traffic while answers stream. As JSON-RPC objects, each would be scanned
+// four times and its bytes would grow by a third.
+func sentAsNotice(m Method) bool {
 	switch m {
 	case MethodPiece, MethodAcknowledge, MethodHeartbeat, MethodPace, MethodReplicate, MethodState:
 		return true
@@ -41,7 +42,7 @@
 	}
 }
 
-// notice is a frequent notification.
+// notice is a notification encoded in CBOR.
 type notice struct {
 	_      struct{} `cbor:",toarray"`
 	Method Method
@@ -49,26 +50,29 @@
 	Params cbor.RawMessage
 }
 
-// stream carries JSON-RPC objects for the library, and notices beside them.
+// stream transfers the JSON-RPC objects of the library and, on the same connection,
+// notices.
 type stream struct {
 	network net.Conn
 	reader  *bufio.Reader
-	// notify takes the notices, in the order of their arrival among the objects.
-	notify func(notice)
+	// handleNotice is called for each notice, in the order of arrival of notices and
+	// objects.
+	handleNotice func(notice)
 
 	mu sync.Mutex
 	// buffer is the frame being written; guarded by mu.
 	buffer bytes.Buffer
 }
 
-func newStream(network net.Conn, notify func(notice)) *stream {
-	return &stream{network: network, reader: bufio.NewReader(network), notify: notify}
+func newStream(network net.Conn, handleNotice func(notice)) *stream {
+	return &stream{network: network, reader: bufio.NewReader(network), handleNotice: handleNotice}
 }
 
-// largestKept bounds the write buffer kept between messages.
-const largestKept = 64 << 10
+// maxRetainedBufferBytes is the maximum capacity of the write buffer that is retained
+// between messages.
+const maxRetainedBufferBytes = 64 << 10
 
-// write sends one frame whose content encode writes.
+// write sends one frame.
 func (s *stream) write(kind byte, content []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +83,7 @@
 	s.buffer.Write(head[:1+n])
 	s.buffer.Write(content)
 	_, err := s.network.Write(s.buffer.Bytes())
-	if s.buffer.Cap() > largestKept {
+	if s.buffer.Cap() > maxRetainedBufferBytes {
 		s.buffer = bytes.Buffer{}
 	}
 	if err != nil {
@@ -88,11 +92,11 @@
 	return nil
 }
 
-// writeError means that a frame may have been written in part: the connection is
-// of no more use.
+// writeError means that a frame may have been written in part, so the connection can't be
+// used any more.
 type writeError struct{ cause error }
 
-// Error tells the cause.
+// Error returns the text of the cause.
 func (w *writeError) Error() string { return "write: " + w.cause.Error() }
 
 // Unwrap returns the cause.
@@ -107,14 +111,14 @@
 	return s.write(frameObject, content)
 }
 
-// EncodeNotice returns the parameters of a frequent notification as they travel. What
-// goes to many is encoded once so.
+// EncodeNotice encodes the parameters of a notice, so that parameters for many receivers
+// are encoded only once.
 func EncodeNotice(params any) (cbor.RawMessage, error) {
 	encoded, err := cbor.Marshal(params)
 	return encoded, errors.Trace(err)
 }
 
-// writeNotice sends a frequent notification.
+// writeNotice sends a notice.
 func (s *stream) writeNotice(m Method, t recorder.Timestamp, params any) error {
 	if m == MethodHeartbeat && t == (recorder.Timestamp{}) {
 		return s.write(frameNotice, nil)
@@ -130,8 +134,8 @@
 	return s.write(frameNotice, content)
 }
 
-// ReadObject implements jsonrpc2.ObjectStream. It hands over the notices that
-// come before the next object.
+// ReadObject implements jsonrpc2.ObjectStream. It passes the notices that precede the
+// next object to handleNotice.
 func (s *stream) ReadObject(v any) error {
 	for {
 		kind, content, err := s.read()
@@ -148,7 +152,7 @@
 					return errors.Annotate(err, "notice")
 				}
 			}
-			s.notify(n)
+			s.handleNotice(n)
 		default:
 			return errors.NotValidf("frame of kind %d", kind)
 		}
