--- a/internal/protocol/exchanger/conn.go
+++ b/internal/protocol/exchanger/conn.go
@@ -14,45 +14,46 @@
 	"github.com/juju/errors"
 )
 
-// Sentinel errors of an exchange.
+// Sentinel errors of an exchange, to be matched with errors.Is.
 const (
-	// ErrNotSent means that no byte of the request was handed to the network.
+	// ErrNotSent means that no byte of the request was written to the network.
 	ErrNotSent = errors.ConstError("request not sent")
 	// ErrSent means that the request may have been received.
 	ErrSent = errors.ConstError("request sent without an answer")
-	// ErrForeign means that what came is no answer to the request.
+	// ErrAnswerMismatch means that only answers to other requests were received.
 	ErrAnswerMismatch = errors.ConstError("answer of another request")
 )
 
 const (
-	// bufferBytes is the size of a connection's buffers: one holds a whole head
-	// and most answers, so that each costs one system call.
+	// bufferBytes is the size of the read and write buffers of a connection. It fits a
+	// complete head and most answers, so that each takes one system call.
 	bufferBytes = 4 << 10
-	// maxForeign is the number of answers to other requests that are passed over
-	// on one connection.
-	maxForeign = 2
+	// maxMismatchedAnswers is the maximum number of answers to other requests that one
+	// exchange skips.
+	maxMismatchedAnswers = 2
 )
 
-// Conn is a connection to one backend server.
+// Conn is a connection to one backend server. Except for Abort, it must be used by one
+// goroutine at a time.
 type Conn struct {
 	pool    *Pool
 	network net.Conn
 	reader  *bufio.Reader
-	// requests counts the requests sent.
+	// requests is the number of requests sent.
 	requests int
-	// idleSince is when the last answer ended, and idleLimit for how long the
-	// other end promised to keep the connection since.
+	// idleSince is the time at which the last answer ended, and idleLimit the time
+	// since then for which the connection may be reused.
 	idleSince time.Time
 	idleLimit time.Duration
-	// sent counts the bytes handed to the network.
+	// sent is the number of bytes written to the network.
 	sent   atomic.Int64
 	closed sync.Once
-	// unbind ends the hold of the present exchange's context; nil between exchanges. It
-	// is used by the goroutine that has the connection alone.
+	// unbind detaches the context of the current exchange; nil between exchanges. Only
+	// the goroutine that uses the connection may access it.
 	unbind func() bool
 }
 
-// Write counts what is handed to the network.
+// Write writes to the network and counts the bytes written.
 func (c *Conn) Write(p []byte) (int, error) {
 	n, err := c.network.Write(p)
 	if n > 0 || err == nil {
@@ -64,41 +65,41 @@
 // Reused reports whether the connection has carried a request before.
 func (c *Conn) Reused() bool { return c.requests > 0 }
 
-// Abort resets the connection. It may be called at any time by any goroutine, and
-// ends the exchange in progress.
+// Abort resets the connection and ends the exchange in progress. It may be called at any
+// time from any goroutine.
 //
-// A close would leave what was written on its way: a host that stands still for some
-// seconds finds the request when it wakes, long after the caller has left, and begins
-// to work on it. After a reset it finds nothing.
+// After a regular close, bytes already written would still be delivered: a host that
+// stalls for some seconds would read the request when it resumes, long after the caller
+// has disconnected, and process it. A reset discards them.
 func (c *Conn) Abort() {
 	c.closed.Do(func() {
 		if tcp, ok := c.network.(*net.TCPConn); ok {
-			// It fails on a connection that the other end has reset already.
+			// This fails if the peer has already reset the connection.
 			_ = tcp.SetLinger(0)
 		}
-		// A connection that is given up has nothing left to lose.
+		// The connection is discarded, so an error of Close doesn't matter.
 		_ = c.network.Close()
-		c.pool.ended(c)
+		c.pool.connClosed(c)
 	})
 }
 
-// bind has the end of a context end the exchange in progress, until Finish.
-func (c *Conn) bind(ctx context.Context) { c.unbind = context.AfterFunc(ctx, c.Abort) }
+// bindContext makes the end of ctx abort the exchange in progress, until Finish.
+func (c *Conn) bindContext(ctx context.Context) { c.unbind = context.AfterFunc(ctx, c.Abort) }
 
-// release reports whether the exchange was over before its context: the connection
-// belongs to nobody now, and may carry another request.
+// unbindContext detaches the context of the exchange and reports whether it did so before
+// the context ended, so that the connection may carry another request.
 //
-// Without this the context of a call whose caller still reads its answer would reset the
-// connection when it ends, under the call that has it by then: somebody else's, whose
-// outcome would be unknown, though its backend server is well.
-func (c *Conn) release() bool {
+// Otherwise the end of the context, for example while its caller still reads the answer,
+// would reset the connection while another call uses it. The outcome of that call would
+// be unknown although its backend server is healthy.
+func (c *Conn) unbindContext() bool {
 	unbind := c.unbind
 	c.unbind = nil
 	return unbind == nil || unbind()
 }
 
-// stale reports whether the other end has closed the connection, or sent
-// something while no request was waiting.
+// stale reports whether the peer has closed the connection, or has sent bytes while no
+// request was pending.
 func (c *Conn) stale() bool {
 	if c.reader.Buffered() > 0 {
 		return true
@@ -115,17 +116,19 @@
 	err = control.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		// Anything but "nothing there yet" is an end, a fault or stray bytes.
+		// Any result other than EAGAIN means the end of the connection, an error or
+		// unexpected bytes.
 		stale = !errors.Is(err, syscall.EAGAIN)
 		return true
 	})
 	return stale || err != nil
 }
 
-// Exchange sends the request and reads the head of its answer. Accept tells from
-// the head whether it answers this request; others are passed over. Abort ends it
-// at any time. On an error, which matches ErrNotSent, ErrSent or ErrForeign, the
-// connection is closed.
+// Exchange sends the request and reads the head of its answer. The function accept
+// reports whether a head belongs to the answer to this request; up to
+// maxMismatchedAnswers other answers are skipped. Abort ends the exchange at any time.
+// On an error, which matches ErrNotSent, ErrSent or ErrAnswerMismatch, the connection is
+// closed.
 func (c *Conn) Exchange(request *http.Request, accept func(http.Header) bool) (*http.Response, error) {
 	before := c.sent.Load()
 	c.requests++
@@ -139,9 +142,9 @@
 		c.Abort()
 		return nil, errors.Annotatef(ErrNotSent, "%v", err)
 	}
-	// A backend server may answer and close before it has read the whole
-	// request: its answer is looked for although the sending failed.
-	for range maxForeign + 1 {
+	// A backend server may answer and close the connection before it has read the
+	// complete request, so the answer is read even if sending has failed.
+	for range maxMismatchedAnswers + 1 {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			c.Abort()
@@ -161,12 +164,13 @@
 	return nil, errors.Trace(ErrAnswerMismatch)
 }
 
-// Finish gives the connection back after an answer that was read to its end. The
-// head tells for how long the other end keeps it.
+// Finish returns the connection to the pool after the answer was read to its end, or
+// closes it if it can't be reused. The parameter limit is the idle time that the peer
+// announced in the head of the answer; 0 means none.
 func (c *Conn) Finish(response *http.Response, limit time.Duration) {
-	if !c.release() || response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 || c.reader.Buffered() > 0 {
+	if !c.unbindContext() || response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 || c.reader.Buffered() > 0 {
 		c.Abort()
 		return
 	}
-	c.pool.put(c, limit)
+	c.pool.recycle(c, limit)
 }
--- a/internal/protocol/exchanger/doc.go
+++ b/internal/protocol/exchanger/doc.go
@@ -1,12 +1,12 @@
-// Package exchanger carries one HTTP/1.1 request at a time over a connection that
-// the caller chose, and tells how it ended.
+// Package exchanger sends one HTTP/1.1 request at a time over a connection selected by
+// the caller, and reports how the exchange ended.
 //
-// A client that hides its connections sends a request again by itself when a
-// reused connection breaks, also one that may run only once. Here each request is
-// written once. What the caller may do after a failure follows from one question,
-// which Exchange answers: was any byte of the request handed to the network?
+// An HTTP client that manages its connections internally resends a request when a reused
+// connection breaks, even one that may run only once. This package writes each request
+// at most once. Whether the caller may retry after a failure depends on whether any byte
+// of the request was written to the network, which the error of Exchange states.
 //
-// A connection is used again only after an answer that ended cleanly, with nothing
-// behind it. Answers are known by an id that the other end repeats: a late second
-// answer to an earlier request may stand where the next one is expected.
+// A connection is reused only after an answer that ended cleanly and was not followed by
+// further bytes. Answers are matched by an id that the peer repeats, since a late second
+// answer to an earlier request may arrive where the next answer is expected.
 package exchanger
--- a/internal/protocol/exchanger/exchanger_test.go
+++ b/internal/protocol/exchanger/exchanger_test.go
@@ -18,14 +18,15 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/exchanger"
 )
 
-// server is a backend server that answers each connection by a script.
+// server is a backend server that runs a script on each connection.
 type server struct {
 	network net.Listener
-	// accepted counts connections, requests the requests read on all of them.
+	// accepted receives each accepted connection.
 	accepted chan net.Conn
 }
 
-// serve answers the connections in turn; the last script serves all further ones.
+// serve starts a server that runs one script per connection, in order. The last script is
+// also run on all further connections.
 func serve(scripts ...func(conn net.Conn, reader *bufio.Reader)) *server {
 	GinkgoHelper()
 	network, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +48,8 @@
 
 func (s *server) address() string { return s.network.Addr().String() }
 
-// answer reads a request and writes what the texts say, %s being the request's id.
+// answer reads a request and writes the texts, with %s replaced by the id of the request.
+// It reports whether it succeeded.
 func answer(conn net.Conn, reader *bufio.Reader, texts ...string) bool {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -64,8 +66,8 @@
 	return true
 }
 
-// well answers all requests as it should.
-func well(conn net.Conn, reader *bufio.Reader) {
+// serveNormally answers every request correctly.
+func serveNormally(conn net.Conn, reader *bufio.Reader) {
 	for answer(conn, reader, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\nok") {
 	}
 }
@@ -78,10 +80,10 @@
 }
 
 var _ = Describe("An address", func() {
-	It("is listened at, or is not, or nobody knows", func() {
+	It("is reported as listening, not listening or unknown", func() {
 		p := exchanger.NewPool(exchanger.Settings{})
 		DeferCleanup(p.Close)
-		s := serve(well)
+		s := serve(serveNormally)
 		Expect(p.IsListening(context.Background(), s.address())).To(BeTrue())
 		Expect(s.network.Close()).To(Succeed())
 		Expect(p.IsListening(context.Background(), s.address())).To(BeFalse())
@@ -91,13 +93,13 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("is asked by an idle connection where there is one", func() {
+	It("is checked by an idle connection if there is one", func() {
 		p := exchanger.NewPool(exchanger.Settings{})
 		DeferCleanup(p.Close)
-		s := serve(well)
+		s := serve(serveNormally)
 		conn, err := p.Get(context.Background(), s.address())
 		Expect(err).NotTo(HaveOccurred())
-		response, err := conn.Exchange(request("1"), of("1"))
+		response, err := conn.Exchange(request("1"), hasID("1"))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.Copy(io.Discard, response.Body)
 		Expect(err).NotTo(HaveOccurred())
@@ -111,7 +113,7 @@
 	})
 })
 
-func of(id string) func(http.Header) bool {
+func hasID(id string) func(http.Header) bool {
 	return func(h http.Header) bool { return h.Get("Id") == id }
 }
 
@@ -121,7 +123,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	response, err := conn.Exchange(request(id), of(id))
+	response, err := conn.Exchange(request(id), hasID(id))
 	if err != nil {
 		return "", conn, err
 	}
@@ -141,7 +143,7 @@
 		return p
 	}
 
-	It("keeps the path as it is, and uses its connection again", func() {
+	It("leaves the path unchanged and reuses its connection", func() {
 		paths := make(chan string, 2)
 		s := serve(func(conn net.Conn, reader *bufio.Reader) {
 			for {
@@ -165,11 +167,10 @@
 		Expect(s.accepted).To(HaveLen(1))
 	})
 
-	It("passes over a late second answer to an earlier request", func() {
-		// Symptom: a caller is given another caller's answer.
-		// Events: a backend server answers a request twice; the second answer
-		// arrives after the next request went out on the connection.
-		// Cause: answers were matched with requests by their order alone.
+	It("skips a late second answer to an earlier request", func() {
+		// Guards against a caller receiving another caller's answer. A backend server
+		// answers a request twice, and the second answer arrives after the next request
+		// was sent on the connection. Matching answers by their order alone is wrong.
 		s := serve(func(conn net.Conn, reader *bufio.Reader) {
 			answer(conn, reader, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 3\r\n\r\none")
 			answer(conn, reader, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\none",
@@ -183,22 +184,22 @@
 		Expect(body).To(Equal("two"))
 	})
 
-	It("gives up where only answers to other requests come", func() {
+	It("fails if only answers to other requests arrive", func() {
 		foreign := strings.Repeat("HTTP/1.1 200 OK\r\nId: x\r\nContent-Length: 1\r\n\r\nx", 5)
 		s := serve(func(conn net.Conn, reader *bufio.Reader) { answer(conn, reader, foreign) })
 		_, _, err := exchange(newPool(), s.address(), "1")
 		Expect(err).To(MatchError(exchanger.ErrAnswerMismatch))
 	})
 
-	It("doesn't use a connection again behind which bytes came", func() {
-		// The bytes may come after the look at the connection. The server ends it then:
-		// left open by a server that says nothing more, the exchange waited for good, and
-		// the whole run of tests with it.
+	It("doesn't reuse a connection that has received extra bytes", func() {
+		// The bytes may arrive after the connection was checked. The server closes the
+		// connection in this case; if it stayed open, the exchange and the test would
+		// wait forever.
 		s := serve(func(conn net.Conn, reader *bufio.Reader) {
 			answer(conn, reader, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\n")
 			_, _ = reader.ReadByte()
 			_ = conn.Close()
-		}, well)
+		}, serveNormally)
 		p := newPool()
 		_, _, err := exchange(p, s.address(), "1")
 		Expect(err).NotTo(HaveOccurred())
@@ -208,18 +209,16 @@
 		}).Should(Equal("ok"))
 	})
 
-	It("doesn't send on a connection that the other end has closed", func() {
-		// Symptom: a call that may run once is lost, "outcome unknown", on a calm
-		// day.
-		// Events: a backend server closes an idle connection; the next request
-		// goes out on it before that is noticed.
-		// Cause: idle connections were trusted without a look.
+	It("doesn't send on a connection that the peer has closed", func() {
+		// Guards against an unknown outcome of a call that may run only once, without
+		// any failure in the system. A backend server closes an idle connection, and the
+		// next request is sent on it unless the connection is checked first.
 		closed := make(chan struct{})
 		s := serve(func(conn net.Conn, reader *bufio.Reader) {
 			answer(conn, reader, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\nok")
 			_ = conn.Close()
 			close(closed)
-		}, well)
+		}, serveNormally)
 		p := newPool()
 		_, _, err := exchange(p, s.address(), "1")
 		Expect(err).NotTo(HaveOccurred())
@@ -228,7 +227,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	DescribeTable("that breaks is told from one that was not sent",
+	DescribeTable("that breaks is distinguished from one that was not sent",
 		func(script func(conn net.Conn, reader *bufio.Reader), want error) {
 			s := serve(script)
 			_, _, err := exchange(newPool(), s.address(), "1")
@@ -238,21 +237,21 @@
 			_, _ = http.ReadRequest(reader)
 			_ = conn.Close()
 		}, exchanger.ErrSent),
-		Entry("answered by what is no answer", func(conn net.Conn, reader *bufio.Reader) {
+		Entry("answered by something other than HTTP", func(conn net.Conn, reader *bufio.Reader) {
 			answer(conn, reader, "SSH-2.0-x\r\n\r\n")
 			_ = conn.Close()
 		}, exchanger.ErrSent),
 	)
 
-	It("that finds nobody was not sent", func() {
-		s := serve(well)
+	It("to an address without a listener was not sent", func() {
+		s := serve(serveNormally)
 		address := s.address()
 		Expect(s.network.Close()).To(Succeed())
 		_, _, err := exchange(newPool(), address, "1")
 		Expect(err).To(MatchError(exchanger.ErrNotSent))
 	})
 
-	It("doesn't take an answer that broke off for a whole one", func() {
+	It("doesn't treat a truncated answer as complete", func() {
 		s := serve(func(conn net.Conn, reader *bufio.Reader) {
 			answer(conn, reader, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 9\r\n\r\nok")
 			_ = conn.Close()
@@ -268,7 +267,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		ended := make(chan error, 1)
 		go func() {
-			_, err := conn.Exchange(request("1"), of("1"))
+			_, err := conn.Exchange(request("1"), hasID("1"))
 			ended <- err
 		}()
 		<-s.accepted
@@ -277,11 +276,11 @@
 		Expect(p.Connections(s.address())).To(BeZero())
 	})
 
-	It("that is aborted leaves nothing on its way", func() {
-		// Symptom: a request reaches a backend server seconds after its caller left.
-		// Events: the backend server's host stands still before it has read the
-		// request; the caller leaves; the host wakes.
-		// Cause: the connection was closed, not reset, and what was written stayed.
+	It("that is aborted leaves no undelivered bytes", func() {
+		// Guards against a request that a backend server reads seconds after the caller
+		// disconnected. The host of the backend server stalls before it has read the
+		// request, the caller disconnects, and the host resumes. If the connection is
+		// closed instead of reset, the written bytes are still delivered.
 		ended := make(chan error, 1)
 		woken := make(chan struct{})
 		s := serve(func(conn net.Conn, _ *bufio.Reader) {
@@ -292,15 +291,15 @@
 		conn, err := newPool().Get(context.Background(), s.address())
 		Expect(err).NotTo(HaveOccurred())
 		<-s.accepted
-		go func() { _, _ = conn.Exchange(request("1"), of("1")) }()
+		go func() { _, _ = conn.Exchange(request("1"), hasID("1")) }()
 		conn.Abort()
 		close(woken)
 		Eventually(ended).Should(Receive(MatchError(syscall.ECONNRESET)))
 	})
 
-	It("doesn't use a connection after the time that the other end keeps it", func() {
+	It("doesn't use a connection after its idle limit", func() {
 		now := time.Unix(0, 0)
-		s := serve(well)
+		s := serve(serveNormally)
 		p := exchanger.NewPool(exchanger.Settings{Now: func() time.Time { return now }})
 		DeferCleanup(p.Close)
 		_, _, err := exchange(p, s.address(), "1")
--- a/internal/protocol/exchanger/pool.go
+++ b/internal/protocol/exchanger/pool.go
@@ -16,43 +16,44 @@
 
 // Defaults of Settings.
 const (
-	// DefaultDialTimeout is the time to reach a backend server: a hundred times the
-	// round trip between failure domains, so that only a loss exceeds it.
+	// DefaultDialTimeout limits the time to connect to a backend server. It is a hundred
+	// times the round-trip time between failure domains, so that only packet loss
+	// exceeds it.
 	DefaultDialTimeout = 300 * time.Millisecond
-	// DefaultIdleLimit is for how long an idle connection is kept where the other
-	// end told nothing.
+	// DefaultIdleLimit is the time for which an idle connection may be reused if the
+	// peer announced no limit.
 	DefaultIdleLimit = 4 * time.Second
-	// DefaultIdleMargin is taken off what the other end told: a request that
-	// crosses its close would be of unknown outcome.
+	// DefaultIdleMargin is subtracted from the limit that the peer announced: a request
+	// sent while the peer closes the connection would have an unknown outcome.
 	DefaultIdleMargin = 700 * time.Millisecond
-	// DefaultSilence is the time without an acknowledgement after which the
-	// system gives a connection up that was silently forgotten on its way.
+	// DefaultUserTimeout is the time without an acknowledgement after which the
+	// operating system closes a connection, for example one whose state a middlebox has
+	// lost.
 	DefaultUserTimeout = 1500 * time.Millisecond
 )
 
-// Settings are a Pool's options. The zero value of a field means its documented
-// default.
+// Settings are the settings of a Pool. The zero value of a field means the default of the
+// same name, or the default stated at the field.
 type Settings struct {
 	DialTimeout time.Duration
 	IdleLimit   time.Duration
 	IdleMargin  time.Duration
 	UserTimeout time.Duration
-	// Now is a clock with monotonic readings; nil means time.Now.
+	// Now returns the current time with a monotonic reading; nil means time.Now.
 	Now func() time.Time
-	// Dial opens a connection; nil means TCP.
+	// Dial opens a connection; nil means Dialer(UserTimeout).
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Pool keeps the idle connections to backend servers. Several goroutines may use
-// it.
+// Pool manages the idle connections to backend servers. It is safe for concurrent use.
 type Pool struct {
 	settings Settings
 
 	mu sync.Mutex
-	// idle holds the idle connections by address, the last used at the end;
+	// idle contains the idle connections by address, the most recently used last;
 	// guarded by mu.
 	idle map[string][]*Conn
-	// open counts the connections by address; guarded by mu.
+	// open is the number of open connections by address; guarded by mu.
 	open   map[string]int
 	closed bool
 }
@@ -72,15 +73,16 @@
 	return &Pool{settings: s, idle: make(map[string][]*Conn), open: make(map[string]int)}
 }
 
-// Dialer returns a function that opens TCP connections which end after silence:
-// bytes that stay without acknowledgement for so long, or probes while idle.
-func Dialer(silence time.Duration) func(ctx context.Context, address string) (net.Conn, error) {
+// Dialer returns a function that opens TCP connections with the given TCP_USER_TIMEOUT.
+// The operating system closes such a connection when sent bytes, or keep-alive probes
+// while it is idle, stay unacknowledged for that time.
+func Dialer(userTimeout time.Duration) func(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var failed error
 			err := raw.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 			})
 			return errors.Trace(cmp.Or(err, failed))
 		},
@@ -88,10 +90,10 @@
 	return func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 }
 
-// Get returns an idle connection that is still sound, or a new one.
+// Get returns an idle connection that is not stale, or a new one.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
-		c := p.take(address)
+		c := p.takeIdle(address)
 		if c == nil {
 			break
 		}
@@ -103,20 +105,21 @@
 	return p.Open(ctx, address)
 }
 
-// Exchange sends a request to an address and reads the head of its answer, as
-// Conn.Exchange. The end of the context ends the exchange until Finish. An error that
-// matches ErrNotSent tells that the address could not be reached by a new connection, or
-// that the context ended.
+// Exchange sends a request to an address and reads the head of its answer, like
+// Conn.Exchange. Until Finish, the end of ctx aborts the exchange. An error that matches
+// ErrNotSent means that no new connection to the address could be opened or written to,
+// or that ctx ended.
 //
-// A kept connection may end between the look at it and the writing: a server closes idle
-// ones, a middle box forgets them. Nothing was sent then, and it is no word from the
-// server: the next one is tried at once. Taken for that, it would have a server passed
-// over that is well, and the last call for which there is no other refused.
+// A pooled connection may end after it was checked and before the request is written,
+// because the server closes idle connections or a middlebox loses their state. In this
+// case nothing was sent and the failure says nothing about the server, so the next
+// connection is tried immediately. If it were reported as a failure of the server, a
+// healthy server would be skipped, and a call without an alternative server rejected.
 func (p *Pool) Exchange(
 	ctx context.Context, address string, request func() *http.Request, accept func(http.Header) bool,
 ) (*Conn, *http.Response, error) {
 	for {
-		// A connection kept idle would be handed out whatever became of the context.
+		// Get does not check the context when it returns an idle connection.
 		if err := ctx.Err(); err != nil {
 			return nil, nil, errors.Annotatef(ErrNotSent, "%v", err)
 		}
@@ -124,19 +127,19 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		kept := c.Reused()
-		c.bind(ctx)
+		reused := c.Reused()
+		c.bindContext(ctx)
 		response, err := c.Exchange(request(), accept)
 		if err == nil {
 			return c, response, nil
 		}
-		if !kept || !errors.Is(err, ErrNotSent) {
+		if !reused || !errors.Is(err, ErrNotSent) {
 			return nil, nil, err
 		}
 	}
 }
 
-// Open returns a new connection.
+// Open opens a new connection. Its error matches ErrNotSent.
 func (p *Pool) Open(ctx context.Context, address string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.settings.DialTimeout)
 	defer cancel()
@@ -151,14 +154,15 @@
 	return c, nil
 }
 
-// Listens reports whether anybody takes connections at an address. An address that refuses
-// them has no process any more, though its host is there. The error tells that neither is
-// known, as where nobody answers.
+// IsListening reports whether a process accepts connections at an address. It returns
+// false if the connection is refused, which means that the host is reachable but the
+// process has ended. An error means that the state is unknown, for example because the
+// host does not answer.
 //
-// An idle connection that is still sound spares the new one: the end of its process would
-// have ended it.
+// No new connection is opened if an idle one is not stale, since it would have been
+// closed when the process ended.
 func (p *Pool) IsListening(ctx context.Context, address string) (bool, error) {
-	if p.soundIdle(address) {
+	if p.hasUsableIdle(address) {
 		return true, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.settings.DialTimeout)
@@ -174,9 +178,10 @@
 	}
 }
 
-// soundIdle reports whether there is an idle connection that is still sound.
-func (p *Pool) soundIdle(address string) bool {
-	c := p.take(address)
+// hasUsableIdle reports whether an idle connection exists that is not stale. It checks
+// only the most recently used one.
+func (p *Pool) hasUsableIdle(address string) bool {
+	c := p.takeIdle(address)
 	if c == nil {
 		return false
 	}
@@ -184,12 +189,12 @@
 		c.Abort()
 		return false
 	}
-	p.keep(c)
+	p.addIdle(c)
 	return true
 }
 
-// keep puts a connection among the idle ones, unless the pool is closed.
-func (p *Pool) keep(c *Conn) {
+// addIdle adds a connection to the idle ones, or closes it if the pool is closed.
+func (p *Pool) addIdle(c *Conn) {
 	address := c.network.RemoteAddr().String()
 	p.mu.Lock()
 	closed := p.closed
@@ -202,9 +207,9 @@
 	}
 }
 
-// take takes the idle connection that was used last, and closes those whose time
-// is over.
-func (p *Pool) take(address string) *Conn {
+// takeIdle removes and returns the most recently used idle connection, or nil if there is
+// none. It closes connections whose idle limit has expired.
+func (p *Pool) takeIdle(address string) *Conn {
 	now := p.settings.Now()
 	for {
 		p.mu.Lock()
@@ -223,9 +228,9 @@
 	}
 }
 
-// put keeps a connection for later requests. Limit is what the other end told; 0
-// means nothing.
-func (p *Pool) put(c *Conn, limit time.Duration) {
+// recycle retains a connection for later requests. The parameter limit is the idle time
+// that the peer announced; 0 means none.
+func (p *Pool) recycle(c *Conn, limit time.Duration) {
 	c.idleSince = p.settings.Now()
 	c.idleLimit = p.settings.IdleLimit
 	if limit > 0 {
@@ -235,10 +240,10 @@
 		c.Abort()
 		return
 	}
-	p.keep(c)
+	p.addIdle(c)
 }
 
-func (p *Pool) ended(c *Conn) {
+func (p *Pool) connClosed(c *Conn) {
 	address := c.network.RemoteAddr().String()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,32 +259,33 @@
 	return p.open[address]
 }
 
-// Sweep closes the idle connections whose time is over, and all those to an
-// address that keep does not hold any more.
-func (p *Pool) Sweep(keep func(address string) bool) {
+// Sweep closes the idle connections whose idle limit has expired, and all idle
+// connections to addresses for which inUse returns false.
+func (p *Pool) Sweep(inUse func(address string) bool) {
 	now := p.settings.Now()
-	var over []*Conn
+	var expired []*Conn
 	p.mu.Lock()
 	for address, list := range p.idle {
-		kept := list[:0]
+		retained := list[:0]
 		for _, c := range list {
-			if now.Sub(c.idleSince) >= c.idleLimit || !keep(address) {
-				over = append(over, c)
+			if now.Sub(c.idleSince) >= c.idleLimit || !inUse(address) {
+				expired = append(expired, c)
 				continue
 			}
-			kept = append(kept, c)
+			retained = append(retained, c)
 		}
-		if p.idle[address] = kept; len(kept) == 0 {
+		if p.idle[address] = retained; len(retained) == 0 {
 			delete(p.idle, address)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range over {
+	for _, c := range expired {
 		c.Abort()
 	}
 }
 
-// Close closes the idle connections. Those in use close when they are given back.
+// Close closes the idle connections. Connections in use are closed when they are returned
+// to the pool. The error is always nil.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	p.closed = true
