--- a/internal/protocol/orderer/blocks.go
+++ b/internal/protocol/orderer/blocks.go
@@ -8,11 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BlockHashes appends to dst the hashes of the whole blocks of prompt for model
-// and returns the extended slice. A token is a run of characters that are not
-// white space. Each hash covers the model, all earlier blocks and its own
-// blockTokens tokens, so that equal hashes mean an equal prefix. It panics if
-// blockTokens is not positive.
+// BlockHashes appends to dst the hashes of the complete blocks of prompt for model and
+// returns the extended slice. A token is a sequence of non-space characters. Each hash
+// covers the model, all preceding blocks and the blockTokens tokens of its own block, so
+// equal hashes mean equal prefixes. BlockHashes panics if blockTokens is not positive.
 func BlockHashes(dst []uint64, model, prompt string, blockTokens int) []uint64 {
 	if blockTokens <= 0 {
 		panic("orderer: blockTokens must be positive")
@@ -35,7 +34,7 @@
 	return dst
 }
 
-// CountTokens returns the number of tokens in prompt as BlockHashes counts them.
+// CountTokens returns the number of tokens in prompt, with tokens as in BlockHashes.
 func CountTokens(prompt string) int {
 	count := 0
 	for range tokens(prompt) {
--- a/internal/protocol/orderer/blocks_test.go
+++ b/internal/protocol/orderer/blocks_test.go
@@ -10,8 +10,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/orderer"
 )
 
-// Equal hashes must mean an equal prefix of the same model: a router that takes a
-// block for cached sends a prompt to where it gains nothing.
+// TestPropertyBlockHashesNamePrefixes checks that equal hashes mean equal prefixes for the
+// same model. Otherwise a router would consider a block cached and send a prompt to an
+// engine where it gains nothing.
 func TestPropertyBlockHashesNamePrefixes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		words := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "ab", "è"}), 0, 40)
--- a/internal/protocol/orderer/caller.go
+++ b/internal/protocol/orderer/caller.go
@@ -13,34 +13,37 @@
 	"github.com/juju/errors"
 )
 
-// Settings are the settings of a client. The zero value of each field but Address
+// Settings are the settings of a client. The zero value of every field except Address
 // means its default.
 type Settings struct {
 	// Address is the backend server's IP address and port.
 	Address string
-	// DialTimeout bounds the making of a connection; 1 s by default.
+	// DialTimeout limits the time to open a connection; 1 s by default.
 	DialTimeout time.Duration
-	// AnswerTimeout bounds a short call from its start to the end of its answer;
-	// 5 s by default.
+	// AnswerTimeout limits a short call from its start to the end of its answer; 5 s by
+	// default.
 	AnswerTimeout time.Duration
-	// LoadTimeout bounds a load order; 2 min by default.
+	// LoadTimeout limits a load order; 2 min by default.
 	LoadTimeout time.Duration
-	// SilenceLimit is the longest time without a byte on the connection of a
-	// stream; 5 s by default. It must exceed the engine's heartbeat interval.
+	// SilenceLimit is the maximum time without a received line on the connection of a
+	// stream; 5 s by default. It must exceed the heartbeat interval of the engine.
 	SilenceLimit time.Duration
-	// ResumeAttempts is the number of times in a row that a broken stream is asked
-	// after without getting anything new; 4 by default.
+	// ResumeAttempts is the maximum number of consecutive attempts to resume a broken
+	// stream that yield no new event; 4 by default.
 	ResumeAttempts int
-	// ResumePause is the pause before a second and later of these; 200 ms by default.
+	// ResumePause is the pause before each of these attempts except the first; 200 ms
+	// by default.
 	ResumePause time.Duration
-	// IdleTimeout is the time after which a pooled connection is closed; 20 s by
-	// default. It must be below the time in which middle boxes forget connections.
+	// IdleTimeout is the time after which an idle pooled connection is closed; 20 s by
+	// default. It must be shorter than the time after which middleboxes drop the state
+	// of idle connections.
 	IdleTimeout time.Duration
-	// MaxEventBytes bounds one event of a stream; 1 MiB by default.
+	// MaxEventBytes is the maximum size of one event of a stream; 1 MiB by default.
 	MaxEventBytes int
-	// MaxAnswerBytes bounds the answer of a short call; 64 MiB by default.
+	// MaxAnswerBytes is the maximum size of the answer to a short call; 64 MiB by
+	// default.
 	MaxAnswerBytes int64
-	// Dial makes connections; a net.Dialer by default.
+	// Dial opens connections; a net.Dialer by default.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error) `json:"-"`
 }
 
@@ -66,29 +69,29 @@
 	}
 }
 
-// caller sends requests and tells exactly whether one that failed may have begun.
-type caller struct {
+// client sends requests and reports exactly whether a failed request may have begun.
+type client struct {
 	settings Settings
-	// fresh makes one connection for each call and never repeats a call: net/http
-	// repeats only calls that failed on a reused connection.
-	fresh *http.Transport
-	// pooled reuses connections. It serves only calls that may be repeated.
+	// singleUse opens a new connection for each call and never repeats a call, since
+	// net/http repeats only calls that failed on a reused connection.
+	singleUse *http.Transport
+	// pooled reuses connections. It is used only for calls that may be repeated.
 	pooled *http.Transport
 }
 
-func newCaller(s Settings) *caller {
+func newClient(s Settings) *client {
 	if s.Address == "" {
 		panic("orderer: settings without an address")
 	}
 	s = s.withDefaults()
-	c := &caller{settings: s}
-	c.fresh = c.transport()
-	c.fresh.DisableKeepAlives = true
+	c := &client{settings: s}
+	c.singleUse = c.transport()
+	c.singleUse.DisableKeepAlives = true
 	c.pooled = c.transport()
 	return c
 }
 
-func (c *caller) transport() *http.Transport {
+func (c *client) transport() *http.Transport {
 	return &http.Transport{
 		DialContext:         c.dial,
 		DisableCompression:  true,
@@ -97,52 +100,52 @@
 	}
 }
 
-func (c *caller) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *client) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.DialTimeout)
 	defer cancel()
 	conn, err := c.settings.Dial(ctx, network, address)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	return &recorder{Conn: conn}, nil
+	return &sealableConn{Conn: conn}, nil
 }
 
-// Close closes the idle connections. Calls in progress go on.
-func (c *caller) Close() {
-	c.fresh.CloseIdleConnections()
+// Close closes the idle connections. Calls in progress continue.
+func (c *client) Close() {
+	c.singleUse.CloseIdleConnections()
 	c.pooled.CloseIdleConnections()
 }
 
-func (c *caller) url(path string) string { return "http://" + c.settings.Address + path }
+func (c *client) url(path string) string { return "http://" + c.settings.Address + path }
 
-// once sends the request on a connection of its own, at most once. The answer is
-// returned whatever its status; an error is always an *Error.
-func (c *caller) once(r *http.Request) (*http.Response, error) {
-	return send(c.fresh, r)
+// sendOnce sends the request at most once, on a new connection. It returns an answer of
+// any status. The error is always an *Error.
+func (c *client) sendOnce(r *http.Request) (*http.Response, error) {
+	return send(c.singleUse, r)
 }
 
-// repeatable sends the request on a pooled connection. It may be sent twice.
-func (c *caller) repeatable(r *http.Request) (*http.Response, error) {
+// sendRepeatable sends the request on a pooled connection. The request may be sent twice.
+func (c *client) sendRepeatable(r *http.Request) (*http.Response, error) {
 	if r.Header.Get(HeaderIdempotencyKey) == "" {
-		// An empty list sends no header and tells net/http that it may repeat a
-		// request that failed because its reused connection had been closed.
+		// An empty list sends no header, but allows net/http to repeat a request that
+		// failed because its reused connection had been closed.
 		r.Header[HeaderIdempotencyKey] = []string{}
 	}
 	answer, err := send(c.pooled, r)
 	if err != nil {
-		// Whatever made this connection fail may have silenced the others of the
-		// pool too; each would cost another timeout.
+		// The cause of this failure may affect the other pooled connections too, and
+		// each of them would cost another timeout.
 		c.pooled.CloseIdleConnections()
 	}
 	return answer, err
 }
 
 func send(t *http.Transport, r *http.Request) (*http.Response, error) {
-	tried := &attempts{}
-	ctx := httptrace.WithClientTrace(r.Context(), tried.trace())
+	conns := &connSet{}
+	ctx := httptrace.WithClientTrace(r.Context(), conns.trace())
 	answer, err := t.RoundTrip(r.WithContext(ctx))
 	if err != nil {
-		failure := &Error{MayHaveBegun: tried.seal(), Cause: err}
+		failure := &Error{MayHaveBegun: conns.seal(), Cause: err}
 		if cause := context.Cause(ctx); cause != nil {
 			failure.Cause = cause
 		}
@@ -151,7 +154,8 @@
 	return answer, nil
 }
 
-// refusal turns an answer that is not a success into an *Error.
+// refusal converts an answer with an error status to an *Error. It reads the body but
+// does not close it.
 func refusal(answer *http.Response) *Error {
 	e := &Error{
 		MayHaveBegun: mayHaveBegun(answer.StatusCode),
@@ -166,15 +170,15 @@
 		e.Type = body.Error.Type
 		e.Message = body.Error.Message
 	}
-	e.Reason = reasonOf(answer.StatusCode, e.Type)
+	e.Reason = reasonForType(answer.StatusCode, e.Type)
 	return e
 }
 
 const maxErrorBytes = 64 << 10
 
-// mayHaveBegun tells whether an engine may have begun a call that it answered with
-// the status. An engine gives 4xx and 503 before it begins, but for a timeout,
-// for a request that conflicts with one that did begin, and for one that moved.
+// mayHaveBegun reports whether an engine may have begun a call that it answered with the
+// status. An engine sends 4xx and 503 before it begins a call, except for a timeout, for
+// a request that conflicts with one that has begun, and for a request that has moved.
 func mayHaveBegun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusConflict, http.StatusGone:
@@ -186,8 +190,8 @@
 	}
 }
 
-func reasonOf(status int, kind string) error {
-	switch kind {
+func reasonForType(status int, errorType string) error {
+	switch errorType {
 	case TypeNotFound:
 		return ErrNotResident
 	case TypeFenced:
--- a/internal/protocol/orderer/completion.go
+++ b/internal/protocol/orderer/completion.go
@@ -7,9 +7,9 @@
 	"github.com/juju/errors"
 )
 
-// CompletionRequest holds the fields of a generation request that matter to
-// routing and to the stand-in engine. Fields that it lacks pass through untouched
-// where a request is forwarded. The shape is OpenAI's, with vLLM's priority.
+// CompletionRequest contains the fields of a generation request that are used by routing
+// and by the stand-in engine. All other fields are forwarded unchanged. The format is
+// that of OpenAI, with the priority field of vLLM.
 type CompletionRequest struct {
 	Model         string         `json:"model"`
 	Prompt        string         `json:"prompt,omitempty"`
@@ -17,13 +17,13 @@
 	MaxTokens     int            `json:"max_tokens,omitempty"`
 	Stream        bool           `json:"stream,omitempty"`
 	StreamOptions *StreamOptions `json:"stream_options,omitempty"`
-	// Priority orders waiting requests, the lowest first.
+	// Priority orders waiting requests, lowest value first.
 	Priority int `json:"priority,omitempty"`
 	// MaxCompletionTokens is the newer name of MaxTokens for chats.
 	MaxCompletionTokens int `json:"max_completion_tokens,omitempty"`
 }
 
-// StreamOptions asks for extras in a stream.
+// StreamOptions requests additional content in a stream.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
@@ -34,15 +34,15 @@
 	Content Content `json:"content"`
 }
 
-// Content is the text of a message. On the wire it is a string or a list of
-// parts; only the text of the parts is kept.
+// Content is the text of a message. In JSON it is a string or a list of parts, of which
+// only the text is decoded.
 type Content string
 
 type contentPart struct {
 	Text string `json:"text"`
 }
 
-// UnmarshalJSON reads a string, a list of parts, or null.
+// UnmarshalJSON decodes a string, a list of parts, or null.
 func (c *Content) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] == '[' {
 		var parts []contentPart
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// ChatPrompt renders messages into the prompt that an engine computes.
+// ChatPrompt returns the prompt that an engine processes for messages.
 func ChatPrompt(messages []Message) string {
 	var text strings.Builder
 	for _, m := range messages {
@@ -77,7 +77,7 @@
 	return text.String()
 }
 
-// FullPrompt returns the prompt that the engine computes for the request.
+// FullPrompt returns the prompt that the engine processes for the request.
 func (r *CompletionRequest) FullPrompt() string {
 	if len(r.Messages) > 0 {
 		return ChatPrompt(r.Messages)
@@ -85,8 +85,8 @@
 	return r.Prompt
 }
 
-// Chunk is one answer or one chunk of a streamed answer in OpenAI's shape, for
-// both endpoints.
+// Chunk is a complete answer or one chunk of a streamed answer of either endpoint, in the
+// format of OpenAI.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -96,8 +96,8 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is the one choice of a Chunk. Text is set for completions, Delta for
-// streamed chats and Message for whole ones.
+// Choice is the only choice of a Chunk. Text is set for completions, Delta for streamed
+// chats and Message for chats that are not streamed.
 type Choice struct {
 	Index        int     `json:"index"`
 	Text         *string `json:"text,omitempty"`
@@ -106,13 +106,13 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Delta is the new part of a chat message, or a whole one.
+// Delta is the new part of a chat message, or a complete message.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Usage counts tokens.
+// Usage contains token counts.
 type Usage struct {
 	PromptTokens     int                 `json:"prompt_tokens"`
 	CompletionTokens int                 `json:"completion_tokens"`
@@ -120,18 +120,17 @@
 	PromptDetails    *PromptTokenDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptTokenDetails tells how much of a prompt was found in the prefix cache.
+// PromptTokenDetails contains the number of prompt tokens found in the prefix cache.
 type PromptTokenDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// ErrorBody is an error in OpenAI's shape, as a body or as an event of a stream.
+// ErrorBody is an error in the format of OpenAI, as a body or as an event of a stream.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail is the content of an ErrorBody. Code repeats the HTTP status, as
-// vLLM does.
+// ErrorDetail is the content of an ErrorBody. As with vLLM, Code is the HTTP status.
 type ErrorDetail struct {
 	Message string  `json:"message"`
 	Type    string  `json:"type"`
@@ -139,7 +138,7 @@
 	Code    int     `json:"code"`
 }
 
-// Error types of the engine protocol. The first four are vLLM's.
+// Error types of the engine protocol. The first four are defined by vLLM.
 const (
 	TypeBadRequest  = "BadRequestError"
 	TypeNotFound    = "NotFoundError"
--- a/internal/protocol/orderer/enum.go
+++ b/internal/protocol/orderer/enum.go
@@ -8,16 +8,17 @@
 
 //go:generate stringer -type=Role,AdapterPhase,CacheEventKind,Endpoint -output=enum_string.go
 
-// Role is the part of the work that an engine takes.
+// Role is the part of the generation work that an engine performs.
 type Role int
 
 // The roles of an engine.
 const (
-	// Both prefills and decodes; it is what an engine starts as.
+	// Both means prefill and decode. It is the initial role of an engine.
 	Both Role = iota
-	// Prefill computes prompts and holds the result until it is exported.
+	// Prefill means that the engine processes prompts and retains the result until it
+	// is exported.
 	Prefill
-	// Decode goes on only with imported requests.
+	// Decode means that the engine only continues imported requests.
 	Decode
 )
 
@@ -26,20 +27,20 @@
 
 // The phases of an adapter slot that an engine reports.
 const (
-	// Loading means that the weights are on their way; the adapter can't be used.
+	// Loading means that the weights are being loaded and the adapter can't be used yet.
 	Loading AdapterPhase = iota
 	// Resident means that the adapter can be used.
 	Resident
 )
 
-// CacheEventKind tells what happened to blocks of a prefix cache.
+// CacheEventKind is the kind of a change to blocks of a prefix cache.
 type CacheEventKind int
 
 // The kinds of cache events.
 const (
-	// Stored means that the blocks entered the cache.
+	// Stored means that the blocks were added to the cache.
 	Stored CacheEventKind = iota
-	// Evicted means that the blocks left the cache.
+	// Evicted means that the blocks were removed from the cache.
 	Evicted
 )
 
@@ -48,13 +49,13 @@
 
 // The generation endpoints.
 const (
-	// Completions takes a prompt.
+	// Completions accepts a prompt.
 	Completions Endpoint = iota
-	// ChatCompletions takes messages.
+	// ChatCompletions accepts messages.
 	ChatCompletions
 )
 
-// Path returns the endpoint's path.
+// Path returns the URL path of the endpoint.
 func (e Endpoint) Path() string {
 	if e == ChatCompletions {
 		return PathChatCompletions
@@ -62,12 +63,12 @@
 	return PathCompletions
 }
 
-// MarshalText writes the role in lower case, as the wire has it.
+// MarshalText returns the name of the role in lower case, as in the engine protocol.
 func (r Role) MarshalText() ([]byte, error) {
 	return []byte(strings.ToLower(r.String())), nil
 }
 
-// UnmarshalText reads a role in any case. It returns an error for any other text.
+// UnmarshalText sets the role by its name, ignoring case.
 func (r *Role) UnmarshalText(text []byte) error {
 	for _, known := range []Role{Both, Prefill, Decode} {
 		if strings.EqualFold(known.String(), string(text)) {
@@ -78,10 +79,10 @@
 	return errors.NotValidf("role %q", text)
 }
 
-// MarshalText writes the phase by its name.
+// MarshalText returns the name of the phase.
 func (p AdapterPhase) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads a phase by its name.
+// UnmarshalText sets the phase by its name.
 func (p *AdapterPhase) UnmarshalText(text []byte) error {
 	for _, known := range []AdapterPhase{Loading, Resident} {
 		if known.String() == string(text) {
@@ -92,10 +93,10 @@
 	return errors.NotValidf("adapter phase %q", text)
 }
 
-// MarshalText writes the kind by its name.
+// MarshalText returns the name of the kind.
 func (k CacheEventKind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads a kind by its name.
+// UnmarshalText sets the kind by its name.
 func (k *CacheEventKind) UnmarshalText(text []byte) error {
 	for _, known := range []CacheEventKind{Stored, Evicted} {
 		if known.String() == string(text) {
--- a/internal/protocol/orderer/errors.go
+++ b/internal/protocol/orderer/errors.go
@@ -7,57 +7,60 @@
 	"github.com/juju/errors"
 )
 
-// Sentinel errors, to be matched with errors.Is. Every *Error matches ErrNotRun
-// or ErrUnknown, and at most one of the others besides.
+// Sentinel errors, to be matched with errors.Is. Every *Error matches either ErrNotRun or
+// ErrUnknown, and at most one of the others in addition.
 const (
 	// ErrNotRun means that the work can't have begun.
 	ErrNotRun = errors.ConstError("not run")
-	// ErrUnknown means that the work may have begun, and perhaps ended.
+	// ErrUnknown means that the work may have begun, and may have ended.
 	ErrUnknown = errors.ConstError("outcome unknown")
-	// ErrNotResident means that the engine doesn't hold the adapter named.
+	// ErrNotResident means that the named adapter is not resident in the engine.
 	ErrNotResident = errors.ConstError("adapter not resident")
-	// ErrFenced means that the engine has seen a higher fencing number.
+	// ErrFenced means that the engine has received a higher fencing number.
 	ErrFenced = errors.ConstError("fencing number too low")
 	// ErrNoSlot means that a load found no free adapter slot.
 	ErrNoSlot = errors.ConstError("no free adapter slot")
-	// ErrAlreadyLoaded means that the adapter to load is resident or loading.
+	// ErrAlreadyLoaded means that the adapter is already resident or loading.
 	ErrAlreadyLoaded = errors.ConstError("adapter already loaded")
-	// ErrLoadFailed means that the engine began a load and gave it up. The adapter
-	// is not resident. It matches ErrUnknown, since the load did begin.
+	// ErrLoadFailed means that the engine began a load and aborted it. The adapter is
+	// not resident. An error with this reason matches ErrUnknown, since the load began.
 	ErrLoadFailed = errors.ConstError("adapter load failed")
-	// ErrMoved means that the request's KV cache was exported, so that its stream
-	// goes on at the engine that imports it.
+	// ErrMoved means that the KV cache of the request was exported. The stream continues
+	// at the engine that imports it.
 	ErrMoved = errors.ConstError("request moved")
-	// ErrWrongModel means that the engine named another model than the one called.
+	// ErrWrongModel means that the engine answered with a model other than the requested
+	// one.
 	ErrWrongModel = errors.ConstError("answer of another model")
-	// ErrForgotten means that the engine no longer knows, or never knew, a request.
-	// It matches ErrUnknown: the request may still be on its way.
+	// ErrRequestNotFound means that the engine doesn't know a request. An error with
+	// this reason matches ErrUnknown, since the request may still arrive or may have run
+	// before.
 	ErrRequestNotFound = errors.ConstError("request not known to the engine")
-	// ErrSilent means that a connection delivered nothing for the silence limit.
+	// ErrSilent means that nothing was received on a connection for the silence limit.
 	ErrSilent = errors.ConstError("connection silent")
 )
 
-// Error is a failed call with what is known of its outcome.
+// Error is the error of a failed call, with its outcome as far as known.
 type Error struct {
-	// Begun tells whether the work may have begun. It decides between ErrUnknown
-	// and ErrNotRun.
+	// MayHaveBegun reports whether the work may have begun. The error then matches
+	// ErrUnknown, otherwise ErrNotRun.
 	MayHaveBegun bool
-	// Reason is the sentinel that says more, or nil.
+	// Reason is a more specific sentinel error, or nil.
 	Reason error
-	// Status is the HTTP status of the answer, or 0 where none came.
+	// Status is the HTTP status of the answer, or 0 if none was received.
 	Status int
-	// Type and Message are the backend server's own words, where it gave any.
+	// Type and Message are the error type and message sent by the backend server, if
+	// any.
 	Type    string
 	Message string
-	// RetryAfter is the wait that a refusal asked for, or 0.
+	// RetryAfter is the waiting time that a refusal requested, or 0.
 	RetryAfter time.Duration
-	// Incarnation is the engine's incarnation, where an answer named it.
+	// Incarnation is the incarnation of the engine, if an answer contained it.
 	Incarnation string
-	// Cause is the error underneath, or nil.
+	// Cause is the underlying error, or nil.
 	Cause error
 }
 
-// Error says what happened in one line.
+// Error returns the outcome, reason, status, message and cause on one line.
 func (e *Error) Error() string {
 	outcome := ErrNotRun
 	if e.MayHaveBegun {
@@ -79,8 +82,8 @@
 	return text
 }
 
-// Is matches ErrUnknown or ErrNotRun by Begun, and its own reason and those of the
-// errors underneath.
+// Is reports whether target is ErrUnknown or ErrNotRun according to MayHaveBegun, or the
+// reason of e or of an *Error in its cause.
 func (e *Error) Is(target error) bool {
 	switch target {
 	case ErrUnknown:
@@ -95,12 +98,12 @@
 	return inner != nil && inner.Is(target)
 }
 
-// Unwrap returns the cause underneath all *Errors.
+// Unwrap returns the innermost cause, skipping all nested *Errors.
 //
-// The cause of a call's failure may itself be that of a lesser call: a question
-// about a request, refused because nobody listens, is "not run". Unwrapped to that
-// error, the request would match ErrNotRun though it may have run, and its caller
-// would send it a second time.
+// The cause of a failed call may be the *Error of a subordinate call: an attempt to
+// resume a stream is "not run" if its connection is refused. If Unwrap returned that
+// error, the request would match ErrNotRun although it may have run, and its caller would
+// send it a second time.
 func (e *Error) Unwrap() error {
 	if inner := e.inner(); inner != nil {
 		return inner.Unwrap()
@@ -108,7 +111,7 @@
 	return e.Cause
 }
 
-// inner returns the outermost *Error in the cause, or nil.
+// inner returns the outermost *Error in the cause of e, or nil.
 func (e *Error) inner() *Error {
 	var inner *Error
 	if errors.As(e.Cause, &inner) {
--- a/internal/protocol/orderer/events.go
+++ b/internal/protocol/orderer/events.go
@@ -15,23 +15,23 @@
 	data   []byte
 }
 
-// eventReader reads server-sent events as the engine protocol uses them: an id
-// line, one data line, an empty line; lines that begin with a colon are
-// heartbeats. It is not safe for concurrent use.
+// eventReader reads server-sent events in the form used by the engine protocol: an id
+// line, one data line and an empty line. Lines that begin with a colon are heartbeats. It
+// is not safe for concurrent use.
 type eventReader struct {
 	lines *bufio.Reader
 	limit int
-	// alive is called for each line, heartbeats included.
-	alive func()
+	// onLine is called for each line, including heartbeats.
+	onLine func()
 }
 
-func newEventReader(r io.Reader, limit int, alive func()) *eventReader {
-	return &eventReader{lines: bufio.NewReader(r), limit: limit, alive: alive}
+func newEventReader(r io.Reader, limit int, onLine func()) *eventReader {
+	return &eventReader{lines: bufio.NewReader(r), limit: limit, onLine: onLine}
 }
 
-// next returns the next event with data of its own. At the end of the stream it
-// returns io.EOF; an event without its closing empty line is dropped, because it
-// may be cut short.
+// next returns the next event. The caller owns the data of the event. At the end of the
+// stream next returns io.EOF. An event without its closing empty line is discarded,
+// because it may be truncated.
 func (r *eventReader) next() (event, error) {
 	var e event
 	for {
@@ -39,7 +39,7 @@
 		if err != nil {
 			return event{}, err
 		}
-		r.alive()
+		r.onLine()
 		switch {
 		case len(line) == 0:
 			if e.data != nil {
@@ -57,7 +57,8 @@
 	}
 }
 
-// line returns the next line without its end. It is valid until the next call.
+// line returns the next line without its line ending. The result is valid until the next
+// call.
 func (r *eventReader) line() ([]byte, error) {
 	line, err := r.lines.ReadSlice('\n')
 	if err == nil {
--- a/internal/protocol/orderer/events_test.go
+++ b/internal/protocol/orderer/events_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzEventReader feeds the reader whatever a broken engine may send. It must end,
-// and keep its bound on memory.
+// FuzzEventReader passes arbitrary input to the reader, as from a faulty engine. The
+// reader must terminate and respect its limit on memory.
 func FuzzEventReader(f *testing.F) {
 	f.Add("id: 1\ndata: {}\n\n: ping\n\nid: 2\ndata: [DONE]\n\n")
 	f.Add("data: x\r\n\r\n\n\ndata:\n\n")
--- a/internal/protocol/orderer/faults_test.go
+++ b/internal/protocol/orderer/faults_test.go
@@ -14,7 +14,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/generator"
 )
 
-// fault is something that goes wrong, or is ordered, at a moment.
+// fault is a fault or an order that occurs at a given time.
 type fault struct {
 	at    time.Duration
 	kind  int
@@ -35,7 +35,7 @@
 	faultKinds
 )
 
-func (f fault) strike(t *testing.T, p pair) {
+func (f fault) apply(t *testing.T, p pair) {
 	t.Helper()
 	switch f.kind {
 	case silence:
@@ -55,21 +55,22 @@
 	case refuseAll:
 		p.engine.Inject(generator.Faults{RefuseGeneration: true})
 	case unreachable:
-		p.lines.refusing.Store(true)
+		p.listener.refusing.Store(true)
 	case reachable:
-		p.lines.refusing.Store(false)
+		p.listener.refusing.Store(false)
 	}
 }
 
-// result is how one call ended.
+// result is the result of one call.
 type result struct {
 	answer
 	err error
 }
 
-// Symptom: a cut answer passes for whole, a request said not to have run did run,
-// or one runs twice. Sequence: any faults at any moments, several at once. Cause:
-// outcome and place in the stream must follow from what was seen, never from hope.
+// TestPropertyAnswersUnderFaults guards against a truncated answer that is reported as
+// complete, a request that ran although it was reported as not run, and a request that
+// runs twice. Arbitrary faults occur at arbitrary times, several at once. The outcome and
+// the position in the stream must follow only from what was observed.
 func TestPropertyAnswersUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const calls = 6
@@ -85,32 +86,32 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := newPair(t, generator.Settings{MaxBatch: 3})
 			for i, f := range faults {
-				// No two things happen at one instant, so that a run repeats itself.
+				// No two faults occur at the same instant, so that runs are reproducible.
 				own := time.Duration(3+7*i) * time.Microsecond
-				time.AfterFunc(f.at+own, func() { f.strike(t, p) })
+				time.AfterFunc(f.at+own, func() { f.apply(t, p) })
 			}
 			var all sync.WaitGroup
 			for i := range calls {
-				settle(t, 100*time.Millisecond)
+				sleep(t, 100*time.Millisecond)
 				all.Go(func() {
 					r := &results[i]
-					r.err = p.client.Generate(t.Context(), call(fmt.Sprint("r", i)), r.take)
+					r.err = p.client.Generate(t.Context(), call(fmt.Sprint("r", i)), r.add)
 				})
 			}
 			all.Wait()
 			p.engine.Inject(generator.Faults{})
-			settle(t, time.Minute)
+			sleep(t, time.Minute)
 			record = p.engine.Record()
 		})
 		for i, r := range results {
-			if err := judge(fmt.Sprint("r", i), r, record.Runs); err != nil {
+			if err := checkOutcome(fmt.Sprint("r", i), r, record.Runs); err != nil {
 				rt.Fatal(err)
 			}
 		}
 	})
 }
 
-func judge(request string, r result, runs []generator.Run) error {
+func checkOutcome(request string, r result, runs []generator.Run) error {
 	accepted, began, completed := 0, 0, 0
 	for _, run := range runs {
 		if run.Request != request {
@@ -127,7 +128,7 @@
 	switch {
 	case accepted > 1:
 		return errors.Errorf("%s was accepted %d times", request, accepted)
-	case r.err == nil && (!r.done || r.text != whole || completed != 1):
+	case r.err == nil && (!r.done || r.text != expectedText || completed != 1):
 		return errors.Errorf("%s succeeded with %q, %d completed", request, r.text, completed)
 	case r.err != nil && r.done:
 		return errors.Errorf("%s failed after its end: %v", request, r.err)
@@ -135,7 +136,7 @@
 		return errors.Errorf("%s ran, yet %v", request, r.err)
 	case r.err != nil && errors.Is(r.err, orderer.ErrNotRun) == errors.Is(r.err, orderer.ErrUnknown):
 		return errors.Errorf("%s has no outcome: %v", request, r.err)
-	case whole[:len(r.text)] != r.text:
+	case expectedText[:len(r.text)] != r.text:
 		return errors.Errorf("%s got %q", request, r.text)
 	}
 	return nil
--- a/internal/protocol/orderer/generate.go
+++ b/internal/protocol/orderer/generate.go
@@ -16,40 +16,42 @@
 
 // Call is one generation call.
 type Call struct {
-	// Request is the request id; it is unique over all calls.
+	// Request is the request id, which is unique across all calls.
 	Request  string
 	Endpoint Endpoint
-	// Model is the adapter's name at the engine, WORKSPACE/ADAPTER@VERSION. The
-	// call fails with ErrWrongModel if the engine names another in its answer.
+	// Model is the name of the adapter at the engine, WORKSPACE/ADAPTER@VERSION. The
+	// call fails with ErrWrongModel if the engine answers with another model.
 	Model string
-	// Priority orders waiting requests at the engine, the lowest first.
+	// Priority orders waiting requests at the engine, lowest value first.
 	Priority int
-	// IdempotencyKey is passed on where it is not empty.
+	// IdempotencyKey is forwarded unless it is empty.
 	IdempotencyKey string
-	// Body is the caller's request in OpenAI's shape. Its model, priority and
-	// stream fields are replaced; all others reach the engine as they are.
+	// Body is the caller's request in the format of OpenAI. Its model, priority,
+	// stream and stream_options fields are replaced; all others reach the engine
+	// unchanged.
 	Body json.RawMessage
 }
 
 // Piece is one event of an answer.
 type Piece struct {
-	// Number is the event's number in the stream. It rises by one from 1.
+	// Number is the number of the event in the stream. Numbers start at 1 and increase
+	// by one.
 	Number int64
-	// Data is the event's data as the engine sent it. The receiver may keep it.
+	// Data is the data of the event as sent by the engine. The receiver may retain it.
 	Data []byte
-	// Model is the adapter that the engine says it used. It is empty when Done.
+	// Model is the adapter that the engine reports it used. It is empty if Done is set.
 	Model string
-	// Text is the text that the piece adds.
+	// Text is the text that the piece adds to the answer.
 	Text         string
 	FinishReason string
-	// Usage is set on the piece that carries it, the last but one.
+	// Usage is set on the last piece but one.
 	Usage *Usage
-	// Done marks the last piece of a whole answer.
+	// Done marks the last piece of a complete answer.
 	Done bool
 }
 
-// requestFields is a JSON object whose values stay undecoded, so that fields this
-// project knows nothing of reach the engine as the caller wrote them.
+// requestFields is a JSON object whose values are not decoded, so that unknown fields
+// reach the engine exactly as the caller wrote them.
 type requestFields map[string]json.RawMessage
 
 func (c *Call) body() ([]byte, error) {
@@ -69,20 +71,19 @@
 	return data, errors.Trace(err)
 }
 
-// Generate sends the call at most once and gives the pieces of the answer to
-// give, in order and each once, until the piece that is Done. When the connection
-// breaks or goes silent it asks for the rest on a new one. An error of give ends
-// the call and is returned as it is; the engine goes on with the request for a
-// short grace unless Cancel is called. All other errors match ErrNotRun or
-// ErrUnknown.
-func (e *Engine) Generate(ctx context.Context, c Call, give func(Piece) error) error {
+// Generate sends the call at most once and passes the pieces of the answer to deliver, in
+// order and each once, up to the piece with Done set. If the connection breaks or becomes
+// silent, Generate requests the rest on a new one. An error of deliver ends the call and
+// is returned unchanged; the engine continues the request for a short grace period unless
+// Cancel is called. All other errors match ErrNotRun or ErrUnknown.
+func (e *Engine) Generate(ctx context.Context, c Call, deliver func(Piece) error) error {
 	body, err := c.body()
 	if err != nil {
 		return &Error{Cause: err}
 	}
-	f := &follower{engine: e, request: c.Request, model: c.Model, give: give}
-	end, err := f.follow(ctx, func(ctx context.Context) (*http.Response, error) {
-		r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.caller.url(c.Endpoint.Path()), bytes.NewReader(body))
+	f := &answerReader{engine: e, request: c.Request, model: c.Model, deliver: deliver}
+	end, err := f.readConnection(ctx, func(ctx context.Context) (*http.Response, error) {
+		r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.client.url(c.Endpoint.Path()), bytes.NewReader(body))
 		if err != nil {
 			return nil, &Error{Cause: err}
 		}
@@ -92,7 +93,7 @@
 		if c.IdempotencyKey != "" {
 			r.Header.Set(HeaderIdempotencyKey, c.IdempotencyKey)
 		}
-		return e.caller.once(r)
+		return e.client.sendOnce(r)
 	})
 	if end {
 		return err
@@ -100,36 +101,37 @@
 	return f.resume(ctx, err)
 }
 
-// Resume gives the pieces after the numbered one of a request that the engine
-// already has: one that an earlier companion dispatched, or that was imported.
-// It never starts the request. Errors are as for Generate.
-func (e *Engine) Resume(ctx context.Context, request, model string, after int64, give func(Piece) error) error {
-	f := &follower{engine: e, request: request, model: model, last: after, give: give}
+// Resume passes to deliver the pieces after the given number of a request that the engine
+// already has: one that a previous companion sent, or one that was imported. It never
+// starts the request. Errors are as for Generate.
+func (e *Engine) Resume(ctx context.Context, request, model string, after int64, deliver func(Piece) error) error {
+	f := &answerReader{engine: e, request: request, model: model, last: after, deliver: deliver}
 	return f.resume(ctx, nil)
 }
 
-// follower follows one answer over several connections.
-type follower struct {
+// answerReader reads one answer over several connections. It is not safe for concurrent
+// use.
+type answerReader struct {
 	engine  *Engine
 	request string
 	model   string
-	give    func(Piece) error
-	// last is the number of the last piece given.
+	deliver func(Piece) error
+	// last is the number of the last piece delivered.
 	last int64
-	// incarnation is the engine's incarnation that began the answer.
+	// incarnation is the incarnation of the engine that started the answer.
 	incarnation string
 }
 
-// resume asks for the rest of the answer until it is whole, or until the engine
-// has given nothing new for the allowed number of attempts.
-func (f *follower) resume(ctx context.Context, cause error) error {
-	s := &f.engine.caller.settings
+// resume requests the rest of the answer until it is complete, or until ResumeAttempts
+// consecutive attempts have yielded no new event.
+func (f *answerReader) resume(ctx context.Context, cause error) error {
+	s := &f.engine.client.settings
 	for attempt := 0; attempt < s.ResumeAttempts && ctx.Err() == nil; attempt++ {
 		if attempt > 0 && !pauser.Pause(ctx, s.ResumePause) {
 			break
 		}
 		before := f.last
-		end, err := f.follow(ctx, f.ask)
+		end, err := f.readConnection(ctx, f.requestRest)
 		if end {
 			return err
 		}
@@ -141,19 +143,19 @@
 	if ctx.Err() != nil {
 		cause = context.Cause(ctx)
 	}
-	return f.unknown(nil, errors.Annotatef(cause, "stream %s after event %d", f.request, f.last))
+	return f.unknownOutcome(nil, errors.Annotatef(cause, "stream %s after event %d", f.request, f.last))
 }
 
-func (f *follower) ask(ctx context.Context) (*http.Response, error) {
+func (f *answerReader) requestRest(ctx context.Context) (*http.Response, error) {
 	path := streamPath(f.request) + "?" + QueryStartingAfter + "=" + strconv.FormatInt(f.last, 10)
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.engine.caller.url(path), http.NoBody)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.engine.client.url(path), http.NoBody)
 	if err != nil {
 		return nil, &Error{Cause: err}
 	}
-	answer, err := f.engine.caller.once(r)
+	answer, err := f.engine.client.sendOnce(r)
 	if err != nil {
-		// The question was not answered; the request itself may have begun.
-		return nil, f.unknown(nil, err)
+		// Only the attempt to resume failed; the request itself may have begun.
+		return nil, f.unknownOutcome(nil, err)
 	}
 	if answer.StatusCode == http.StatusOK {
 		return answer, nil
@@ -167,21 +169,21 @@
 	return nil, e
 }
 
-// follow opens one connection and gives the pieces that arrive on it. It returns
-// true when there is nothing to resume: the answer is whole, or the error final.
-func (f *follower) follow(ctx context.Context, open func(context.Context) (*http.Response, error)) (bool, error) {
-	limit := f.engine.caller.settings.SilenceLimit
+// readConnection opens one connection and delivers the pieces received on it. It returns
+// true if there is nothing to resume: the answer is complete, or the error is final.
+func (f *answerReader) readConnection(ctx context.Context, open func(context.Context) (*http.Response, error)) (bool, error) {
+	limit := f.engine.client.settings.SilenceLimit
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// A connection that something in between has lost track of stays open and
-	// delivers nothing. The engine sends heartbeats, so that silence tells.
+	// A connection whose state a middlebox has lost stays open and delivers nothing.
+	// Since the engine sends heartbeats, silence indicates this.
 	watchdog := time.AfterFunc(limit, func() { cancel(ErrSilent) })
 	defer watchdog.Stop()
-	alive := func() { watchdog.Reset(limit) }
+	resetWatchdog := func() { watchdog.Reset(limit) }
 
 	answer, err := open(ctx)
 	if err != nil {
-		return f.final(err), err
+		return f.isFinal(err), err
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.StatusCode != http.StatusOK {
@@ -192,14 +194,14 @@
 		f.incarnation = incarnation
 	}
 	if f.incarnation != incarnation {
-		return true, f.unknown(ErrRequestNotFound, errors.Errorf("engine restarted as %s", incarnation))
+		return true, f.unknownOutcome(ErrRequestNotFound, errors.Errorf("engine restarted as %s", incarnation))
 	}
-	events := newEventReader(answer.Body, f.engine.caller.settings.MaxEventBytes, alive)
-	end, err := f.take(events, func(p Piece) error {
-		// A slow receiver is no silence of the engine.
+	events := newEventReader(answer.Body, f.engine.client.settings.MaxEventBytes, resetWatchdog)
+	end, err := f.readEvents(events, func(p Piece) error {
+		// The time that the receiver takes doesn't count as silence of the engine.
 		watchdog.Stop()
-		defer alive()
-		return f.give(p)
+		defer resetWatchdog()
+		return f.deliver(p)
 	})
 	if cause := context.Cause(ctx); !end && cause != nil {
 		err = cause
@@ -207,8 +209,9 @@
 	return end, err
 }
 
-// final tells whether an error in opening a connection leaves nothing to ask.
-func (f *follower) final(err error) bool {
+// isFinal reports whether nothing can be resumed after err, an error of opening a
+// connection.
+func (f *answerReader) isFinal(err error) bool {
 	var e *Error
 	if !errors.As(err, &e) {
 		return true
@@ -217,16 +220,16 @@
 	case errors.Is(e, ErrMoved):
 		return true
 	case errors.Is(e, ErrRequestNotFound):
-		// A request that was never heard of may still be on its way to the engine.
+		// A request of which nothing was received may still arrive at the engine.
 		return f.last > 0 || f.incarnation != ""
 	default:
 		return !e.MayHaveBegun
 	}
 }
 
-// take gives the events of one connection. It returns true when the answer is
-// whole or the error final.
-func (f *follower) take(events *eventReader, give func(Piece) error) (bool, error) {
+// readEvents delivers the events of one connection. It returns true if the answer is
+// complete or the error is final.
+func (f *answerReader) readEvents(events *eventReader, deliver func(Piece) error) (bool, error) {
 	for {
 		e, err := events.next()
 		if err != nil {
@@ -246,7 +249,7 @@
 			return true, err
 		}
 		f.last = e.number
-		if err := give(piece); err != nil {
+		if err := deliver(piece); err != nil {
 			return true, err
 		}
 		if piece.Done {
@@ -255,8 +258,9 @@
 	}
 }
 
-// eventBody holds what is needed of the data an event may carry, a Chunk or an
-// error. Decoding it is half of the client's work on a token.
+// eventBody contains the fields that are used of the data of an event, which is a Chunk
+// or an error. Decoding it is half of the client's work per token, so unused fields are
+// left out.
 type eventBody struct {
 	Model   string        `json:"model"`
 	Choices []eventChoice `json:"choices"`
@@ -274,7 +278,7 @@
 	Content string `json:"content"`
 }
 
-func (f *follower) decode(e event) (Piece, error) {
+func (f *answerReader) decode(e event) (Piece, error) {
 	piece := Piece{Number: e.number, Data: e.data}
 	if string(e.data) == DoneMark {
 		piece.Done = true
@@ -282,16 +286,16 @@
 	}
 	var body eventBody
 	if err := json.Unmarshal(e.data, &body); err != nil {
-		return piece, f.unknown(nil, errors.Annotatef(err, "event %d", e.number))
+		return piece, f.unknownOutcome(nil, errors.Annotatef(err, "event %d", e.number))
 	}
 	if body.Error != nil {
-		failure := f.unknown(reasonOf(0, body.Error.Type), nil)
+		failure := f.unknownOutcome(reasonForType(0, body.Error.Type), nil)
 		failure.Type = body.Error.Type
 		failure.Message = body.Error.Message
 		return piece, failure
 	}
 	if body.Model != f.model {
-		return piece, f.unknown(ErrWrongModel, errors.Errorf("called %q, answered by %q", f.model, body.Model))
+		return piece, f.unknownOutcome(ErrWrongModel, errors.Errorf("called %q, answered by %q", f.model, body.Model))
 	}
 	piece.Model = body.Model
 	piece.Usage = body.Usage
@@ -302,6 +306,6 @@
 	return piece, nil
 }
 
-func (f *follower) unknown(reason, cause error) *Error {
+func (f *answerReader) unknownOutcome(reason, cause error) *Error {
 	return &Error{MayHaveBegun: true, Reason: reason, Incarnation: f.incarnation, Cause: cause}
 }
--- a/internal/protocol/orderer/header.go
+++ b/internal/protocol/orderer/header.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// hopByHop are the header fields that concern one connection only (RFC 9110,
-// section 7.6.1), and Expect, which is met once the body has been taken in.
+// hopByHop lists the header fields that apply to a single connection (RFC 9110, section
+// 7.6.1), and Expect, which is already satisfied once the body has been read.
 var hopByHop = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyEndToEnd copies the header fields that concern more than one connection.
+// copyEndToEnd copies all header fields except hop-by-hop fields.
 func copyEndToEnd(to, from http.Header) {
 	for name, values := range from {
 		to[name] = append([]string(nil), values...)
--- a/internal/protocol/orderer/load.go
+++ b/internal/protocol/orderer/load.go
@@ -9,15 +9,15 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/pauser"
 )
 
-// Load orders the engine to load the adapter and waits until it is resident. The
-// order is sent once. While its connection is silent, and after it broke, the
-// engine's state is asked for on another one, so that a lost answer costs no more
-// than SilenceLimit.
+// Load orders the engine to load the adapter and waits until it is resident. The order is
+// sent once. While its connection is silent, and after the connection broke, Load polls
+// the state of the engine on another connection, so that a lost answer delays it by no
+// more than SilenceLimit.
 //
-// ErrLoadFailed means that the load was begun and given up. Any other error that
-// matches ErrUnknown leaves open whether the load goes on; State tells.
+// ErrLoadFailed means that the load was begun and aborted. After any other error that
+// matches ErrUnknown the load may still be in progress, which State shows.
 func (e *Engine) Load(ctx context.Context, fence uint64, name, path string) error {
-	s := &e.caller.settings
+	s := &e.client.settings
 	ctx, cancel := context.WithTimeout(ctx, s.LoadTimeout)
 	order := AdapterOrder{Name: name, Path: path}
 	answered := make(chan error, 1)
@@ -32,32 +32,33 @@
 	}()
 	ticker := time.NewTicker(s.SilenceLimit)
 	defer ticker.Stop()
-	watch := loadWatch{order: order, patience: s.ResumeAttempts}
+	monitor := loadMonitor{order: order, missesLeft: s.ResumeAttempts}
 	for {
 		select {
 		case err := <-answered:
 			if !errors.Is(err, ErrUnknown) || errors.Is(err, ErrLoadFailed) {
 				return errors.Annotatef(err, "load %s", name)
 			}
-			return errors.Annotatef(e.settleLoad(ctx, &watch, err), "load %s", name)
+			return errors.Annotatef(e.awaitLoadOutcome(ctx, &monitor, err), "load %s", name)
 		case <-ticker.C:
-			// What silenced this connection may have silenced the pooled ones.
-			e.caller.pooled.CloseIdleConnections()
+			// The pooled connections may be silent for the same reason.
+			e.client.pooled.CloseIdleConnections()
 			state, err := e.State(ctx)
 			if err != nil {
-				continue // The order's own answer or the timeout ends the wait.
+				continue // The answer to the order or the timeout ends the wait.
 			}
-			if ended, err := watch.observe(&state); ended {
+			if ended, err := monitor.observe(&state); ended {
 				return errors.Annotatef(err, "load %s", name)
 			}
 		}
 	}
 }
 
-// settleLoad finds out how a load stands whose connection broke with cause. It
-// returns cause if the engine shows nothing of the load, or doesn't answer.
-func (e *Engine) settleLoad(ctx context.Context, watch *loadWatch, cause error) error {
-	s := &e.caller.settings
+// awaitLoadOutcome determines the outcome of a load whose connection failed with cause by
+// polling the state of the engine. It returns cause if the received states don't show the
+// outcome.
+func (e *Engine) awaitLoadOutcome(ctx context.Context, monitor *loadMonitor, cause error) error {
+	s := &e.client.settings
 	for attempt := 0; attempt < s.ResumeAttempts && ctx.Err() == nil; attempt++ {
 		if attempt > 0 && !pauser.Pause(ctx, s.ResumePause) {
 			break
@@ -66,28 +67,30 @@
 		if err != nil {
 			continue
 		}
-		if ended, err := watch.observe(&state); ended {
+		if ended, err := monitor.observe(&state); ended {
 			return err
 		}
-		if watch.seen != "" {
-			attempt = 0 // The load goes on; only its end or the timeout matters.
+		if monitor.seenIncarnation != "" {
+			attempt = 0 // The load is in progress; wait for its end or the timeout.
 		}
 	}
 	return cause
 }
 
-// loadWatch judges by an engine's successive states how a load stands.
-type loadWatch struct {
+// loadMonitor derives the progress of a load from successive states of an engine.
+type loadMonitor struct {
 	order AdapterOrder
-	// patience is the number of further states without a trace of the load after
-	// which it is given up as forgotten.
-	patience int
-	// seen is the incarnation in which the load was seen under way, or empty.
-	seen string
+	// missesLeft is the number of further states that don't contain the load before it
+	// fails with ErrRequestNotFound.
+	missesLeft int
+	// seenIncarnation is the incarnation of the engine in which the load was observed in
+	// progress, or empty.
+	seenIncarnation string
 }
 
-// observe returns true when the load has ended, and how.
-func (w *loadWatch) observe(s *EngineState) (bool, error) {
+// observe processes a state of the engine. It returns true and the result of the load if
+// the load has ended.
+func (w *loadMonitor) observe(s *EngineState) (bool, error) {
 	for _, a := range s.Adapters {
 		if a.Name != w.order.Name {
 			continue
@@ -95,14 +98,14 @@
 		if a.Phase == Resident && a.Path == w.order.Path {
 			return true, nil
 		}
-		w.seen = s.Incarnation
+		w.seenIncarnation = s.Incarnation
 		return false, nil
 	}
 	reason := ErrLoadFailed
-	if w.seen == "" {
-		reason = ErrRequestNotFound // The order may still be on its way.
-		w.patience--
+	if w.seenIncarnation == "" {
+		reason = ErrRequestNotFound // The order may still arrive.
+		w.missesLeft--
 	}
-	ended := w.seen != "" || w.patience <= 0
+	ended := w.seenIncarnation != "" || w.missesLeft <= 0
 	return ended, &Error{MayHaveBegun: true, Reason: reason, Incarnation: s.Incarnation}
 }
--- a/internal/protocol/orderer/loopback_test.go
+++ b/internal/protocol/orderer/loopback_test.go
@@ -16,10 +16,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/responder"
 )
 
-// Over TCP the kernel buffers what a pipe hands over at once, so that a connection
-// breaks in other ways. The outcome must not depend on it.
+// Over TCP the kernel buffers data that a pipe transfers synchronously, so connections
+// break in other ways. The outcome must not depend on this.
 var _ = Describe("Engine over TCP", func() {
-	It("gets the whole answer when connections are cut and go silent", func(ctx SpecContext) {
+	It("receives the complete answer if connections break and become silent", func(ctx SpecContext) {
 		engine := generator.NewEngine(generator.Settings{TimeScale: 0.2, HeartbeatInterval: 20 * time.Millisecond})
 		defer func() { Expect(engine.Close()).To(Succeed()) }()
 		address, err := engine.Listen("127.0.0.1:0")
@@ -31,25 +31,25 @@
 		Expect(client.Load(ctx, 1, adapter, adapter)).To(Succeed())
 		engine.Inject(generator.Faults{DropStreams: 3, DropAfter: 5})
 		var a answer
-		take := func(p orderer.Piece) error {
+		add := func(p orderer.Piece) error {
 			if p.Number == 25 {
 				engine.Inject(generator.Faults{Silence: true})
 			}
-			return a.take(p)
+			return a.add(p)
 		}
-		Expect(client.Generate(ctx, call("r1"), take)).To(Succeed())
-		Expect(a.text).To(Equal(whole))
+		Expect(client.Generate(ctx, call("r1"), add)).To(Succeed())
+		Expect(a.text).To(Equal(expectedText))
 		Expect(engine.Record().Runs).To(HaveLen(1))
 	})
 
-	It("says not run of an engine that is gone", func(ctx SpecContext) {
+	It("returns ErrNotRun if the engine has stopped", func(ctx SpecContext) {
 		engine := generator.NewEngine(generator.Settings{})
 		address, err := engine.Listen("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		client := orderer.NewEngine(orderer.Settings{Address: address})
 		defer client.Close()
 		Expect(engine.Close()).To(Succeed())
-		Expect(client.Generate(ctx, call("r1"), (&answer{}).take)).To(MatchError(orderer.ErrNotRun))
+		Expect(client.Generate(ctx, call("r1"), (&answer{}).add)).To(MatchError(orderer.ErrNotRun))
 	})
 })
 
--- a/internal/protocol/orderer/orders_test.go
+++ b/internal/protocol/orderer/orders_test.go
@@ -12,21 +12,21 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/generator"
 )
 
-// Symptom: an adapter in use disappears. Sequence: a dead companion's unload
-// arrives after its successor's orders. Cause: only the fencing number tells the
-// late order from a fresh one, and some engines ignore it.
+// TestLateOrderAndFencing guards against the unload of an adapter that is in use. The
+// unload order of a failed companion arrives after the orders of its successor. Only the
+// fencing number distinguishes the late order from a new one, and some engines ignore it.
 func TestLateOrderAndFencing(t *testing.T) {
-	for _, checks := range []bool{true, false} {
+	for _, checksFencing := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			p := newPair(t, generator.Settings{ChecksFencing: checks})
+			p := newPair(t, generator.Settings{ChecksFencing: checksFencing})
 			g.Expect(p.client.Load(t.Context(), 9, "a/b@1", "a/b@1")).To(Succeed())
 			err := p.client.Unload(t.Context(), 8, adapter)
 			state, stateErr := p.client.State(t.Context())
 			g.Expect(stateErr).NotTo(HaveOccurred())
-			g.Expect(state.ChecksFencing).To(Equal(checks))
+			g.Expect(state.ChecksFencing).To(Equal(checksFencing))
 			g.Expect(state.HighestFence).To(BeEquivalentTo(9))
-			if checks {
+			if checksFencing {
 				g.Expect(errors.Is(err, orderer.ErrFenced)).To(BeTrue(), "%v", err)
 				g.Expect(errors.Is(err, orderer.ErrNotRun)).To(BeTrue(), "%v", err)
 				g.Expect(state.Adapters).To(HaveLen(2))
@@ -39,9 +39,10 @@
 	}
 }
 
-// Symptom: a caller waits two minutes for an adapter that is long resident, or
-// that will never come. Sequence: the connection of a load order goes silent. Cause:
-// a load has no heartbeat of its own; only the engine's state tells.
+// TestLoadOverSilentConnection guards against a caller that waits two minutes for an
+// adapter that is already resident, or whose load has failed. The connection of a load
+// order becomes silent. Since a load order has no heartbeats, only the state of the engine
+// shows the outcome.
 func TestLoadOverSilentConnection(t *testing.T) {
 	for _, fails := range []int{0, 1} {
 		synctest.Test(t, func(t *testing.T) {
@@ -60,17 +61,18 @@
 	}
 }
 
-// Symptom: "not run" is said of a cancelled request that ran, or "unknown" of one
-// that never did. Sequence: one request is cancelled while it runs, one while it
-// waits. Cause: only the engine knows on which side of its batch a request was.
+// TestCancelTellsWhetherItBegan guards against a canceled request that is reported as not
+// run although it ran, or as unknown although it never ran. One request is canceled while
+// it runs, one while it waits. Only the engine knows whether a request has entered its
+// batch.
 func TestCancelTellsWhetherItBegan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := newPair(t, generator.Settings{MaxBatch: 1})
 		ended := make(chan error, 2)
 		for _, request := range []string{"runs", "waits"} {
-			go func() { ended <- p.client.Generate(t.Context(), call(request), (&answer{}).take) }()
-			settle(t, 100*time.Millisecond)
+			go func() { ended <- p.client.Generate(t.Context(), call(request), (&answer{}).add) }()
+			sleep(t, 100*time.Millisecond)
 		}
 		waits, err := p.client.Cancel(t.Context(), "waits")
 		g.Expect(err).NotTo(HaveOccurred())
@@ -87,33 +89,34 @@
 	})
 }
 
-// Symptom: a long answer is cut, or begins again, when its engine leaves. Sequence:
-// its KV cache is exported in mid-stream and imported at another engine. Cause: the
-// stream's event numbers must go on where they stopped.
+// TestMoveInMidStream guards against a long answer that is truncated or restarts when its
+// engine leaves. Its KV cache is exported during the stream and imported at another
+// engine, where the event numbers of the stream must continue.
 func TestMoveInMidStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		from, to := newPair(t, generator.Settings{}), newPair(t, generator.Settings{})
 		var a answer
 		ended := make(chan error, 1)
-		go func() { ended <- from.client.Generate(t.Context(), call("r1"), a.take) }()
-		settle(t, 500*time.Millisecond)
+		go func() { ended <- from.client.Generate(t.Context(), call("r1"), a.add) }()
+		sleep(t, 500*time.Millisecond)
 		data, err := from.client.ExportKV(t.Context(), 2, "r1")
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(errors.Is(<-ended, orderer.ErrMoved)).To(BeTrue())
 		g.Expect(to.client.ImportKV(t.Context(), 2, data)).To(Succeed())
-		g.Expect(to.client.Resume(t.Context(), "r1", adapter, a.last, a.take)).To(Succeed())
-		g.Expect(a.text).To(Equal(whole))
+		g.Expect(to.client.Resume(t.Context(), "r1", adapter, a.last, a.add)).To(Succeed())
+		g.Expect(a.text).To(Equal(expectedText))
 		runs := to.engine.Record().Runs
 		g.Expect(runs[0].Imported).To(BeTrue())
 		g.Expect(runs[0].Tokens + from.engine.Record().Runs[0].Tokens).To(Equal(50))
-		err = from.client.Resume(t.Context(), "r1", adapter, a.last, a.take)
+		err = from.client.Resume(t.Context(), "r1", adapter, a.last, a.add)
 		g.Expect(errors.Is(err, orderer.ErrMoved)).To(BeTrue(), "%v", err)
 	})
 }
 
-// Symptom: prefill and decode engines each hold half of a request. Sequence: an
-// engine of the prefill role takes a request, one of the decode role imports it.
+// TestPrefillThenDecode guards against a request that is split between a prefill and a
+// decode engine and completed by neither. An engine in the prefill role accepts a request
+// and an engine in the decode role imports it.
 func TestPrefillThenDecode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -121,15 +124,15 @@
 		g.Expect(prefill.client.Role(t.Context(), 2, orderer.Prefill)).To(Succeed())
 		g.Expect(decode.client.Role(t.Context(), 2, orderer.Decode)).To(Succeed())
 		var a answer
-		go func() { _ = prefill.client.Generate(t.Context(), call("r1"), a.take) }()
-		settle(t, 10*time.Second)
+		go func() { _ = prefill.client.Generate(t.Context(), call("r1"), a.add) }()
+		sleep(t, 10*time.Second)
 		g.Expect(a.last).To(BeEquivalentTo(1))
 		data, err := prefill.client.ExportKV(t.Context(), 3, "r1")
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(decode.client.ImportKV(t.Context(), 3, data)).To(Succeed())
-		g.Expect(decode.client.Resume(t.Context(), "r1", adapter, a.last, a.take)).To(Succeed())
-		g.Expect(a.text).To(Equal(whole))
-		err = decode.client.Generate(t.Context(), call("r2"), a.take)
+		g.Expect(decode.client.Resume(t.Context(), "r1", adapter, a.last, a.add)).To(Succeed())
+		g.Expect(a.text).To(Equal(expectedText))
+		err = decode.client.Generate(t.Context(), call("r2"), a.add)
 		g.Expect(errors.Is(err, orderer.ErrNotRun)).To(BeTrue(), "%v", err)
 	})
 }
--- a/internal/protocol/orderer/outcome_test.go
+++ b/internal/protocol/orderer/outcome_test.go
@@ -19,24 +19,26 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/orderer"
 )
 
-// script is a peer that does with each connection what its fields say.
-type script struct {
+// scriptedPeer is a peer that treats each connection as its fields specify.
+type scriptedPeer struct {
 	// refuse makes connecting fail.
 	refuse bool
-	// cut is the number of bytes read before the connection is closed; -1 reads
-	// the whole request.
+	// cut is the number of bytes read before the connection is closed; -1 means that
+	// the complete request is read.
 	cut int
-	// answer is written after a whole request was read, and the connection closed.
+	// answer is written after a complete request was read, before the connection is
+	// closed.
 	answer string
 
-	dialled int
-	// took counts the bytes read over all connections, whole the requests.
-	took  int
-	whole []string
+	dials int
+	// received is the number of bytes read on connections with a cut, plus the number of
+	// complete requests; methods are the methods of the complete requests.
+	received int
+	methods  []string
 }
 
-func (s *script) dial(_ context.Context, _, _ string) (net.Conn, error) {
-	s.dialled++
+func (s *scriptedPeer) dial(_ context.Context, _, _ string) (net.Conn, error) {
+	s.dials++
 	if s.refuse {
 		return nil, errors.New("connection refused")
 	}
@@ -45,12 +47,12 @@
 	return near, nil
 }
 
-func (s *script) serve(conn net.Conn) {
+func (s *scriptedPeer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	if s.cut >= 0 {
 		_ = conn.SetReadDeadline(time.Now().Add(time.Second)) // The request may be shorter.
 		n, _ := io.ReadFull(conn, make([]byte, s.cut))
-		s.took += n
+		s.received += n
 		return
 	}
 	r, err := http.ReadRequest(bufio.NewReader(conn))
@@ -58,22 +60,22 @@
 		return
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
-	s.took++
-	s.whole = append(s.whole, r.Method)
+	s.received++
+	s.methods = append(s.methods, r.Method)
 	_, _ = io.WriteString(conn, s.answer)
 }
 
-func (s *script) settings() orderer.Settings {
+func (s *scriptedPeer) settings() orderer.Settings {
 	return orderer.Settings{Address: "127.0.0.1:1", Dial: s.dial}
 }
 
-// Symptom: a booking is told "not run" and was made, or is made twice. Sequence:
-// the connection fails at any byte of the request or of the answer, with an
-// idempotency key on the call. Cause: net/http repeats calls with such a key by
-// itself, and its errors don't tell whether a byte had left.
+// TestPropertyForwardOutcomeIsExact guards against a booking that is made although it was
+// reported as not run, or that is made twice. The connection fails at any byte of the
+// request or of the answer, and the call may have an idempotency key. By itself, net/http
+// repeats calls with such a key, and its errors don't state whether a byte was sent.
 func TestPropertyForwardOutcomeIsExact(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := &script{
+		s := &scriptedPeer{
 			refuse: rapid.Bool().Draw(rt, "refuse"),
 			cut:    rapid.OneOf(rapid.Just(-1), rapid.IntRange(0, 300)).Draw(rt, "cut"),
 			answer: rapid.SampledFrom([]string{
@@ -96,23 +98,23 @@
 			}
 			synctest.Wait()
 		})
-		ok := s.took > 0 && s.cut < 0 && strings.HasSuffix(s.answer, "0\r\n\r\n") || strings.HasSuffix(s.answer, "2\r\n\r\nok") && s.cut < 0
+		ok := s.received > 0 && s.cut < 0 && strings.HasSuffix(s.answer, "0\r\n\r\n") || strings.HasSuffix(s.answer, "2\r\n\r\nok") && s.cut < 0
 		switch {
-		case s.dialled != 1:
-			rt.Fatalf("%d connections", s.dialled)
-		case s.took == 0 && !errors.Is(err, orderer.ErrNotRun):
+		case s.dials != 1:
+			rt.Fatalf("%d connections", s.dials)
+		case s.received == 0 && !errors.Is(err, orderer.ErrNotRun):
 			rt.Fatalf("nothing arrived, yet %v", err)
-		case s.took > 0 && ok != (err == nil):
+		case s.received > 0 && ok != (err == nil):
 			rt.Fatalf("whole answer %v, yet %v", ok, err)
-		case s.took > 0 && !ok && !errors.Is(err, orderer.ErrUnknown):
-			rt.Fatalf("%d bytes arrived and no answer came, yet %v", s.took, err)
+		case s.received > 0 && !ok && !errors.Is(err, orderer.ErrUnknown):
+			rt.Fatalf("%d bytes arrived and no answer came, yet %v", s.received, err)
 		}
 	})
 }
 
-// Symptom: an engine's refusal is retried as if it might have run, or a failure as
-// if it had not. Sequence: the engine answers with each of its statuses. Cause: a
-// status tells the outcome only together with what the protocol promises of it.
+// TestEngineRefusals guards against a refusal that is treated as if the request might have
+// run, or a failure that is treated as if it had not. The engine answers with each of its
+// statuses; the outcome follows from the status only by the rules of the protocol.
 func TestEngineRefusals(t *testing.T) {
 	cases := []struct {
 		answer string
@@ -129,7 +131,7 @@
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			s := &script{cut: -1, answer: c.answer}
+			s := &scriptedPeer{cut: -1, answer: c.answer}
 			client := orderer.NewEngine(s.settings())
 			defer client.Close()
 			err := client.Load(t.Context(), 7, adapter, adapter)
@@ -137,35 +139,35 @@
 				g.Expect(errors.Is(err, kind)).To(BeTrue(), "%v for %q", err, c.answer)
 			}
 			g.Expect(errors.Is(err, orderer.ErrNotRun)).NotTo(Equal(errors.Is(err, orderer.ErrUnknown)))
-			orders := slices.DeleteFunc(s.whole, func(method string) bool { return method == http.MethodGet })
+			orders := slices.DeleteFunc(s.methods, func(method string) bool { return method == http.MethodGet })
 			g.Expect(orders).To(Equal([]string{http.MethodPost}))
 		})
 	}
 }
 
-// Symptom: a generation request runs twice. Sequence: the engine takes it in and
-// its connection breaks before a byte of the answer, again and again. Cause: only
-// questions by request id may follow the first sending.
+// TestGenerateIsSentOnce guards against a generation request that runs twice. The engine
+// receives it and its connection repeatedly breaks before a byte of the answer was sent.
+// After the first attempt only requests to resume by request id may follow.
 func TestGenerateIsSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := &script{cut: -1}
+		s := &scriptedPeer{cut: -1}
 		client := orderer.NewEngine(s.settings())
 		defer client.Close()
-		err := client.Generate(t.Context(), call("r1"), (&answer{}).take)
+		err := client.Generate(t.Context(), call("r1"), (&answer{}).add)
 		g.Expect(errors.Is(err, orderer.ErrUnknown)).To(BeTrue(), "%v", err)
-		g.Expect(s.whole).To(Equal([]string{"POST", "GET", "GET", "GET", "GET"}))
+		g.Expect(s.methods).To(Equal([]string{"POST", "GET", "GET", "GET", "GET"}))
 	})
 }
 
-// Symptom: a call given up as not run reaches the engine a moment later. Sequence:
-// the caller leaves while the connection is being made. Cause: a dialled
-// connection outlives the call that asked for it.
+// TestCallerLeavesWhileConnecting guards against a call that was reported as not run and
+// reaches the engine afterwards. The caller cancels while the connection is being opened,
+// and the dialed connection outlives the call that requested it.
 func TestCallerLeavesWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ready := make(chan struct{})
-		s := &script{cut: -1}
+		s := &scriptedPeer{cut: -1}
 		settings := s.settings()
 		settings.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			<-ready
@@ -178,18 +180,18 @@
 			synctest.Wait()
 			cancel()
 		}()
-		err := client.Generate(ctx, call("r1"), (&answer{}).take)
+		err := client.Generate(ctx, call("r1"), (&answer{}).add)
 		g.Expect(errors.Is(err, orderer.ErrNotRun)).To(BeTrue(), "%v", err)
 		g.Expect(errors.Is(err, context.Canceled)).To(BeTrue(), "%v", err)
 		close(ready)
 		synctest.Wait()
-		g.Expect(s.took).To(BeZero())
+		g.Expect(s.received).To(BeZero())
 	})
 }
 
-// Symptom: a chain-of-title review runs twice though its caller asked once.
-// Sequence: a pooled connection takes the request in and dies. Cause: net/http
-// sends a request with an Idempotency-Key again by itself on a new connection.
+// TestDyingReusedConnectionRepeatsNothing guards against a request that runs twice although
+// its caller sent it once. A pooled connection receives the request and breaks, and by
+// itself net/http resends a request with an Idempotency-Key on a new connection.
 func TestDyingReusedConnectionRepeatsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/protocol/orderer/recorder.go
+++ b/internal/protocol/orderer/recorder.go
@@ -10,15 +10,14 @@
 
 const errSealed = errors.ConstError("connection sealed: its call was given up")
 
-// recorder is a connection that knows whether a byte of the present request was
-// handed to it.
+// sealableConn is a connection that records whether a byte of the current request was
+// written to it.
 //
-// Without it the outcome of a call that is given up stays doubtful: net/http
-// returns from a cancelled call while its own goroutine may still be about to
-// write the request. A caller told "not run" would then meet a request that runs
-// a moment later. Sealing settles it: after seal returned false, no byte of the
-// request can reach the connection any more.
-type recorder struct {
+// Otherwise the outcome of a canceled call would be uncertain: net/http returns from a
+// canceled call while its own goroutine may still be about to write the request, and a
+// request that was reported as not run could run afterwards. After seal has returned
+// false, no byte of the request can be written to the connection any more.
+type sealableConn struct {
 	net.Conn
 
 	mu     sync.Mutex
@@ -26,8 +25,9 @@
 	sealed bool // guarded by mu
 }
 
-// Write notes that a byte may have left, and refuses once the recorder is sealed.
-func (r *recorder) Write(data []byte) (int, error) {
+// Write records that a byte may have been sent and writes data to the connection. It
+// returns errSealed if the connection is sealed.
+func (r *sealableConn) Write(data []byte) (int, error) {
 	r.mu.Lock()
 	if r.sealed {
 		r.mu.Unlock()
@@ -38,44 +38,44 @@
 	r.mu.Unlock()
 	n, err := r.Conn.Write(data)
 	if first && n == 0 && err != nil {
-		// The system took nothing, as on a connection that the peer reset. A seal
-		// that came in between has answered "may have left", which is only careful.
-		r.begin()
+		// Nothing was written, for example because the peer has reset the connection. A
+		// concurrent seal may have returned true, which is the safe answer.
+		r.startRequest()
 	}
 	return n, err
 }
 
-// begin starts the record of a new request on the connection.
-func (r *recorder) begin() {
+// startRequest marks the start of a new request on the connection.
+func (r *sealableConn) startRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wrote = false
 }
 
-// seal ends all writing and returns whether a byte of the present request was
-// handed to the connection before.
-func (r *recorder) seal() bool {
+// seal makes all further writes fail and reports whether a byte of the current request
+// was written before.
+func (r *sealableConn) seal() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sealed = true
 	return r.wrote
 }
 
-// attempts gathers the connections that one call was given. There is more than
-// one only where net/http itself repeats a call on a pooled connection.
-type attempts struct {
+// connSet collects the connections that one call has used. There is more than one only if
+// net/http repeats a call on a pooled connection.
+type connSet struct {
 	mu    sync.Mutex
-	conns []*recorder // guarded by mu
+	conns []*sealableConn // guarded by mu
 }
 
-func (a *attempts) trace() *httptrace.ClientTrace {
+func (a *connSet) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			r, ok := info.Conn.(*recorder)
+			r, ok := info.Conn.(*sealableConn)
 			if !ok {
 				panic("orderer: connection not made by the package's dialer")
 			}
-			r.begin()
+			r.startRequest()
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			a.conns = append(a.conns, r)
@@ -83,9 +83,9 @@
 	}
 }
 
-// seal seals all connections of the call and returns whether any of them was
-// handed a byte of it.
-func (a *attempts) seal() bool {
+// seal seals all connections of the call and reports whether a byte of the call was
+// written to any of them.
+func (a *connSet) seal() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	wrote := false
--- a/internal/protocol/orderer/recorder_test.go
+++ b/internal/protocol/orderer/recorder_test.go
@@ -9,14 +9,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// Symptom: "not run" is said of a call whose bytes leave afterwards. Sequence: one
-// goroutine gives the call up while another is about to write it. Cause: looking
-// at what was written is not enough; the look must also end all writing.
+// TestSealDecidesAgainstWrite guards against a call that is reported as not run although
+// its bytes are written afterwards. One goroutine cancels the call while another is about
+// to write it, so the check whether anything was written must also prevent later writes.
 func TestSealDecidesAgainstWrite(t *testing.T) {
 	g := NewWithT(t)
 	for range 2000 {
 		near, far := net.Pipe()
-		r := &recorder{Conn: near}
+		r := &sealableConn{Conn: near}
 		var wrote bool
 		var arrived int64
 		var all sync.WaitGroup
--- a/internal/protocol/orderer/service.go
+++ b/internal/protocol/orderer/service.go
@@ -13,48 +13,47 @@
 
 // Service is the client of one plain service.
 type Service struct {
-	caller *caller
+	client *client
 }
 
 // ServiceCall is one request to a plain service.
 type ServiceCall struct {
-	// Request is the request id, passed on as X-Request-Id.
+	// Request is the request id, sent as X-Request-Id.
 	Request string
 	Method  string
-	// Target is the path with its query, as it goes onto the request line.
+	// Target is the path with its query, as in the request line.
 	Target string
-	// Header is passed on without its hop-by-hop fields. It is not changed.
+	// Header is forwarded without its hop-by-hop fields. It is not modified.
 	Header http.Header
 	Body   []byte
-	// Idempotent allows the call to be sent again when a reused connection dies.
+	// Idempotent allows the call to be resent if a reused connection breaks.
 	Idempotent bool
 }
 
-// ServiceAnswer is the answer of a plain service. Whatever its status, it is the
-// service's own: only the service knows whether a refusal of its came before or
-// after the work.
+// ServiceAnswer is the answer of a plain service, of any status. Only the service knows
+// whether it refused the request before or after the work.
 type ServiceAnswer struct {
 	Status int
-	// Header has no hop-by-hop fields.
+	// Header contains no hop-by-hop fields.
 	Header http.Header
-	// Body must be closed. Its read errors match ErrUnknown.
+	// Body must be closed by the receiver. Its read errors match ErrUnknown.
 	Body io.ReadCloser
 }
 
-// NewService returns a client for the plain service at s.Address. It connects
-// only when called. It panics if the address is empty.
+// NewService returns a client for the plain service at s.Address. It opens no connection
+// before the first call. It panics if the address is empty.
 func NewService(s Settings) *Service {
-	return &Service{caller: newCaller(s)}
+	return &Service{client: newClient(s)}
 }
 
-// Close closes the idle connections. Calls in progress go on.
-func (s *Service) Close() { s.caller.Close() }
+// Close closes the idle connections. Calls in progress continue.
+func (s *Service) Close() { s.client.Close() }
 
-// Forward sends the call and returns the answer once its header is in. A call
-// that is not idempotent is sent at most once, on a connection of its own. The
-// context bounds the reading of the body too. Errors match ErrNotRun or ErrUnknown.
+// Forward sends the call and returns the answer as soon as its header has been received.
+// A call that is not idempotent is sent at most once, on a new connection. The context
+// also applies to reading the body. Errors match ErrNotRun or ErrUnknown.
 func (s *Service) Forward(ctx context.Context, c ServiceCall) (*ServiceAnswer, error) {
-	r, err := http.NewRequestWithContext(ctx, c.Method, s.caller.url(c.Target), bytes.NewReader(c.Body))
+	r, err := http.NewRequestWithContext(ctx, c.Method, s.client.url(c.Target), bytes.NewReader(c.Body))
 	if err != nil {
 		return nil, &Error{Cause: err}
 	}
@@ -64,11 +63,11 @@
 	copyEndToEnd(r.Header, c.Header)
 	r.Header.Set(HeaderRequest, c.Request)
 	if r.Header.Get(headerUserAgent) == "" {
-		r.Header.Set(headerUserAgent, "") // Keeps net/http from adding its own.
+		r.Header.Set(headerUserAgent, "") // Prevents net/http from adding a default.
 	}
-	exchange := s.caller.once
+	exchange := s.client.sendOnce
 	if c.Idempotent {
-		exchange = s.caller.repeatable
+		exchange = s.client.sendRepeatable
 	}
 	answer, err := exchange(r) //nolint:bodyclose // The receiver of the answer closes it.
 	if err != nil {
@@ -79,12 +78,13 @@
 	return &ServiceAnswer{Status: answer.StatusCode, Header: header, Body: &serviceBody{answer.Body}}, nil
 }
 
-// serviceBody marks read errors as outcome unknown: the service did begin.
+// serviceBody converts read errors to errors that match ErrUnknown, since the service has
+// begun the request.
 type serviceBody struct {
 	io.ReadCloser
 }
 
-// Read reads from the answer.
+// Read reads from the body of the answer.
 func (b *serviceBody) Read(data []byte) (int, error) {
 	n, err := b.ReadCloser.Read(data)
 	if err != nil && !errors.Is(err, io.EOF) {
--- a/internal/protocol/orderer/stream_test.go
+++ b/internal/protocol/orderer/stream_test.go
@@ -17,16 +17,16 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/orderer"
 )
 
-// token is the numbered event of a scripted stream.
-func token(number int, model string) string {
+// tokenEvent returns the event with the given number of a scripted stream.
+func tokenEvent(number int, model string) string {
 	return fmt.Sprintf("id: %d\ndata: {\"model\":%q,\"choices\":[{\"text\":\"<%d>\"}]}\n\n", number, model, number)
 }
 
-func done(number int) string { return fmt.Sprintf("id: %d\ndata: [DONE]\n\n", number) }
+func doneEvent(number int) string { return fmt.Sprintf("id: %d\ndata: [DONE]\n\n", number) }
 
-// playing returns settings with a peer that answers each further connection with
-// the next of the streams, each from the incarnation its first word names.
-func playing(streams ...string) orderer.Settings {
+// scriptedSettings returns settings with a peer that answers each connection with the next
+// of the streams. The first word of a stream is the incarnation of the engine.
+func scriptedSettings(streams ...string) orderer.Settings {
 	next := 0
 	return orderer.Settings{Address: "127.0.0.1:1", Dial: func(context.Context, string, string) (net.Conn, error) {
 		if next == len(streams) {
@@ -46,24 +46,25 @@
 	}}
 }
 
-// Symptom: an answer has a piece twice, lacks one, is another adapter's, or ends
-// early and passes for whole. Sequence: pieces come doubled, too far ahead, cut in
-// the middle of a line, or from an engine that restarted. Cause: each piece must be
-// the next one of the same answer, and only its end mark ends it.
+// TestStreamsThatGoWrong guards against an answer with a duplicate or missing piece, with
+// pieces of another adapter, or that ends early and is reported as complete. Pieces
+// arrive twice, too early, truncated in the middle of a line, or from an engine that has
+// restarted. Each piece must be the next one of the same answer, and only the done mark
+// ends the answer.
 func TestStreamsThatGoWrong(t *testing.T) {
-	one, two, three := token(1, adapter), token(2, adapter), token(3, adapter)
+	one, two, three := tokenEvent(1, adapter), tokenEvent(2, adapter), tokenEvent(3, adapter)
 	cases := map[string]struct {
 		streams []string
 		text    string
 		kind    error
 	}{
-		"doubled":            {[]string{"i " + one + one + two + done(3)}, "<1><2>", nil},
-		"heartbeats":         {[]string{"i : ping\n\n" + one + ": ping\n\n" + done(2)}, "<1>", nil},
-		"gap asked after":    {[]string{"i " + one + three, "i " + two + three + done(4)}, "<1><2><3>", nil},
-		"cut in a line":      {[]string{"i " + one + two[:30], "i " + two + done(3)}, "<1><2>", nil},
-		"cut after a line":   {[]string{"i " + one + strings.TrimSuffix(done(2), "\n"), "i " + two + done(3)}, "<1><2>", nil},
-		"other adapter":      {[]string{"i " + one + token(2, "titles/chain@2")}, "<1>", orderer.ErrWrongModel},
-		"other incarnation":  {[]string{"i " + one, "j " + two + done(3)}, "<1>", orderer.ErrRequestNotFound},
+		"doubled":            {[]string{"i " + one + one + two + doneEvent(3)}, "<1><2>", nil},
+		"heartbeats":         {[]string{"i : ping\n\n" + one + ": ping\n\n" + doneEvent(2)}, "<1>", nil},
+		"gap resumed":        {[]string{"i " + one + three, "i " + two + three + doneEvent(4)}, "<1><2><3>", nil},
+		"cut in a line":      {[]string{"i " + one + two[:30], "i " + two + doneEvent(3)}, "<1><2>", nil},
+		"cut after a line":   {[]string{"i " + one + strings.TrimSuffix(doneEvent(2), "\n"), "i " + two + doneEvent(3)}, "<1><2>", nil},
+		"other adapter":      {[]string{"i " + one + tokenEvent(2, "titles/chain@2")}, "<1>", orderer.ErrWrongModel},
+		"other incarnation":  {[]string{"i " + one, "j " + two + doneEvent(3)}, "<1>", orderer.ErrRequestNotFound},
 		"error in the end":   {[]string{"i " + one + "id: 2\ndata: {\"error\":{\"type\":\"x\"}}\n\n"}, "<1>", orderer.ErrUnknown},
 		"no end, no engine":  {[]string{"i " + one}, "<1>", orderer.ErrUnknown},
 		"event without end":  {[]string{"i id: 1\ndata: " + strings.Repeat("x", 2<<20)}, "", orderer.ErrUnknown},
@@ -74,10 +75,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				client := orderer.NewEngine(playing(c.streams...))
+				client := orderer.NewEngine(scriptedSettings(c.streams...))
 				defer client.Close()
 				var a answer
-				err := client.Generate(t.Context(), call("r1"), a.take)
+				err := client.Generate(t.Context(), call("r1"), a.add)
 				g.Expect(a.text).To(Equal(c.text))
 				g.Expect(a.done).To(Equal(c.kind == nil))
 				if c.kind == nil {
--- a/internal/protocol/orderer/suite_test.go
+++ b/internal/protocol/orderer/suite_test.go
@@ -24,21 +24,21 @@
 	RunSpecs(t, "orderer")
 }
 
-// memory is a listener whose connections are pipes, so that time in a synctest
-// bubble stands still only while something really works.
-type memory struct {
+// pipeListener is a listener whose connections are pipes, so that goroutines waiting on
+// them are durably blocked in a synctest bubble and its time can advance.
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
-	// refusing makes connecting fail, as at a host whose engine is down.
+	// refusing makes dialing fail, as on a host whose engine has stopped.
 	refusing atomic.Bool
 }
 
-func newMemory() *memory {
-	return &memory{conns: make(chan net.Conn), closed: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (m *memory) Accept() (net.Conn, error) {
+func (m *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-m.conns:
 		return c, nil
@@ -47,14 +47,14 @@
 	}
 }
 
-func (m *memory) Close() error {
+func (m *pipeListener) Close() error {
 	m.once.Do(func() { close(m.closed) })
 	return nil
 }
 
-func (m *memory) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
+func (m *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
 
-func (m *memory) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (m *pipeListener) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	if m.refusing.Load() {
 		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	}
@@ -71,19 +71,19 @@
 
 const adapter = "titles/chain@3"
 
-// pair is an engine and a client of it.
+// pair is an engine and a client connected to it.
 type pair struct {
-	engine *generator.Engine
-	client *orderer.Engine
-	lines  *memory
+	engine   *generator.Engine
+	client   *orderer.Engine
+	listener *pipeListener
 }
 
 // newPair starts an engine on which adapter is resident.
 func newPair(t *testing.T, s generator.Settings) pair {
 	t.Helper()
-	p := pair{engine: generator.NewEngine(s), lines: newMemory()}
-	p.engine.Serve(p.lines)
-	p.client = orderer.NewEngine(orderer.Settings{Address: "127.0.0.1:1", Dial: p.lines.Dial})
+	p := pair{engine: generator.NewEngine(s), listener: newPipeListener()}
+	p.engine.Serve(p.listener)
+	p.client = orderer.NewEngine(orderer.Settings{Address: "127.0.0.1:1", Dial: p.listener.Dial})
 	t.Cleanup(func() {
 		p.client.Close()
 		_ = p.engine.Close()
@@ -92,7 +92,7 @@
 	return p
 }
 
-// answer gathers the pieces of one answer.
+// answer collects the pieces of one answer.
 type answer struct {
 	text  string
 	last  int64
@@ -100,7 +100,7 @@
 	usage *orderer.Usage
 }
 
-func (a *answer) take(p orderer.Piece) error {
+func (a *answer) add(p orderer.Piece) error {
 	a.text += p.Text
 	a.last = p.Number
 	a.done = a.done || p.Done
@@ -114,10 +114,10 @@
 	return orderer.Call{Request: request, Model: adapter, Body: []byte(`{"prompt":"who owns it","max_tokens":50}`)}
 }
 
-var whole = generator.Expected(adapter, "who owns it", 50)
+var expectedText = generator.Expected(adapter, "who owns it", 50)
 
-// settle lets time pass in a synctest bubble.
-func settle(t *testing.T, length time.Duration) {
+// sleep advances the time of a synctest bubble by length.
+func sleep(t *testing.T, length time.Duration) {
 	t.Helper()
 	<-time.After(length)
 }
--- a/internal/protocol/orderer/wire.go
+++ b/internal/protocol/orderer/wire.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Paths of the engine protocol. Those marked vLLM are published by vLLM or
-// OpenAI, the others are this project's own.
+// Paths of the engine protocol. Those marked vLLM are published by vLLM or OpenAI, the
+// others are specific to this project.
 const (
 	PathCompletions     = "/v1/completions"         // vLLM
 	PathChatCompletions = "/v1/chat/completions"    // vLLM
@@ -20,39 +20,42 @@
 	PathCacheEvents     = "/v1/cache/events"
 )
 
-// CancelSuffix follows a request id under PathStreams to cancel that request.
+// CancelSuffix is the path suffix after PathStreams and a request id that cancels the
+// request.
 const CancelSuffix = "/cancel"
 
 // Query parameters of the engine protocol.
 const (
-	// QueryStartingAfter is the number of the last stream event that was received.
+	// QueryStartingAfter carries the number of the last stream event received.
 	QueryStartingAfter = "starting_after"
-	// QueryAfter is the number of the last cache event or record entry received.
+	// QueryAfter carries the number of the last cache event or record entry received.
 	QueryAfter = "after"
 )
 
 // Headers of the engine protocol.
 const (
-	// HeaderRequest carries the request id both ways.
+	// HeaderRequest carries the request id in requests and answers.
 	HeaderRequest = "X-Request-Id"
 	// HeaderFence carries the fencing number of an order in decimal.
 	HeaderFence = "Fencing-Number"
-	// HeaderIncarnation names, on every answer of an engine, its present incarnation.
+	// HeaderIncarnation carries the current incarnation in every answer of an engine.
 	HeaderIncarnation = "Engine-Incarnation"
-	// HeaderIdempotencyKey carries the at-most-once identity of a call.
+	// HeaderIdempotencyKey carries the idempotency key of a call.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// DoneMark is the data of the event that ends a whole stream.
+// DoneMark is the data of the event that ends a complete stream.
 const DoneMark = "[DONE]"
 
 // AdapterOrder is the body of a load or an unload order, as vLLM publishes it.
 type AdapterOrder struct {
 	// Name is the name by which generation calls address the adapter.
 	Name string `json:"lora_name"`
-	// Path tells the engine where to fetch the weights. It is empty on an unload.
+	// Path is the location from which the engine loads the weights. It is empty in an
+	// unload order.
 	Path string `json:"lora_path,omitempty"`
-	// InPlace asks to replace the weights of a resident adapter of that name.
+	// InPlace requests that the weights of a resident adapter of the same name be
+	// replaced.
 	InPlace bool `json:"load_inplace,omitempty"`
 }
 
@@ -66,23 +69,23 @@
 	Request string `json:"request_id"`
 }
 
-// EngineState is what an engine says of itself. It is exact at the moment of the
-// answer, unlike LoadReport.
+// EngineState is the state that an engine reports. Unlike LoadReport, it is exact at the
+// time of the answer.
 type EngineState struct {
-	// Incarnation is drawn anew each time the engine starts.
+	// Incarnation is an id that the engine generates each time it starts.
 	Incarnation string
 	BaseModel   string
-	// Slots is the number of adapters that fit. len(Adapters) never exceeds it.
+	// Slots is the number of adapter slots. It is never less than len(Adapters).
 	Slots    int
 	MaxBatch int
-	// BlockTokens is the number of tokens in one block of the prefix cache.
+	// BlockTokens is the number of tokens per block of the prefix cache.
 	BlockTokens   int
 	Adapters      []AdapterState
 	Running       int
 	Waiting       int
 	ChecksFencing bool
 	Role          Role
-	// HighestFence is the highest fencing number seen in this incarnation.
+	// HighestFence is the highest fencing number received in this incarnation.
 	HighestFence uint64
 }
 
@@ -91,52 +94,52 @@
 	Name  string
 	Path  string
 	Phase AdapterPhase
-	// InUse counts the accepted requests that name the adapter.
+	// InUse is the number of accepted requests that use the adapter.
 	InUse int
 }
 
-// LoadReport is an engine's report of its load. It lags: Measured tells the
-// moment it was true, by the engine's clock.
+// LoadReport is the load of an engine. It lags behind the actual load: Measured is the
+// time of the measurement by the engine's clock.
 type LoadReport struct {
 	Incarnation string
 	Measured    time.Time
-	// Age is the age of the report at the moment of the answer, by the engine's
-	// clock, so that a reader needs no synchronised clock.
+	// Age is the age of the report at the time of the answer by the engine's clock, so
+	// that the receiver needs no synchronized clock.
 	Age       time.Duration
 	Running   int
 	Waiting   int
 	MaxBatch  int
 	SlotsFree int
-	// Steps counts the steps of the batch since the engine started.
+	// Steps is the number of batch steps since the engine started.
 	Steps int64
-	// SequenceSteps counts the sequences summed over those steps. Divided by
-	// Steps × MaxBatch it gives the mean fill of the batch.
+	// SequenceSteps is the sum over these steps of the number of sequences in the
+	// batch. Divided by Steps × MaxBatch it is the mean batch utilization.
 	SequenceSteps int64
 }
 
-// CacheEvent tells of blocks that entered or left an engine's prefix cache.
+// CacheEvent is a change to blocks of the prefix cache of an engine.
 type CacheEvent struct {
-	// Number rises by one for each event. A number that is missing was lost.
+	// Number increases by one with each event. A missing number means a lost event.
 	Number int64
 	Kind   CacheEventKind
 	Model  string
-	// Hashes are the values of BlockHashes for the blocks concerned.
+	// Hashes are the values of BlockHashes for the blocks.
 	Hashes []uint64
 }
 
-// CacheEvents is a run of an engine's cache events in rising order of Number.
+// CacheEvents is a sequence of cache events of an engine in ascending order of Number.
 type CacheEvents struct {
 	Incarnation string
 	Events      []CacheEvent
 }
 
-// Cancellation is an engine's answer to a cancel order.
+// Cancellation is the answer of an engine to a cancel order.
 type Cancellation struct {
-	// Known tells whether the engine knows of the request at all.
+	// Known reports whether the engine knows the request.
 	Known bool
-	// Began tells whether the request ever reached the batch. A request that is
-	// cancelled before it began never runs.
+	// Began reports whether the request has entered the batch. A request that is
+	// canceled before it began never runs.
 	Began bool
-	// Ended tells whether the request had ended before the cancel order came.
+	// Ended reports whether the request had ended before the cancel order arrived.
 	Ended bool
 }
