--- a/internal/protocol/translator/completion.go
+++ b/internal/protocol/translator/completion.go
@@ -13,20 +13,22 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/messenger"
 )
 
-// Bounds and estimates of a completion.
+// Limits and estimates of a completion.
 const (
-	// MaxAnswerTokens is the largest max_tokens taken.
+	// MaxAnswerTokens is the largest accepted value of max_tokens.
 	MaxAnswerTokens = 1 << 20
-	// MaxMessages is the largest number of messages taken.
+	// MaxMessages is the largest accepted number of messages.
 	MaxMessages = 4096
-	// DefaultAnswerTokens is the estimate of an answer without max_tokens.
+	// DefaultAnswerTokens is the estimated number of tokens of an answer if the request
+	// has no max_tokens.
 	DefaultAnswerTokens = 256
 	// bytesPerToken is the mean length of a token in ordinary text.
 	bytesPerToken = 4
-	// prefixBytes is the part of a prompt that the prefix hash is made of.
-	// Prompts with the same system message agree on it.
+	// prefixBytes is the length of the beginning of a prompt that the prefix hash
+	// covers. Prompts with the same system message usually have it in common.
 	prefixBytes = 1024
-	// highestPriority is first; engines take the lowest number first.
+	// highestPriority is the priority that runs first. Engines run the lowest number
+	// first.
 	highestPriority = 9
 )
 
@@ -36,16 +38,15 @@
 	PathCompletion = "/v1/completions"
 )
 
-// Names of fields that the entry sets.
+// Names of the fields that the entry sets.
 const (
 	fieldModel    = "model"
 	fieldPriority = "priority"
 )
 
-// fields is a JSON object whose values stay undecoded, so that what this package
-// knows nothing of reaches the engine as the caller wrote it. Of a name that
-// stands twice the last holds, for this package and, since the object is written
-// anew, for the engine too.
+// fields is a JSON object whose values are not decoded, so that unknown fields reach the
+// engine exactly as the caller wrote them. If a name occurs twice, the last value counts
+// for this package and, since the object is encoded again, for the engine too.
 type fields map[string]json.RawMessage
 
 // Completion is a parsed chat or completion request.
@@ -53,17 +54,17 @@
 	Kind   messenger.CallKind
 	Model  ModelName
 	Stream bool
-	// MaxTokens is the most tokens that the answer may have; 0 means not told.
+	// MaxTokens is the maximum number of tokens of the answer; 0 means unspecified.
 	MaxTokens int64
-	// PromptTokens is the estimated length of the prompt.
+	// PromptTokens is the estimated number of tokens of the prompt.
 	PromptTokens int64
-	// Prefix is a hash of the prompt's beginning.
+	// Prefix is a hash of the beginning of the prompt.
 	Prefix uint64
 
 	fields fields
 }
 
-// Tokens returns the estimate of prompt and answer together.
+// Tokens returns the estimated number of tokens of prompt and answer together.
 func (c *Completion) Tokens() int64 {
 	if c.MaxTokens > 0 {
 		return c.PromptTokens + c.MaxTokens
@@ -71,7 +72,7 @@
 	return c.PromptTokens + DefaultAnswerTokens
 }
 
-// Path returns the engine's path.
+// Path returns the path of the request at the engine.
 func (c *Completion) Path() string {
 	if c.Kind == messenger.CallKindChat {
 		return PathChat
@@ -79,7 +80,8 @@
 	return PathCompletion
 }
 
-// ParseCompletion reads the body of a chat or completion request.
+// ParseCompletion parses the body of a chat or completion request. Use Malformed to
+// convert its error to a Fault.
 func ParseCompletion(kind messenger.CallKind, body []byte) (*Completion, error) {
 	c := &Completion{Kind: kind}
 	if err := json.Unmarshal(body, &c.fields); err != nil {
@@ -112,7 +114,7 @@
 	return c, nil
 }
 
-// decode reads a field into v, and leaves v where the field is missing or null.
+// decode decodes a field into v. It leaves v unchanged if the field is missing or null.
 func (f fields) decode(name string, v any) error {
 	raw, ok := f[name]
 	if !ok {
@@ -124,8 +126,10 @@
 	return nil
 }
 
+// maxTokens returns the larger of max_tokens and max_completion_tokens, or 0 if neither is
+// set.
 func (f fields) maxTokens() (int64, error) {
-	most := int64(0)
+	largest := int64(0)
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		var n *float64
 		if err := f.decode(name, &n); err != nil {
@@ -137,15 +141,15 @@
 		if *n < 1 || *n > MaxAnswerTokens || *n != math.Trunc(*n) {
 			return 0, errors.NotValidf("%s %v, which is no whole number from 1 to %d,", name, *n, MaxAnswerTokens)
 		}
-		most = max(most, int64(*n))
+		largest = max(largest, int64(*n))
 	}
-	return most, nil
+	return largest, nil
 }
 
-// prompt returns the bytes that stand for the prompt in estimates: its JSON.
+// prompt returns the JSON encoding of the prompt, on which the estimates are based.
 func (c *Completion) prompt() ([]byte, error) {
 	if c.Kind == messenger.CallKindChat {
-		return c.fields.messages()
+		return c.fields.checkedMessages()
 	}
 	raw := bytes.TrimSpace(c.fields["prompt"])
 	if len(raw) == 0 || raw[0] != '"' && raw[0] != '[' {
@@ -154,12 +158,13 @@
 	return raw, nil
 }
 
-// message is what is checked of a chat message.
+// message contains the fields of a chat message that are checked.
 type message struct {
 	Role string `json:"role"`
 }
 
-func (f fields) messages() ([]byte, error) {
+// checkedMessages returns the JSON encoding of the messages after checking them.
+func (f fields) checkedMessages() ([]byte, error) {
 	var list []message
 	if err := f.decode("messages", &list); err != nil {
 		return nil, err
@@ -175,8 +180,8 @@
 	return f["messages"], nil
 }
 
-// EngineBody returns the body for the engine: the caller's, with the version in
-// full as the model, and the priority in the engine's order.
+// EngineBody returns the request body for the engine: the body of the caller with the full
+// version name as model, and with the priority converted to the order of the engine.
 func (c *Completion) EngineBody(version string, priority int) ([]byte, error) {
 	model, err := json.Marshal(version)
 	if err != nil {
@@ -184,8 +189,8 @@
 	}
 	out := make(fields, len(c.fields)+2)
 	for name, raw := range c.fields {
-		// An engine that reads names without regard to case must not find a second
-		// model under another spelling.
+		// An engine that ignores the case of names must not find a second model under
+		// another spelling.
 		if !strings.EqualFold(name, fieldModel) && !strings.EqualFold(name, fieldPriority) {
 			out[name] = raw
 		}
--- a/internal/protocol/translator/doc.go
+++ b/internal/protocol/translator/doc.go
@@ -1,14 +1,13 @@
-// Package translator turns a caller's HTTP into typed calls, and outcomes into
-// what a caller reads.
+// Package translator converts HTTP requests of callers to typed calls, and outcomes to
+// HTTP answers.
 //
-// The shapes are OpenAI's published ones, so that its client libraries work
-// unchanged: field names are theirs, errors have their form with an outcome
-// added. Fields of a request that this package doesn't know are passed on to
-// the engine as they came. The headers of this project begin with
-// Marigoldpoint-.
+// The formats are those published by OpenAI, so that its client libraries work unchanged:
+// field names are the same, and errors have the same format with an outcome added.
+// Request fields that this package doesn't know are forwarded to the engine unchanged.
+// The headers of this project begin with Marigoldpoint-.
 //
-// Parsing is strict where a mistake could have another version answer, or a call
-// run that its caller didn't mean: the model's name, the numbers that bound the
-// answer, and the deadline. All of it runs before a call is admitted, so that
-// every error of this package means NotRun.
+// Parsing is strict where a mistake could cause another version to answer or an unintended
+// call to run: for the model name, the numbers that limit the answer, and the deadline.
+// Requests are parsed before they are admitted, so every error of this package means
+// NotRun.
 package translator
--- a/internal/protocol/translator/fault.go
+++ b/internal/protocol/translator/fault.go
@@ -16,7 +16,7 @@
 // Code is the machine-readable cause of an error.
 type Code string
 
-// The codes. docs/CALLERS.md says what a caller does about each.
+// The codes. docs/CALLERS.md describes how callers should handle each.
 const (
 	CodeInvalidKey       Code = "invalid_api_key"
 	CodeInvalidRequest   Code = "invalid_request"
@@ -51,7 +51,7 @@
 	CodeCancelled        Code = "cancelled"
 )
 
-// Type is OpenAI's coarse class of an error.
+// Type is the class of an error as defined by OpenAI.
 type Type string
 
 // The types.
@@ -62,31 +62,33 @@
 	TypeServer         Type = "server_error"
 )
 
-// Fault is an error as the caller reads it.
+// Fault is an error that is sent to the caller.
 type Fault struct {
 	Status  int
 	Code    Code
 	Message string
-	// Param names the field of the request at fault; it may be empty.
+	// Param is the name of the invalid field of the request; it may be empty.
 	Param   string
 	Outcome messenger.Outcome
-	// Undecided tells that the outcome is unknown only since nobody could be asked whether
-	// the request's idempotency key has run before: this sending has not.
+	// KeyUndecided means that this attempt has not run, and that the outcome is unknown
+	// only because it could not be determined whether a request with the same
+	// idempotency key has run before.
 	KeyUndecided bool
-	// RetryAfter tells when to come back; 0 means that it is not told.
+	// RetryAfter is the time to wait before the next attempt; 0 means unspecified.
 	RetryAfter time.Duration
 }
 
-// NewFault returns a fault of a request that did not run.
+// NewFault returns a fault of a request that has not run. The message is formatted as by
+// fmt.Sprintf.
 func NewFault(status int, code Code, format string, args ...any) *Fault {
 	return &Fault{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Outcome: messenger.OutcomeNotRun}
 }
 
-// Error returns the code and message.
+// Error returns the code and the message.
 func (f *Fault) Error() string { return string(f.Code) + ": " + f.Message }
 
-// Inherent reports whether the request itself is at fault: it would be refused by any
-// entry at any time, and so has never run.
+// AlwaysRefused reports whether the request itself is invalid. Every entry would refuse
+// it at any time, so it has never run.
 func (f *Fault) AlwaysRefused() bool {
 	switch f.Status {
 	case http.StatusBadRequest, http.StatusMethodNotAllowed, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity,
@@ -97,7 +99,7 @@
 	}
 }
 
-// Type returns the class that belongs to the status.
+// Type returns the error class of the status.
 func (f *Fault) Type() Type {
 	switch {
 	case f.Status == http.StatusUnauthorized:
@@ -111,7 +113,7 @@
 	}
 }
 
-// errorBody is OpenAI's shape, with the outcome added.
+// errorBody is an error in the format of OpenAI, with the outcome added.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -125,7 +127,8 @@
 	Request string  `json:"request,omitempty"`
 }
 
-// Body returns the fault in OpenAI's shape.
+// Body returns the fault encoded in the format of OpenAI. The parameter request is the
+// request id, which may be empty.
 func (f *Fault) Body(request string) []byte {
 	d := errorDetail{Message: f.Message, Type: f.Type(), Code: f.Code, Outcome: f.Outcome.String(), Request: request}
 	if f.Param != "" {
@@ -138,12 +141,13 @@
 	return data
 }
 
-// Event returns the fault as the last event of a stream.
+// Event returns the fault encoded as the last event of a stream.
 func (f *Fault) Event(request string) []byte {
 	return fmt.Appendf(nil, "event: error\ndata: %s\n\n", f.Body(request))
 }
 
-// Write answers a request that has not been answered yet.
+// Write sends the fault as the answer to a request. No part of the answer may have been
+// written before.
 func (f *Fault) Write(w http.ResponseWriter, request string) {
 	h := w.Header()
 	h.Set(HeaderContentType, "application/json")
@@ -153,7 +157,7 @@
 		h.Set(HeaderRetryAfter, strconv.Itoa(int(math.Ceil(f.RetryAfter.Seconds()))))
 		h.Set(HeaderRetryAfterMillis, strconv.FormatInt(f.RetryAfter.Milliseconds(), 10))
 	}
-	h.Set(HeaderShouldRetry, strconv.FormatBool(f.repeatable()))
+	h.Set(HeaderShouldRetry, strconv.FormatBool(f.mayRetry()))
 	if f.Status == http.StatusUnauthorized {
 		h.Set("WWW-Authenticate", "Bearer")
 	}
@@ -161,10 +165,10 @@
 	w.Write(append(f.Body(request), '\n'))
 }
 
-// repeatable tells a client library whether to send the request again by
-// itself. Without it OpenAI's libraries repeat whatever has a status of 409, 429
-// or 500 and more, also a request that may have run.
-func (f *Fault) repeatable() bool {
+// mayRetry reports whether a client library may retry the request automatically. Without
+// this information the libraries of OpenAI retry every request that is answered with
+// status 409, 429 or at least 500, even one that may have run.
+func (f *Fault) mayRetry() bool {
 	switch f.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return f.Outcome == messenger.OutcomeNotRun || f.KeyUndecided
@@ -173,7 +177,7 @@
 	}
 }
 
-// Malformed returns the fault for an error of this package's parsing.
+// Malformed returns the fault for a parsing error of this package.
 func Malformed(err error) *Fault {
 	return NewFault(http.StatusBadRequest, CodeInvalidRequest, "%s", errors.Cause(err).Error())
 }
--- a/internal/protocol/translator/fuzz_test.go
+++ b/internal/protocol/translator/fuzz_test.go
@@ -9,8 +9,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/translator"
 )
 
-// Whatever is parsed has a name that reads back the same, bounded estimates, and
-// a body for the engine that names the version asked for and nothing else.
+// FuzzParseCompletion checks that a parsed request has a model name that round-trips,
+// estimates within their limits, and an engine body that names exactly the given version.
 func FuzzParseCompletion(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"town/lyrics@3","messages":[{"role":"user","content":"?"}]}`,
@@ -56,7 +56,8 @@
 	})
 }
 
-// Headers of any content are read without a panic, and within their bounds.
+// FuzzHeaders checks that headers with arbitrary content cause no panic, and that parsed
+// values are within their limits.
 func FuzzHeaders(f *testing.F) {
 	f.Add("Bearer x", "1500ms", "key", "close, x-a")
 	f.Add("bearer", "-1s", "", ",,")
--- a/internal/protocol/translator/header.go
+++ b/internal/protocol/translator/header.go
@@ -17,8 +17,9 @@
 	HeaderAdapter = "Marigoldpoint-Adapter"
 	HeaderBackend = "Marigoldpoint-Backend"
 	HeaderOutcome = "Marigoldpoint-Outcome"
-	// HeaderStallMillis tells how long the request waited for its version to be
-	// loaded, HeaderQueueMillis how long for a place in a batch.
+	// HeaderStallMillis is the time in milliseconds that the request waited for its
+	// version to be loaded, HeaderQueueMillis the time that it waited for a free batch
+	// slot.
 	HeaderStallMillis    = "Marigoldpoint-Stall-Millis"
 	HeaderQueueMillis    = "Marigoldpoint-Queue-Millis"
 	HeaderDeadline       = "Marigoldpoint-Deadline"
@@ -32,12 +33,12 @@
 	HeaderContentType   = "Content-Type"
 )
 
-// MaxKey bounds the bytes of an idempotency key.
+// MaxKeyBytes is the maximum length of an idempotency key.
 const MaxKeyBytes = 255
 
 const bearerPrefix = "Bearer "
 
-// BearerKey returns the bearer key of a request; empty means none.
+// BearerKey returns the bearer key of a request, or the empty string if there is none.
 func BearerKey(h http.Header) string {
 	v := h.Get(HeaderAuthorization)
 	if len(v) <= len(bearerPrefix) || !strings.EqualFold(v[:len(bearerPrefix)], bearerPrefix) {
@@ -46,7 +47,8 @@
 	return v[len(bearerPrefix):]
 }
 
-// IdempotencyKey returns the caller's idempotency key; empty means none.
+// IdempotencyKey returns the idempotency key of a request, or the empty string if there is
+// none. More than one key, or a key of invalid length, is an error.
 func IdempotencyKey(h http.Header) (string, error) {
 	keys := h.Values(HeaderIdempotencyKey)
 	switch {
@@ -60,8 +62,8 @@
 	return keys[0], nil
 }
 
-// Deadline returns the time that the caller gives the request; 0 means that it
-// states none.
+// Deadline returns the time that the caller allows for the request; 0 means that no
+// deadline is set.
 func Deadline(h http.Header) (time.Duration, error) {
 	text := h.Get(HeaderDeadline)
 	if text == "" {
@@ -74,20 +76,20 @@
 	return d, nil
 }
 
-// notForwarded are the header fields that concern one connection, or the entry
-// alone.
-var notForwarded = []string{
+// hopByHopAndLocal lists the header fields that apply to a single connection, or only to
+// the entry.
+var hopByHopAndLocal = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", HeaderAuthorization, HeaderDeadline, "Host",
 }
 
-// Forwarded returns the fields of a request or answer that go on to the other
-// end. The caller's bearer key never does: a plain service could use it as the
+// ForwardedFields returns the header fields of a request or answer that are forwarded. The
+// bearer key of the caller is never forwarded: a plain service could use it to act as the
 // caller.
 func ForwardedFields(h http.Header) []messenger.HeaderField {
-	drop := make(map[string]bool, len(notForwarded))
-	for _, name := range notForwarded {
+	drop := make(map[string]bool, len(hopByHopAndLocal))
+	for _, name := range hopByHopAndLocal {
 		drop[name] = true
 	}
 	for _, list := range h["Connection"] {
@@ -107,8 +109,9 @@
 	return fields
 }
 
-// CopyAnswer sets a plain service's header fields on the answer to the caller.
-// Fields of this project are the entry's to set, and never taken over.
+// CopyAnswerHeader adds the header fields of a plain service's answer to the answer to the
+// caller. Only the entry may set the header fields of this project, so these are skipped,
+// as is Content-Length.
 func CopyAnswerHeader(to http.Header, fields []messenger.HeaderField) {
 	for _, f := range fields {
 		name := textproto.CanonicalMIMEHeaderKey(f.Name)
--- a/internal/protocol/translator/name.go
+++ b/internal/protocol/translator/name.go
@@ -6,19 +6,19 @@
 	"github.com/juju/errors"
 )
 
-// MaxName bounds the bytes of a workspace's, adapter's or version's name.
+// MaxNameBytes is the maximum length of the name of a workspace, an adapter or a version.
 const MaxNameBytes = 128
 
-// Name is what a caller writes as model: WORKSPACE/ADAPTER or
+// ModelName is the model name in a request: WORKSPACE/ADAPTER or
 // WORKSPACE/ADAPTER@VERSION.
 type ModelName struct {
 	Workspace string
 	Adapter   string
-	// Version is empty where the caller leaves it to the operators.
+	// Version is empty if the version is determined by the operators.
 	Version string
 }
 
-// String returns the name as a caller writes it.
+// String returns the name in the form used in requests.
 func (n ModelName) String() string {
 	if n.Version == "" {
 		return n.Workspace + "/" + n.Adapter
@@ -26,17 +26,17 @@
 	return n.Workspace + "/" + n.Adapter + "@" + n.Version
 }
 
-// ParseName reads a model's name.
+// ParseModelName parses a model name.
 func ParseModelName(text string) (ModelName, error) {
 	workspace, rest, ok := strings.Cut(text, "/")
 	adapter, version, versioned := strings.Cut(rest, "@")
-	if !ok || !validPart(workspace) || !validPart(adapter) || versioned && !validPart(version) {
+	if !ok || !isValidPart(workspace) || !isValidPart(adapter) || versioned && !isValidPart(version) {
 		return ModelName{}, errors.NotValidf("model %.300q, which is not WORKSPACE/ADAPTER or WORKSPACE/ADAPTER@VERSION,", text)
 	}
 	return ModelName{Workspace: workspace, Adapter: adapter, Version: version}, nil
 }
 
-func validPart(part string) bool {
+func isValidPart(part string) bool {
 	if part == "" || len(part) > MaxNameBytes {
 		return false
 	}
--- a/internal/protocol/translator/translator_test.go
+++ b/internal/protocol/translator/translator_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("Completion", func() {
-	It("passes on what it doesn't know, and replaces model and priority", func() {
+	It("forwards unknown fields, and replaces model and priority", func() {
 		c, err := translator.ParseCompletion(messenger.CallKindChat, []byte(`{
 			"model": "town/lyrics", "messages": [{"role": "user", "content": [{"type": "text", "text": "?"}]}],
 			"priority": -9, "logit_bias": {"7": 1}, "temperature": 0.50, "max_tokens": 10, "max_completion_tokens": 20}`))
@@ -30,10 +30,9 @@
 			"priority": 2, "logit_bias": {"7": 1}, "temperature": 0.50, "max_tokens": 10, "max_completion_tokens": 20}`))
 	})
 
-	// Symptom: the entry checks one model's name and the engine runs another.
-	// Sequence: a caller writes the field twice, and two parsers disagree on
-	// which one counts.
-	It("sends one model where the caller wrote two", func() {
+	// Guards against an entry that checks one model name while the engine runs another: a
+	// caller writes the field twice, and two parsers disagree on which value counts.
+	It("sends one model if the caller wrote two", func() {
 		c, err := translator.ParseCompletion(messenger.CallKindCompletion, []byte(`{"model":"rival/a@1","prompt":"?","model":"town/b@2","MODEL":"rival/c@3"}`))
 		Expect(err).NotTo(HaveOccurred())
 		body, err := c.EngineBody("town/b@2", 0)
@@ -42,7 +41,7 @@
 		Expect(string(body)).NotTo(ContainSubstring("rival"))
 	})
 
-	It("gives prompts with the same beginning the same prefix", func() {
+	It("has the same prefix for prompts with the same beginning", func() {
 		prefix := func(content string) uint64 {
 			c, err := translator.ParseCompletion(messenger.CallKindCompletion, []byte(`{"model":"town/a@1","prompt":"`+content+`"}`))
 			Expect(err).NotTo(HaveOccurred())
@@ -55,7 +54,7 @@
 })
 
 var _ = Describe("Headers", func() {
-	It("reads key and deadline", func() {
+	It("are parsed for key and deadline", func() {
 		h := http.Header{}
 		h.Set("Authorization", "bearer abc")
 		h.Set("Marigoldpoint-Deadline", "1500ms")
@@ -67,7 +66,7 @@
 		Expect(err).To(HaveOccurred(), "two keys")
 	})
 
-	It("never hands the caller's bearer key to a service, or a service's outcome to the caller", func() {
+	It("never contain the caller's bearer key for a service, or a service's outcome for the caller", func() {
 		h := http.Header{"Authorization": {"Bearer abc"}, "Connection": {"x-hop"}, "X-Hop": {"1"}, "X-Case": {"2"}}
 		Expect(translator.ForwardedFields(h)).To(Equal([]messenger.HeaderField{{Name: "X-Case", Value: "2"}}))
 		to := http.Header{}
@@ -77,7 +76,7 @@
 })
 
 var _ = Describe("Fault", func() {
-	It("is written in OpenAI's shape with the outcome", func() {
+	It("is encoded in the format of OpenAI with the outcome", func() {
 		f := translator.NewFault(http.StatusTooManyRequests, translator.CodeOverShare, "the workspace is over its share")
 		f.Param, f.RetryAfter = "model", 1200*time.Millisecond
 		w := httptest.NewRecorder()
@@ -86,18 +85,18 @@
 		Expect(got.Header).To(HaveKeyWithValue("Retry-After", []string{"2"}))
 		Expect(got.Header).To(HaveKeyWithValue("Retry-After-Ms", []string{"1200"}))
 		Expect(got.Header).To(HaveKeyWithValue("X-Should-Retry", []string{"true"}))
-		golden("fault.json", w.Body.String())
+		expectGolden("fault.json", w.Body.String())
 		f.Status, f.Outcome = http.StatusBadGateway, messenger.OutcomeUnknown
-		golden("fault.event", string(f.Event("entry-1")))
+		expectGolden("fault.event", string(f.Event("entry-1")))
 		w = httptest.NewRecorder()
 		f.Write(w, "entry-1")
 		Expect(w.Result().Header).To(HaveKeyWithValue("X-Should-Retry", []string{"false"}), "it may have run")
 	})
 })
 
-// golden compares text with a file, which is written anew where
-// UPDATE_GOLDEN is set.
-func golden(name, text string) {
+// expectGolden compares text with a file in testdata. If UPDATE_GOLDEN is set, it
+// overwrites the file first.
+func expectGolden(name, text string) {
 	path := filepath.Join("testdata", name)
 	if os.Getenv("UPDATE_GOLDEN") != "" {
 		Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
