--- a/internal/protocol/announcer/announcement.go
+++ b/internal/protocol/announcer/announcement.go
@@ -11,13 +11,13 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// The limits of an announcement.
+// Limits of an announcement.
 const (
-	// MaxBytes is the largest announcement.
+	// MaxBytes is the maximum size of an announcement.
 	MaxBytes = 4 << 10
-	// maxText is the longest text in it, in bytes.
-	maxText = 256
-	// maxCount is the greatest number in it, that of the settings.
+	// maxTextBytes is the maximum length of a text field.
+	maxTextBytes = 256
+	// maxCount is the maximum value of a number field, the same as in the settings.
 	maxCount = 1 << 24
 )
 
@@ -33,31 +33,34 @@
 	FieldIncarnation   = "Incarnation"
 )
 
-// Announcement is what a backend server says of itself.
+// Announcement describes a backend server to its companion.
 type Announcement struct {
-	// Address is the IP and port of the backend server in canonical form. That of
-	// an engine is on the loopback unless ChecksFencing is set.
+	// Address is the IP address and port of the backend server in canonical form. It
+	// must be a loopback address for an engine unless ChecksFencing is set.
 	Address string
-	// Kind is BackendKindEngine where it is left out, as in the settings.
+	// Kind is the kind of the backend server. If omitted it is BackendKindEngine, as in
+	// the settings.
 	Kind configurer.BackendKind
 	// BaseModel is the base model of an engine; empty for a plain service.
 	BaseModel string
-	// Service is the name under which operators declared the plain service; empty
-	// for an engine.
+	// Service is the name under which operators declared the plain service; empty for
+	// an engine.
 	Service string
-	// Slots is the number of adapters that an engine holds at once; zero leaves it
-	// to the engine's state.
+	// Slots is the number of adapter slots of an engine; 0 means that it is taken from
+	// the state of the engine.
 	Slots int
-	// MaxBatch is the number of requests that run at once; zero leaves it to the
-	// engine's state, or to the companion's default for a plain service.
+	// MaxBatch is the maximum number of concurrent requests; 0 means that it is taken
+	// from the state of the engine, or that the companion's default applies to a plain
+	// service.
 	MaxBatch int
-	// ChecksFencing tells that an engine refuses orders with an old fencing number.
+	// ChecksFencing means that an engine refuses orders with an outdated fencing number.
 	ChecksFencing bool
-	// Incarnation differs between two lives of the backend server.
+	// Incarnation identifies the current run of the backend server. Each incarnation
+	// has a different value.
 	Incarnation string
 }
 
-// Parse reads an announcement and checks it. Its error is an *Answer.
+// Parse decodes and validates an announcement. Its error is an *Answer.
 func Parse(data []byte) (Announcement, error) {
 	var a Announcement
 	if len(data) > MaxBytes {
@@ -91,10 +94,10 @@
 	return a, a.Validate()
 }
 
-// read sets the field name to the next value of d.
+// read decodes the next value of d into the field with the given name.
 func (a *Announcement) read(name string, d *json.Decoder) error {
-	into := a.field(name)
-	if into == nil {
+	target := a.field(name)
+	if target == nil {
 		return malformed(name, "unknown field")
 	}
 	var raw json.RawMessage
@@ -103,13 +106,13 @@
 		return malformed(name, "no JSON value")
 	case string(raw) == "null":
 		return malformed(name, "null; leave the field out")
-	case json.Unmarshal(raw, into) != nil:
+	case json.Unmarshal(raw, target) != nil:
 		return malformed(name, "a value of another type is wanted")
 	}
 	return nil
 }
 
-// field returns where the field is kept; nil for an unknown one.
+// field returns a pointer to the field with the given name, or nil if it is unknown.
 func (a *Announcement) field(name string) any {
 	switch name {
 	case FieldAddress:
@@ -133,8 +136,8 @@
 	}
 }
 
-// Check returns what is wrong with a, an *Answer that names the field; nil where
-// nothing is.
+// Validate returns nil if a is valid, and otherwise an *Answer that names the invalid
+// field.
 func (a Announcement) Validate() error {
 	address, err := netip.ParseAddrPort(a.Address)
 	switch {
@@ -145,7 +148,7 @@
 	case a.MaxBatch < 0 || a.MaxBatch > maxCount:
 		return malformed(FieldMaxBatch, "outside 0 to 16777216")
 	case !isText(a.Incarnation):
-		return malformed(FieldIncarnation, textWanted)
+		return malformed(FieldIncarnation, textRequired)
 	}
 	switch a.Kind {
 	case configurer.BackendKindEngine:
@@ -160,11 +163,11 @@
 func (a Announcement) checkEngine(ip netip.Addr) error {
 	switch {
 	case !a.ChecksFencing && !ip.IsLoopback():
-		// Anybody who reaches such an engine could load and unload behind the
-		// companion's back.
+		// Any process that can reach such an engine could load and unload adapters
+		// without the companion noticing.
 		return malformed(FieldAddress, "not on the loopback, which an engine that doesn't check fencing numbers needs")
 	case !isText(a.BaseModel):
-		return malformed(FieldBaseModel, textWanted)
+		return malformed(FieldBaseModel, textRequired)
 	case a.Service != "":
 		return malformed(FieldService, "an engine has none")
 	case a.Slots < 0 || a.Slots > maxCount:
@@ -187,10 +190,10 @@
 	return nil
 }
 
-const textWanted = "required: 1 to 256 bytes of printable text"
+const textRequired = "required: 1 to 256 bytes of printable text"
 
 func isText(s string) bool {
-	if s == "" || len(s) > maxText {
+	if s == "" || len(s) > maxTextBytes {
 		return false
 	}
 	for _, r := range s {
--- a/internal/protocol/announcer/announcement_test.go
+++ b/internal/protocol/announcer/announcement_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	engine  = `"Address":"127.0.0.1:8000","BaseModel":"m","Incarnation":"i"`
-	service = `"Address":"10.0.0.1:8000","Kind":"Service","Service":"s","Incarnation":"i"`
-	noModel = `"Address":"127.0.0.1:8000","Incarnation":"i"`
-	at      = `"BaseModel":"m","Incarnation":"i","Address":`
+	engine        = `"Address":"127.0.0.1:8000","BaseModel":"m","Incarnation":"i"`
+	service       = `"Address":"10.0.0.1:8000","Kind":"Service","Service":"s","Incarnation":"i"`
+	noModel       = `"Address":"127.0.0.1:8000","Incarnation":"i"`
+	addressPrefix = `"BaseModel":"m","Incarnation":"i","Address":`
 )
 
-var _ = DescribeTable("an announcement that can't be right is refused with its field",
+var _ = DescribeTable("an invalid announcement is refused with the name of the field",
 	func(body, field string) {
 		_, err := announcer.Parse([]byte(body))
 		var answer *announcer.Answer
@@ -30,13 +30,13 @@
 	},
 	Entry("nothing", ``, ""),
 	Entry("an array", `[]`, ""),
-	Entry("cut off", `{`+engine, ""),
-	Entry("cut off in a value", `{`+engine+`,"Slots":`, "Slots"),
+	Entry("truncated", `{`+engine, ""),
+	Entry("truncated in a value", `{`+engine+`,"Slots":`, "Slots"),
 	Entry("a name without value", `{"Slots"}`, "Slots"),
-	Entry("something behind", `{`+engine+`}{}`, ""),
+	Entry("trailing data", `{`+engine+`}{}`, ""),
 	Entry("too long", `{`+engine+strings.Repeat(" ", announcer.MaxBytes)+`}`, ""),
 	Entry("an unknown field", `{`+engine+`,"Port":1}`, "Port"),
-	Entry("another case", `{`+engine+`,"slots":1}`, "slots"),
+	Entry("a field name in another case", `{`+engine+`,"slots":1}`, "slots"),
 	Entry("a field twice", `{`+engine+`,"Address":"127.0.0.1:9000"}`, "Address"),
 	Entry("null", `{`+engine+`,"Slots":null}`, "Slots"),
 	Entry("another type", `{`+engine+`,"Slots":"4"}`, "Slots"),
@@ -44,12 +44,12 @@
 	Entry("an unknown kind", `{`+engine+`,"Kind":"Store"}`, "Kind"),
 	Entry("a kind by number", `{`+engine+`,"Kind":1}`, "Kind"),
 	Entry("no address", `{"BaseModel":"m","Incarnation":"i"}`, "Address"),
-	Entry("a host's name", `{`+at+`"localhost:8000"}`, "Address"),
-	Entry("no canonical address", `{`+at+`"127.0.0.1:08000"}`, "Address"),
-	Entry("the unspecified address", `{`+at+`"0.0.0.0:8000"}`, "Address"),
-	Entry("a multicast address", `{`+at+`"224.0.0.1:8000","ChecksFencing":true}`, "Address"),
-	Entry("port 0", `{`+at+`"127.0.0.1:0"}`, "Address"),
-	Entry("off the loopback without fencing", `{`+at+`"10.0.0.1:8000"}`, "Address"),
+	Entry("a host name", `{`+addressPrefix+`"localhost:8000"}`, "Address"),
+	Entry("an address not in canonical form", `{`+addressPrefix+`"127.0.0.1:08000"}`, "Address"),
+	Entry("the unspecified address", `{`+addressPrefix+`"0.0.0.0:8000"}`, "Address"),
+	Entry("a multicast address", `{`+addressPrefix+`"224.0.0.1:8000","ChecksFencing":true}`, "Address"),
+	Entry("port 0", `{`+addressPrefix+`"127.0.0.1:0"}`, "Address"),
+	Entry("not on the loopback without fencing", `{`+addressPrefix+`"10.0.0.1:8000"}`, "Address"),
 	Entry("no base model", `{`+noModel+`}`, "BaseModel"),
 	Entry("a long base model", `{`+noModel+`,"BaseModel":"`+strings.Repeat("m", 257)+`"}`, "BaseModel"),
 	Entry("a control character", `{`+noModel+`,"BaseModel":"\n"}`, "BaseModel"),
@@ -65,7 +65,7 @@
 )
 
 var _ = Describe("an announcement", func() {
-	It("comes through client and handler whole, and its refusal comes back", func(ctx SpecContext) {
+	It("passes unchanged through client and handler, and its refusal is returned", func(ctx SpecContext) {
 		var got announcer.Announcement
 		var refusal error
 		server := httptest.NewServer(announcer.NewHandler(func(a announcer.Announcement) error {
@@ -85,7 +85,7 @@
 		Expect(client.Announce(ctx, got)).To(Equal(refusal))
 	})
 
-	It("is answered by the status of its reason", func() {
+	It("is answered with the status of the reason", func() {
 		status := func(contentType, body string, accept error) int {
 			r := httptest.NewRequest(http.MethodPost, announcer.Path, strings.NewReader(body))
 			r.Header.Set("Content-Type", contentType)
--- a/internal/protocol/announcer/answer.go
+++ b/internal/protocol/announcer/answer.go
@@ -9,19 +9,19 @@
 
 //go:generate stringer -type=Reason -trimprefix=Reason
 
-// Reason tells what became of an announcement.
+// Reason is the result of an announcement.
 type Reason int
 
 // The reasons.
 const (
-	// ReasonAccepted tells that the companion stands beside the backend server.
+	// ReasonAccepted means that the companion serves the backend server.
 	ReasonAccepted Reason = iota
-	// ReasonMalformed tells that the announcement can't be right.
+	// ReasonMalformed means that the announcement is invalid.
 	ReasonMalformed
-	// ReasonConflict tells that it contradicts the companion's settings, or the
-	// backend server that the companion stands beside.
+	// ReasonConflict means that the announcement contradicts the settings of the
+	// companion, or the backend server that the companion already serves.
 	ReasonConflict
-	// ReasonUnavailable tells that the process takes no announcement now.
+	// ReasonUnavailable means that the process accepts no announcement at present.
 	ReasonUnavailable
 )
 
@@ -39,12 +39,12 @@
 	return errors.NotValidf("reason %q", text)
 }
 
-// Answer is the answer to an announcement. As an error it is a refusal.
+// Answer is the answer to an announcement. Used as an error, it is a refusal.
 type Answer struct {
 	Reason Reason
-	// Field is the field that is at fault; empty where none is.
+	// Field is the name of the invalid field; empty if the answer concerns no field.
 	Field string `json:",omitempty"`
-	// Detail is for people; empty with ReasonAccepted.
+	// Detail is a human-readable explanation; empty with ReasonAccepted.
 	Detail string `json:",omitempty"`
 }
 
@@ -56,8 +56,8 @@
 	return fmt.Sprintf("%v: %s: %s", a.Reason, a.Field, a.Detail)
 }
 
-// Conflict returns a refusal for a field that contradicts the settings or the
-// backend server announced before.
+// Conflict returns a refusal for a field that contradicts the settings or the backend
+// server announced earlier.
 func Conflict(field, detail string) *Answer {
 	return &Answer{Reason: ReasonConflict, Field: field, Detail: detail}
 }
@@ -66,7 +66,7 @@
 	return &Answer{Reason: ReasonMalformed, Field: field, Detail: detail}
 }
 
-// status returns the HTTP status that goes with r.
+// status returns the HTTP status of an answer with reason r.
 func (r Reason) status() int {
 	switch r {
 	case ReasonAccepted:
--- a/internal/protocol/announcer/client.go
+++ b/internal/protocol/announcer/client.go
@@ -14,33 +14,34 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/pauser"
 )
 
-// clientLimit bounds one announcement by a client.
-const clientLimit = 5 * time.Second
+// announceTimeout limits one announcement by a client.
+const announceTimeout = 5 * time.Second
 
 // DefaultInterval is the time between two announcements of a backend server.
 const DefaultInterval = 2 * time.Second
 
 // Client announces a backend server to one companion.
 type Client struct {
-	// Companion is the IP and port of the companion's operators' listener.
+	// Companion is the IP address and port of the operators' listener of the companion.
 	Companion string
-	// Key is the operators' key; the zero value for a listener without one.
+	// Key is the operators' key; the zero value means that the listener requires none.
 	Key configurer.Secret
-	// HTTP must not be nil.
+	// HTTP sends the announcements; it must not be nil.
 	HTTP *http.Client
 }
 
-// Announce hands a over once. A refusal is an *Answer.
+// Announce sends a to the companion once. If the companion refuses it, the error is an
+// *Answer.
 func (c Client) Announce(ctx context.Context, a Announcement) error {
-	ctx, cancel := context.WithTimeout(ctx, clientLimit)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	body, err := json.Marshal(a)
 	if err != nil {
-		return errors.Annotate(err, "writing the announcement")
+		return errors.Annotate(err, "encoding the announcement")
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Companion+Path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Annotate(err, "companion's address")
+		return errors.Annotate(err, "invalid companion address")
 	}
 	r.Header.Set(headerContentType, mediaType)
 	if key := c.Key.Reveal(); key != "" {
@@ -48,40 +49,41 @@
 	}
 	response, err := c.HTTP.Do(r)
 	if err != nil {
-		return errors.Annotate(err, "announcing")
+		return errors.Annotate(err, "sending the announcement")
 	}
 	defer response.Body.Close()
 	var answer Answer
 	err = json.NewDecoder(io.LimitReader(response.Body, MaxBytes)).Decode(&answer)
 	switch {
 	case err != nil || answer.Reason.status() != response.StatusCode:
-		return errors.Errorf("announcing: status %d without the answer of a companion", response.StatusCode)
+		return errors.Errorf("announcement: status %d without a valid answer of a companion", response.StatusCode)
 	case answer.Reason != ReasonAccepted:
 		return &answer
 	}
 	return nil
 }
 
-// Repeat announces what current returns until ctx ends, at every interval. It
-// gives told each result that differs from the one before.
-func (c Client) AnnouncePeriodically(ctx context.Context, interval time.Duration, current func(context.Context) (Announcement, error), told func(error)) {
-	last := "never announced"
+// AnnouncePeriodically announces the result of current at every interval until ctx ends. It
+// calls onChange with each result that differs from the previous one; nil means success. An
+// error of current counts as a result.
+func (c Client) AnnouncePeriodically(ctx context.Context, interval time.Duration, current func(context.Context) (Announcement, error), onChange func(error)) {
+	lastResult := "never announced"
 	for {
 		a, err := current(ctx)
 		if err == nil {
 			err = c.Announce(ctx, a)
 		}
-		text := ""
+		result := ""
 		if err != nil {
-			text = err.Error()
+			result = err.Error()
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if text != last {
-			told(err)
+		if result != lastResult {
+			onChange(err)
 		}
-		last = text
+		lastResult = result
 		if !pauser.Pause(ctx, interval) {
 			return
 		}
--- a/internal/protocol/announcer/doc.go
+++ b/internal/protocol/announcer/doc.go
@@ -1,15 +1,15 @@
-// Package announcer is the protocol by which a backend server announces itself to
-// the companion beside it: POST Path at the companion's operators' listener, with
-// an Announcement as JSON, answered by an Answer as JSON.
+// Package announcer implements the protocol by which a backend server announces itself to
+// its companion: a POST request for Path at the operators' listener of the companion, with
+// an Announcement as JSON body, answered with an Answer as JSON.
 //
-//   - 200, ReasonAccepted: the companion stands beside this backend server, by this
+//   - 200, ReasonAccepted: the companion serves this backend server, because of this
 //     announcement, an earlier one or its settings.
-//   - 400, ReasonMalformed: the announcement can't be right; Field names the field.
-//   - 409, ReasonConflict: it contradicts the settings, or the companion stands
-//     beside another backend server already.
-//   - 503, ReasonUnavailable: the process is ending. The announcement may be right.
+//   - 400, ReasonMalformed: the announcement is invalid; Field is the name of the field.
+//   - 409, ReasonConflict: the announcement contradicts the settings, or the companion
+//     already serves another backend server.
+//   - 503, ReasonUnavailable: the process is stopping. The announcement may be valid.
 //
-// Parsing is strict: names in their own case, each once, none unknown, no null.
-// A backend server announces itself again and again, since a companion that
-// restarts knows nothing of what was announced to its predecessor.
+// Parsing is strict: field names are case-sensitive, each may occur only once, and unknown
+// fields and null are refused. A backend server announces itself periodically, since a
+// companion that restarts has no record of earlier announcements.
 package announcer
--- a/internal/protocol/announcer/handler.go
+++ b/internal/protocol/announcer/handler.go
@@ -8,7 +8,7 @@
 	"net/http"
 )
 
-// Path is the path of announcements, for POST.
+// Path is the URL path for announcements, which are sent by POST.
 const Path = "/v1/announce"
 
 const (
@@ -16,13 +16,13 @@
 	mediaType         = "application/json"
 )
 
-// NewHandler answers announcements. It gives those that are well formed to accept,
-// whose refusals are *Answer; any other error of it is told as ReasonUnavailable.
-// Who may announce is for the handler around it to say.
+// NewHandler returns a handler for announcements. It passes valid announcements to accept.
+// An error of accept that is an *Answer is sent as the refusal; any other error is sent as
+// ReasonUnavailable. Authorization must be done by an enclosing handler.
 func NewHandler(accept func(Announcement) error) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer := Answer{Reason: ReasonAccepted}
-		if err := take(w, r, accept); err != nil {
+		if err := handle(w, r, accept); err != nil {
 			var refusal *Answer
 			if !stderrors.As(err, &refusal) {
 				refusal = &Answer{Reason: ReasonUnavailable, Detail: err.Error()}
@@ -35,9 +35,9 @@
 	})
 }
 
-func take(w http.ResponseWriter, r *http.Request, accept func(Announcement) error) error {
-	// A page in a browser on the host can make it send forms and plain text to the
-	// loopback unasked, but no JSON.
+func handle(w http.ResponseWriter, r *http.Request, accept func(Announcement) error) error {
+	// A page in a browser on the host can send forms and plain text to a loopback
+	// address without a CORS preflight, but no JSON.
 	if t, _, err := mime.ParseMediaType(r.Header.Get(headerContentType)); err != nil || t != mediaType {
 		return malformed(headerContentType, "not "+mediaType)
 	}
