--- a/internal/protocol/messenger/pace_test.go
+++ b/internal/protocol/messenger/pace_test.go
@@ -99,7 +99,7 @@
 		}
 		advance(time.Second)
 		if !near.Ended() {
-			t.Error("a silent connection goes on")
+			t.Error("a silent connection was not closed")
 		}
 	})
 }
@@ -111,7 +111,7 @@
 		l.dropped.Store(true)
 		advance(quietPace + silenceLimit + 2*quietPace)
 		if !near.Ended() {
-			t.Error("a silent connection goes on")
+			t.Error("a silent connection was not closed")
 		}
 	})
 }
--- a/internal/protocol/orderer/outcome_test.go
+++ b/internal/protocol/orderer/outcome_test.go
@@ -195,7 +195,7 @@
 func TestDyingReusedConnectionRepeatsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		var taken []string
+		var received []string
 		settings := orderer.Settings{Address: "127.0.0.1:1"}
 		settings.Dial = func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -207,7 +207,7 @@
 					if err != nil {
 						return
 					}
-					taken = append(taken, r.Header.Get(orderer.HeaderRequest))
+					received = append(received, r.Header.Get(orderer.HeaderRequest))
 					if answers == 0 || r.Header.Get(orderer.HeaderRequest) == "fatal" {
 						return
 					}
@@ -231,6 +231,6 @@
 			}
 			g.Expect(errors.Is(err, orderer.ErrUnknown)).To(BeTrue(), "%v", err)
 		}
-		g.Expect(taken).To(Equal([]string{"first", "fatal"}))
+		g.Expect(received).To(Equal([]string{"first", "fatal"}))
 	})
 }
