--- a/internal/protocol/messenger/broken_test.go
+++ b/internal/protocol/messenger/broken_test.go
@@ -49,7 +49,7 @@
 		}()
 		err := c.Call(context.Background(), messenger.MethodResume, messenger.Resume{}, nil)
 		g.Expect(errors.As(err, &broken)).To(BeTrue())
-		g.Expect(ended(c)).To(BeTrue(), "after the other end closed")
+		g.Expect(ended(c)).To(BeTrue(), "after the peer closed")
 		g.Expect(c.Close()).To(Succeed())
 	}
 }
--- a/internal/protocol/translator/fuzz_test.go
+++ b/internal/protocol/translator/fuzz_test.go
@@ -36,7 +36,7 @@
 			return
 		}
 		if again, err := translator.ParseModelName(c.Model.String()); err != nil || again != c.Model {
-			t.Fatalf("name %+v reads back as %+v, %v", c.Model, again, err)
+			t.Fatalf("name %+v is parsed as %+v, %v", c.Model, again, err)
 		}
 		if c.MaxTokens < 0 || c.MaxTokens > translator.MaxAnswerTokens || c.Tokens() <= 0 || c.PromptTokens > int64(len(body)) {
 			t.Fatalf("estimates out of bounds: %+v", c)
