--- a/internal/protocol/translator/fuzz_test.go
+++ b/internal/protocol/translator/fuzz_test.go
@@ -9,8 +9,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/translator"
 )
 
-// Whatever is parsed has a name that reads back the same, bounded estimates, and
-// a body for the engine that names the version asked for and nothing else.
+// FuzzParseCompletion checks that a parsed request has a model name that round-trips,
+// estimates within their limits, and an engine body that names exactly the given version.
 func FuzzParseCompletion(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"town/lyrics@3","messages":[{"role":"user","content":"?"}]}`,
@@ -35,8 +35,8 @@
 			}
 			return
 		}
-		if again, err := translator.ParseName(c.Model.String()); err != nil || again != c.Model {
-			t.Fatalf("name %+v reads back as %+v, %v", c.Model, again, err)
+		if again, err := translator.ParseModelName(c.Model.String()); err != nil || again != c.Model {
+			t.Fatalf("name %+v is parsed as %+v, %v", c.Model, again, err)
 		}
 		if c.MaxTokens < 0 || c.MaxTokens > translator.MaxAnswerTokens || c.Tokens() <= 0 || c.PromptTokens > int64(len(body)) {
 			t.Fatalf("estimates out of bounds: %+v", c)
@@ -56,7 +56,8 @@
 	})
 }
 
-// Headers of any content are read without a panic, and within their bounds.
+// FuzzHeaders checks that headers with arbitrary content cause no panic, and that parsed
+// values are within their limits.
 func FuzzHeaders(f *testing.F) {
 	f.Add("Bearer x", "1500ms", "key", "close, x-a")
 	f.Add("bearer", "-1s", "", ",,")
@@ -69,10 +70,10 @@
 		if d, err := translator.Deadline(h); err == nil && d < 0 {
 			t.Fatalf("deadline %v", d)
 		}
-		if k, err := translator.IdempotencyKey(h); err == nil && len(k) > translator.MaxKey {
+		if k, err := translator.IdempotencyKey(h); err == nil && len(k) > translator.MaxKeyBytes {
 			t.Fatalf("key of %d bytes", len(k))
 		}
-		for _, field := range translator.Forwarded(h) {
+		for _, field := range translator.ForwardedFields(h) {
 			if field.Name == "Authorization" || field.Name == "Connection" {
 				t.Fatalf("%s is forwarded", field.Name)
 			}
--- a/internal/protocol/translator/name.go
+++ b/internal/protocol/translator/name.go
@@ -6,38 +6,38 @@
 	"github.com/juju/errors"
 )
 
-// MaxName bounds the bytes of a workspace's, adapter's or version's name.
-const MaxName = 128
+// MaxNameBytes is the maximum length of the name of a workspace, an adapter or a version.
+const MaxNameBytes = 128
 
-// Name is what a caller writes as model: WORKSPACE/ADAPTER or
+// ModelName is the model name in a request: WORKSPACE/ADAPTER or
 // WORKSPACE/ADAPTER@VERSION.
-type Name struct {
+type ModelName struct {
 	Workspace string
 	Adapter   string
-	// Version is empty where the caller leaves it to the operators.
+	// Version is empty if the version is determined by the operators.
 	Version string
 }
 
-// String returns the name as a caller writes it.
-func (n Name) String() string {
+// String returns the name in the form used in requests.
+func (n ModelName) String() string {
 	if n.Version == "" {
 		return n.Workspace + "/" + n.Adapter
 	}
 	return n.Workspace + "/" + n.Adapter + "@" + n.Version
 }
 
-// ParseName reads a model's name.
-func ParseName(text string) (Name, error) {
+// ParseModelName parses a model name.
+func ParseModelName(text string) (ModelName, error) {
 	workspace, rest, ok := strings.Cut(text, "/")
 	adapter, version, versioned := strings.Cut(rest, "@")
-	if !ok || !validPart(workspace) || !validPart(adapter) || versioned && !validPart(version) {
-		return Name{}, errors.NotValidf("model %.300q, which is not WORKSPACE/ADAPTER or WORKSPACE/ADAPTER@VERSION,", text)
+	if !ok || !isValidPart(workspace) || !isValidPart(adapter) || versioned && !isValidPart(version) {
+		return ModelName{}, errors.NotValidf("model %.300q, which is not WORKSPACE/ADAPTER or WORKSPACE/ADAPTER@VERSION,", text)
 	}
-	return Name{Workspace: workspace, Adapter: adapter, Version: version}, nil
+	return ModelName{Workspace: workspace, Adapter: adapter, Version: version}, nil
 }
 
-func validPart(part string) bool {
-	if part == "" || len(part) > MaxName {
+func isValidPart(part string) bool {
+	if part == "" || len(part) > MaxNameBytes {
 		return false
 	}
 	for i := range len(part) {
