--- a/cmd/marigoldpoint/certificates.go
+++ b/cmd/marigoldpoint/certificates.go
@@ -13,28 +13,28 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/sealer"
 )
 
-// certificatesCommand groups the commands that make certificates.
+// certificatesCommand groups the commands that create certificates.
 type certificatesCommand struct {
 	Authority *authorityCommand       `arg:"subcommand:authority" help:"make the authority of a deployment"`
 	Node      *nodeCertificateCommand `arg:"subcommand:node" help:"make the certificate of one process"`
 }
 
-// pairArguments name the files that are written.
-type pairArguments struct {
+// keyPairArguments are the paths of the files to write.
+type keyPairArguments struct {
 	Certificate string `arg:"required" placeholder:"FILE" help:"file for the certificate"`
 	Key         string `arg:"required" placeholder:"FILE" help:"file for its key, which only its owner may read"`
 }
 
-// authorityCommand makes an authority.
+// authorityCommand creates a certificate authority.
 type authorityCommand struct {
-	pairArguments
+	keyPairArguments
 	Name     string        `default:"marigoldpoint" help:"name of the authority"`
 	Validity time.Duration `default:"87600h" help:"time for which it is valid"`
 }
 
 func (c *authorityCommand) run(_ context.Context, out io.Writer) error {
-	// Another authority in the place of the one in use would cut the deployment
-	// off from the certificates made next.
+	// Existing files are not overwritten: the processes of a deployment would reject
+	// certificates issued by an authority that replaced the one in use.
 	for _, path := range []string{c.Certificate, c.Key} {
 		if _, err := os.Lstat(path); !errors.Is(err, os.ErrNotExist) {
 			return usageError{errors.AlreadyExistsf("%s", path)}
@@ -51,9 +51,9 @@
 	return c.write(out, pair, now.Add(c.Validity))
 }
 
-// nodeCertificateCommand makes a process's certificate.
+// nodeCertificateCommand issues the certificate of a process.
 type nodeCertificateCommand struct {
-	pairArguments
+	keyPairArguments
 	Authority    string            `arg:"required" placeholder:"FILE" help:"certificate of the authority"`
 	AuthorityKey string            `arg:"--authority-key,required" placeholder:"FILE" help:"key of the authority"`
 	Node         string            `arg:"required" placeholder:"NAME" help:"Node in the process's settings"`
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// write keeps a pair and tells where.
-func (a pairArguments) write(out io.Writer, pair sealer.KeyPair, until time.Time) error {
+// write writes a key pair to its files and prints their paths and the end of validity.
+func (a keyPairArguments) write(out io.Writer, pair sealer.KeyPair, until time.Time) error {
 	if err := pair.Write(a.Certificate, a.Key); err != nil {
 		return err
 	}
--- a/cmd/marigoldpoint/demo.go
+++ b/cmd/marigoldpoint/demo.go
@@ -14,7 +14,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/driver"
 )
 
-// demoCommand runs a whole small deployment on loopback and drives it.
+// demoCommand runs a small but complete deployment on loopback and puts load on it.
 type demoCommand struct {
 	Workload  string        `default:"peachtree" placeholder:"NAME" help:"peachtree or agenzia"`
 	Entries   int           `default:"3" help:"hosts with the roles Entry and Control; 0 means the workload's own size, here and below"`
@@ -58,7 +58,7 @@
 		return err
 	}
 	defer closeLog()
-	if c.wanted() {
+	if c.enabled() {
 		return c.runFaults(ctx, r, c.Report, out)
 	}
 	d, keys, err := r.Prepare(ctx, out)
@@ -74,7 +74,7 @@
 		return err
 	}
 	if c.Keep {
-		keep(ctx, out, d, keys)
+		serveUntilInterrupted(ctx, out, d, keys)
 	}
 	if n := report.Broken(); n > 0 {
 		return errors.Errorf("%d broken promises", n)
@@ -110,7 +110,8 @@
 	return r, nil
 }
 
-// openLog sends the log of all processes to the file asked for.
+// openLog sets the log of all processes to the file named by --log, or to none. The caller
+// must call closeLog.
 func (c *demoCommand) openLog(r *demonstrator.Run) (closeLog func(), err error) {
 	if c.Log == "" {
 		r.Log = zerolog.Nop()
@@ -134,7 +135,7 @@
 	return writeFile(c.Plot, r.WritePlot)
 }
 
-// demoKeys returns keys that the README can print. They guard nothing but a demo
+// demoKeys returns fixed keys, so that the README can list them. They only protect a demo
 // on loopback.
 func demoKeys(w driver.Workload) []driver.WorkspaceKey {
 	keys := make([]driver.WorkspaceKey, 0, len(w.Workspaces))
@@ -144,8 +145,9 @@
 	return keys
 }
 
-// keep serves until the command is interrupted.
-func keep(ctx context.Context, out io.Writer, d *demonstrator.Deployment, keys []driver.WorkspaceKey) {
+// serveUntilInterrupted prints the addresses and keys of a deployment and keeps it running
+// until the command is interrupted.
+func serveUntilInterrupted(ctx context.Context, out io.Writer, d *demonstrator.Deployment, keys []driver.WorkspaceKey) {
 	fmt.Fprintf(out, "\nserving until interrupted:\n")
 	operators := d.OperatorAddresses()
 	for i, name := range d.Names() {
--- a/cmd/marigoldpoint/explain.go
+++ b/cmd/marigoldpoint/explain.go
@@ -12,7 +12,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/explainer"
 )
 
-// explainCommand tells from logs what became of calls and why.
+// explainCommand reports from logs how calls ended and why.
 type explainCommand struct {
 	Files   []string `arg:"positional,required" placeholder:"FILE" help:"logs of the processes; - for standard input"`
 	Request string   `help:"only the time line of one request"`
@@ -52,7 +52,7 @@
 	return log.Read(name, f)
 }
 
-// writeRequest writes the lines of one request, with the time since the first.
+// writeRequest writes the log lines of one request, with the time since the first of them.
 func (c *explainCommand) writeRequest(log *explainer.Log, out io.Writer) error {
 	lines := log.Request(c.Request)
 	if len(lines) == 0 {
--- a/cmd/marigoldpoint/faults.go
+++ b/cmd/marigoldpoint/faults.go
@@ -10,7 +10,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/demonstrator"
 )
 
-// faultOptions are the options of a demonstration that produces faults.
+// faultOptions are the options of a demonstration with injected faults.
 type faultOptions struct {
 	Faults     bool     `help:"produce faults one after the other under load, a short list that stays the same"`
 	Fault      []string `placeholder:"NAME" help:"produce these faults only, or All"`
@@ -20,10 +20,10 @@
 	ListFaults bool     `arg:"--list-faults" help:"list the faults and end"`
 }
 
-func (c *faultOptions) wanted() bool { return c.Faults || len(c.Fault) > 0 }
+func (c *faultOptions) enabled() bool { return c.Faults || len(c.Fault) > 0 }
 
-// runFaults produces the faults and prints promise by promise what was tried and
-// how often it broke.
+// runFaults injects the faults and prints, for each promise, how it was tested and how often
+// it was broken. It returns an error if any promise was broken.
 func (c *faultOptions) runFaults(ctx context.Context, r demonstrator.Run, path string, out io.Writer) error {
 	f := demonstrator.FaultRun{Run: r, Faults: demonstrator.ShortFaults(), Rounds: c.Rounds, Out: out, Timelines: c.Timelines, IgnoreFencing: c.NoFencing}
 	if len(c.Fault) > 0 {
--- a/cmd/marigoldpoint/group.go
+++ b/cmd/marigoldpoint/group.go
@@ -10,7 +10,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/distributor"
 )
 
-// groupCommand groups the commands over the control group.
+// groupCommand groups the commands for the control group.
 type groupCommand struct {
 	Show     *groupShowCommand     `arg:"subcommand:show" help:"print the group as one of its hosts sees it"`
 	Add      *groupAddCommand      `arg:"subcommand:add" help:"add a host that waits with Control.Join"`
@@ -65,7 +65,7 @@
 	return printGroup(out, g, err)
 }
 
-// groupTransferCommand hands leadership over.
+// groupTransferCommand transfers leadership to another host.
 type groupTransferCommand struct{ listenerArguments }
 
 func (c *groupTransferCommand) run(ctx context.Context, out io.Writer) error {
--- a/cmd/marigoldpoint/load.go
+++ b/cmd/marigoldpoint/load.go
@@ -14,10 +14,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/driver"
 )
 
-// inForceTimeout bounds the wait for what was declared to be in force.
+// inForceTimeout bounds the wait until declared resources are in force.
 const inForceTimeout = 30 * time.Second
 
-// loadCommand drives a deployment with load and reports what it saw.
+// loadCommand puts load on a deployment and reports the results.
 type loadCommand struct {
 	Compare *loadCompareCommand `arg:"subcommand:compare" help:"print the figures of two reports side by side"`
 
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// settings returns the settings of the run, without keys.
+// settings returns the settings of the run, without callers' keys.
 func (c *loadCommand) settings() (driver.Settings, error) {
 	s := driver.Settings{
 		Schedule: driver.ScheduleSettings{
@@ -144,11 +144,11 @@
 	for _, a := range c.Services {
 		s.Observed = append(s.Observed, driver.RemoteService{Address: a})
 	}
-	return s, c.check()
+	return s, c.validate()
 }
 
-// check returns an error for flags that can't be carried out together.
-func (c *loadCommand) check() error {
+// validate returns an error for flags that are missing, out of range or incompatible.
+func (c *loadCommand) validate() error {
 	switch {
 	case len(c.Entries) == 0:
 		return errors.NotValidf("load without --entry")
@@ -166,14 +166,15 @@
 	return driver.CheckLoopback(slices.Concat(c.Operators, c.Entries, c.Engines, c.Companion, c.Services)...)
 }
 
-// awaitInForce waits until the entries know what was declared.
+// awaitInForce waits until the declared workload is in force at all entries.
 func (c *loadCommand) awaitInForce(ctx context.Context, s *driver.Settings) error {
 	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
 	return errors.Annotate(driver.AwaitInForce(ctx, &s.Workload, s.Keys, s.Entries), "the workload is not in force")
 }
 
-// prepare declares the workload, or reads the keys of a run that did.
+// prepare declares the workload and returns its callers' keys. With --skip-prepare, it only
+// reads the keys that an earlier run has written.
 func (c *loadCommand) prepare(ctx context.Context, w *driver.Workload, out io.Writer) ([]driver.WorkspaceKey, error) {
 	if c.Skip {
 		data, err := os.ReadFile(c.Keys)
@@ -206,7 +207,8 @@
 	return keys, errors.Trace(os.WriteFile(c.Keys, data, 0o600))
 }
 
-// writeFile writes a file, unless the path is empty.
+// writeFile creates a file and writes its content with write. It does nothing if path is
+// empty.
 func writeFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
@@ -216,13 +218,13 @@
 		return errors.Trace(err)
 	}
 	err = write(f)
-	if closing := f.Close(); err == nil {
-		err = closing
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	return errors.Annotate(err, path)
 }
 
-// isTerminal reports whether out is a terminal, as far as its mode tells.
+// isTerminal reports whether out is a character device, which is taken to be a terminal.
 func isTerminal(out io.Writer) bool {
 	f, ok := out.(*os.File)
 	if !ok {
--- a/cmd/marigoldpoint/main.go
+++ b/cmd/marigoldpoint/main.go
@@ -1,7 +1,7 @@
 // Command marigoldpoint serves very many LoRA adapters from a shared pool of
-// engines. One program runs every role of a deployment, checks its settings,
-// drives its resource API, merges its events into one time line, and brings its
-// own stand-ins, demonstration and load.
+// engines. It runs every role of a deployment, checks settings files, is a client of
+// the resource API, merges the events of several processes into one time line, and
+// includes stand-ins, a demonstration and a load generator.
 package main
 
 import (
@@ -22,9 +22,9 @@
 // The exit codes of the program.
 const (
 	exitOK = iota
-	// exitFailed means that the command ran and failed.
+	// exitFailed means that the command failed.
 	exitFailed
-	// exitUsage means that the arguments or a settings file are wrong.
+	// exitUsage means that the arguments or a settings file are invalid.
 	exitUsage
 )
 
@@ -54,57 +54,59 @@
 	return "marigoldpoint " + version
 }
 
-// Description returns the first lines of the help.
+// Description returns the introduction of the help.
 func (arguments) Description() string {
 	return "marigoldpoint serves very many LoRA adapters from a shared pool of engines."
 }
 
-// command is one subcommand that was chosen.
+// command is a subcommand that can be run.
 type command interface {
 	run(ctx context.Context, out io.Writer) error
 }
 
-// usageError is an error of the arguments or a settings file; it ends the
-// program with exitUsage.
+// usageError is an error in the arguments or in a settings file. The program exits with
+// exitUsage.
 type usageError struct{ cause error }
 
 func (u usageError) Error() string { return u.cause.Error() }
 
-// logTime is the form of times in logs: events of several processes are told apart by
-// milliseconds.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+// logTimeFormat is the time format of logs. It has milliseconds, so that the events of
+// several processes can be ordered.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func main() {
-	zerolog.TimeFieldFormat = logTime
+	zerolog.TimeFieldFormat = logTimeFormat
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
 // run parses the arguments, runs the command and returns the exit code.
-func run(args []string, out, complaints io.Writer) int {
+func run(args []string, out, stderr io.Writer) int {
 	var a arguments
 	parser, err := arg.NewParser(arg.Config{Program: "marigoldpoint"}, &a)
 	if err != nil {
-		fmt.Fprintln(complaints, err)
+		fmt.Fprintln(stderr, err)
 		return exitUsage
 	}
 	if err := parser.Parse(args); err != nil {
-		return answerParse(parser, err, a, out, complaints)
+		return reportParseError(parser, err, a, out, stderr)
 	}
-	c := chosen(parser.Subcommand())
+	c := selectedCommand(parser.Subcommand())
 	if c == nil {
-		parser.WriteHelp(complaints)
+		parser.WriteHelp(stderr)
 		return exitUsage
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return exitCode(c.run(ctx, out), complaints)
+	return exitCode(c.run(ctx, out), stderr)
 }
 
-func answerParse(parser *arg.Parser, err error, a arguments, out, complaints io.Writer) int {
+// reportParseError prints the help, the version or a usage error, depending on err, and returns
+// the exit code.
+func reportParseError(parser *arg.Parser, err error, a arguments, out, stderr io.Writer) int {
 	switch {
 	case errors.Is(err, arg.ErrHelp):
 		if err := parser.WriteHelpForSubcommand(out, parser.SubcommandNames()...); err != nil {
-			fmt.Fprintln(complaints, err)
+			fmt.Fprintln(stderr, err)
 		}
 		return exitOK
 	case errors.Is(err, arg.ErrVersion):
@@ -112,16 +114,17 @@
 		return exitOK
 	default:
 		name := strings.Join(append([]string{"marigoldpoint"}, parser.SubcommandNames()...), " ")
-		fmt.Fprintf(complaints, "%s: %v\n", name, err)
+		fmt.Fprintf(stderr, "%s: %v\n", name, err)
 		return exitUsage
 	}
 }
 
-func exitCode(err error, complaints io.Writer) int {
+// exitCode prints err, unless it is nil, and returns the exit code.
+func exitCode(err error, stderr io.Writer) int {
 	if err == nil {
 		return exitOK
 	}
-	fmt.Fprintln(complaints, err)
+	fmt.Fprintln(stderr, err)
 	var usage usageError
 	if errors.As(err, &usage) {
 		return exitUsage
@@ -129,8 +132,9 @@
 	return exitFailed
 }
 
-// chosen returns the command to run, or nil where a group was named without one.
-func chosen(parsed any) command {
+// selectedCommand returns the command to run, or nil if the arguments name a group without
+// one of its commands.
+func selectedCommand(parsed any) command {
 	switch c := parsed.(type) {
 	case command:
 		return c
--- a/cmd/marigoldpoint/main_test.go
+++ b/cmd/marigoldpoint/main_test.go
@@ -9,17 +9,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// Symptom: a script goes on after a mistyped command or a wrong settings file.
-// Sequence: the program complains and ends as if nothing were wrong, or with the
-// code of a failed run. Cause: exit codes that nobody holds.
+// Guards against scripts that continue after a mistyped command or an invalid settings
+// file, because the program prints an error but exits with the code of success or of a
+// failed run.
 func TestExitCodes(t *testing.T) {
 	wrong := filepath.Join(t.TempDir(), "wrong.jsonc")
 	NewWithT(t).Expect(os.WriteFile(wrong, []byte("{ \"Nodes\": 1 }"), 0o600)).To(Succeed())
 	calls := filepath.Join("..", "..", "internal", "state", "explainer", "testdata", "calls.log")
 	for _, c := range []struct {
-		args      []string
-		code      int
-		complaint string
+		args          []string
+		code          int
+		stderrPattern string
 	}{
 		{[]string{"--version"}, exitOK, "^$"},
 		{[]string{"--help"}, exitOK, "^$"},
@@ -42,8 +42,8 @@
 		{[]string{"explain", "--request", "none", calls}, exitUsage, "no line of request none"},
 	} {
 		g := NewWithT(t)
-		var out, complaints bytes.Buffer
-		g.Expect(run(c.args, &out, &complaints)).To(Equal(c.code), "%v: %s", c.args, &complaints)
-		g.Expect(complaints.String()).To(MatchRegexp(c.complaint), "%v", c.args)
+		var out, stderr bytes.Buffer
+		g.Expect(run(c.args, &out, &stderr)).To(Equal(c.code), "%v: %s", c.args, &stderr)
+		g.Expect(stderr.String()).To(MatchRegexp(c.stderrPattern), "%v", c.args)
 	}
 }
--- a/cmd/marigoldpoint/model.go
+++ b/cmd/marigoldpoint/model.go
@@ -11,7 +11,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/modeler"
 )
 
-// modelCommand plays loads on the deciding parts on virtual time.
+// modelCommand simulates load patterns on the decision components in virtual time.
 type modelCommand struct {
 	Patterns []string `arg:"--pattern,separate" placeholder:"NAME" help:"pattern to play; all by default"`
 	Seeds    int      `default:"5" help:"number of seeds of each"`
@@ -24,7 +24,7 @@
 	if c.Seeds <= 0 {
 		return usageError{errors.NotValidf("--seeds %d", c.Seeds)}
 	}
-	patterns, without, err := c.chosen()
+	patterns, without, err := c.selection()
 	if err != nil {
 		return usageError{err}
 	}
@@ -44,8 +44,8 @@
 	return errors.Trace(modeler.WriteTable(out, rows))
 }
 
-// chosen returns the patterns, and the sets of mechanisms to do without.
-func (c *modelCommand) chosen() ([]modeler.Pattern, [][]modeler.Mechanism, error) {
+// selection returns the patterns to simulate and the sets of mechanisms to switch off.
+func (c *modelCommand) selection() ([]modeler.Pattern, [][]modeler.Mechanism, error) {
 	patterns := modeler.Patterns()
 	if len(c.Patterns) > 0 {
 		patterns = nil
@@ -57,18 +57,18 @@
 		}
 		patterns = append(patterns, p)
 	}
-	var off []modeler.Mechanism
+	var excluded []modeler.Mechanism
 	for _, name := range c.Without {
 		m, err := modeler.FindMechanism(name)
 		if err != nil {
 			return nil, nil, err
 		}
-		off = append(off, m)
+		excluded = append(excluded, m)
 	}
-	sets := [][]modeler.Mechanism{off}
+	sets := [][]modeler.Mechanism{excluded}
 	if c.Each {
 		for _, m := range modeler.Mechanisms() {
-			sets = append(sets, append(off[:len(off):len(off)], m))
+			sets = append(sets, append(excluded[:len(excluded):len(excluded)], m))
 		}
 	}
 	return patterns, sets, nil
--- a/cmd/marigoldpoint/platform.go
+++ b/cmd/marigoldpoint/platform.go
@@ -9,7 +9,7 @@
 	"marigoldpoint.example/marigoldpoint/platform"
 )
 
-// platformCommand runs the roles that the users' platform asks for.
+// platformCommand runs the roles that the users' platform names in its settings.
 type platformCommand struct {
 	MetricsPort int `arg:"--metrics-port" help:"port of the metrics; 0 means the third of the project's range"`
 }
--- a/cmd/marigoldpoint/probe.go
+++ b/cmd/marigoldpoint/probe.go
@@ -9,13 +9,13 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// probeCommand groups the measurements of what each thing costs.
+// probeCommand groups the commands that measure resource costs.
 type probeCommand struct {
 	Nodes   *probeNodesCommand   `arg:"subcommand:nodes" help:"measure what nodes cost the control hosts"`
 	Streams *probeStreamsCommand `arg:"subcommand:streams" help:"measure what streams cost an entry and a companion"`
 }
 
-// probeNodesCommand measures what nodes cost the control hosts.
+// probeNodesCommand measures the cost of nodes to the control hosts.
 type probeNodesCommand struct {
 	Settings   string        `arg:"required" placeholder:"FILE" help:"settings file that names the control hosts and their group"`
 	Phase      string        `arg:"required" placeholder:"NAME" help:"idle, changes, renewals, loads, reports, claims or permits"`
@@ -34,7 +34,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	file, err := configurer.Load(c.Settings)
+	settings, err := configurer.Load(c.Settings)
 	if err != nil {
 		return usageError{err}
 	}
@@ -43,7 +43,7 @@
 	for n := range c.Repeat {
 		for _, size := range c.Sizes {
 			row, err := prober.Run(ctx, prober.Settings{
-				Hosts: file.ControlHosts, Group: file.Control.Group, Processes: c.Processes, Phase: phase,
+				Hosts: settings.ControlHosts, Group: settings.Control.Group, Processes: c.Processes, Phase: phase,
 				Entries: c.Entries, Companions: c.Companions, Window: c.Window, Rate: c.Rate,
 				HeartbeatInterval: c.Heartbeat, Seed: uint64(n + 1),
 			}, size)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// probeStreamsCommand measures what streams cost an entry and a companion.
+// probeStreamsCommand measures the cost of streams to an entry and a companion.
 type probeStreamsCommand struct {
 	Settings  string        `arg:"required" placeholder:"FILE" help:"settings file that names the control hosts and their group"`
 	Entry     string        `arg:"required" placeholder:"IP:PORT" help:"callers' listener of an entry"`
@@ -70,16 +70,16 @@
 }
 
 func (c *probeStreamsCommand) run(ctx context.Context, out io.Writer) error {
-	file, err := configurer.Load(c.Settings)
+	settings, err := configurer.Load(c.Settings)
 	if err != nil {
 		return usageError{err}
 	}
 	s := prober.StreamSettings{
-		Hosts: file.ControlHosts, Group: file.Control.Group, Entry: c.Entry, Processes: c.Processes, Window: c.Window,
+		Hosts: settings.ControlHosts, Group: settings.Control.Group, Entry: c.Entry, Processes: c.Processes, Window: c.Window,
 	}
-	preparing, cancel := context.WithTimeout(ctx, inForceTimeout)
+	prepareCtx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	if err := prober.PrepareStreams(preparing, s); err != nil {
+	if err := prober.PrepareStreams(prepareCtx, s); err != nil {
 		return err
 	}
 	var rows []prober.StreamRow
--- a/cmd/marigoldpoint/resource.go
+++ b/cmd/marigoldpoint/resource.go
@@ -12,7 +12,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/requester"
 )
 
-// resourceCommand groups the commands over resources.
+// resourceCommand groups the commands for resources.
 type resourceCommand struct {
 	Get    *resourceGetCommand    `arg:"subcommand:get" help:"print a resource, a list, or a workspace"`
 	Put    *resourcePutCommand    `arg:"subcommand:put" help:"declare a resource"`
@@ -22,13 +22,13 @@
 	Import *resourceImportCommand `arg:"subcommand:import" help:"declare what export printed"`
 }
 
-// listenerArguments name the listener asked.
+// listenerArguments are the address of an operators' listener and the key for it.
 type listenerArguments struct {
 	Operator string `arg:"required" placeholder:"IP:PORT" help:"operators' listener"`
 	KeyFile  string `arg:"--key-file" placeholder:"FILE" help:"file with the operators' bearer key"`
 }
 
-// operatorArguments name the listener asked and the resource meant.
+// operatorArguments are the operators' listener and the path of a resource.
 type operatorArguments struct {
 	listenerArguments
 	Path string `arg:"positional,required" placeholder:"PATH" help:"WORKSPACE, WORKSPACE/KIND or WORKSPACE/KIND/NAME; kinds are adapters, versions, priorityrules, services, keys"`
@@ -42,8 +42,8 @@
 	return requester.NewClient(requester.Settings{Address: a.Operator, Key: key}), nil
 }
 
-// conditionArguments are what a change asks of the resource as it is.
-type conditionArguments struct {
+// preconditionArguments are the preconditions of a change and its idempotency key.
+type preconditionArguments struct {
 	IfMatch        uint64 `arg:"--if-match" placeholder:"REVISION" help:"refuse unless the resource has this revision"`
 	IdempotencyKey string `arg:"--idempotency-key" placeholder:"KEY" help:"identity of the change, to send it again after a lost answer"`
 }
@@ -63,7 +63,7 @@
 // resourcePutCommand declares a resource.
 type resourcePutCommand struct {
 	operatorArguments
-	conditionArguments
+	preconditionArguments
 	Create bool   `help:"refuse where the resource exists"`
 	File   string `default:"-" placeholder:"FILE" help:"document to declare; - reads standard input"`
 }
@@ -83,10 +83,10 @@
 	return printDocument(out, accepted, err)
 }
 
-// resourceDeleteCommand ends a resource.
+// resourceDeleteCommand deletes a resource.
 type resourceDeleteCommand struct {
 	operatorArguments
-	conditionArguments
+	preconditionArguments
 }
 
 func (c *resourceDeleteCommand) run(ctx context.Context, out io.Writer) error {
@@ -98,7 +98,7 @@
 	return printDocument(out, deletion, err)
 }
 
-// resourceWatchCommand prints changes.
+// resourceWatchCommand prints changes as they occur.
 type resourceWatchCommand struct {
 	operatorArguments
 	After uint64 `placeholder:"REVISION" help:"begin after this revision; by default with the next change"`
@@ -112,7 +112,7 @@
 	return client.Watch(ctx, c.Path, c.After, out)
 }
 
-// resourceExportCommand prints a back-up.
+// resourceExportCommand prints a backup of all declared resources.
 type resourceExportCommand struct{ listenerArguments }
 
 func (c *resourceExportCommand) run(ctx context.Context, out io.Writer) error {
@@ -124,7 +124,7 @@
 	return errors.Trace(err)
 }
 
-// resourceImportCommand declares what is in a back-up.
+// resourceImportCommand declares the resources of a backup.
 type resourceImportCommand struct {
 	listenerArguments
 	Identity string `placeholder:"TEXT" help:"identity of an import that broke off, to go on with it"`
--- a/cmd/marigoldpoint/serve.go
+++ b/cmd/marigoldpoint/serve.go
@@ -17,7 +17,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/starter"
 )
 
-// serveCommand runs the roles that a settings file names.
+// serveCommand runs the roles listed in a settings file.
 type serveCommand struct {
 	Settings string `arg:"required" placeholder:"FILE" help:"settings file"`
 }
@@ -30,33 +30,33 @@
 	log := newLog(s, out)
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	p, err := starter.NewProcess(starter.Settings{Configuration: s, Registry: registry, Log: log}) //nolint:contextcheck // A signal begins a planned stop, it does not cut.
+	p, err := starter.NewProcess(starter.Settings{Configuration: s, Registry: registry, Log: log}) //nolint:contextcheck // A signal begins a graceful stop, it does not cancel the process.
 	if err != nil {
 		return err
 	}
 	log.Info().Str("FailureDomain", s.FailureDomain).Msg("serving")
 	select {
 	case <-ctx.Done():
-		return stopProcess(p, log) //nolint:contextcheck // The first signal has ended ctx; a second ends the stop.
+		return stopProcess(p, log) //nolint:contextcheck // The first signal has ended ctx; a second cancels the stop.
 	case err := <-p.Failed():
-		log.Error().Err(err).Msg("the process can't go on")
+		log.Error().Err(err).Msg("fatal error; closing the process")
 		return stderrors.Join(err, p.Close())
 	}
 }
 
-// stopProcess stops as planned; a second signal ends at once.
+// stopProcess stops the process gracefully. A second signal closes it at once.
 func stopProcess(p *starter.Process, log zerolog.Logger) error {
-	again, restore := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	signalCtx, restore := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer restore()
 	log.Info().Msg("stopping")
-	if err := stderrors.Join(p.Stop(again), p.Close()); err != nil {
-		return errors.Annotate(err, "the stop was not clean")
+	if err := stderrors.Join(p.Stop(signalCtx), p.Close()); err != nil {
+		return errors.Annotate(err, "graceful stop failed")
 	}
 	log.Info().Msg("stopped")
 	return nil
 }
 
-// newLog returns the process's log.
+// newLog returns the logger of the process.
 func newLog(s configurer.Settings, out io.Writer) zerolog.Logger {
 	if s.Log.Format == configurer.LogFormatConsole {
 		out = zerolog.ConsoleWriter{Out: out}
--- a/cmd/marigoldpoint/settings.go
+++ b/cmd/marigoldpoint/settings.go
@@ -8,7 +8,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// settingsCommand groups the commands over settings files.
+// settingsCommand groups the commands for settings files.
 type settingsCommand struct {
 	Check *settingsCheckCommand `arg:"subcommand:check" help:"check settings files without running them"`
 }
--- a/cmd/marigoldpoint/standin.go
+++ b/cmd/marigoldpoint/standin.go
@@ -19,14 +19,14 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// standinCommand groups the stand-ins for what the system serves.
+// standinCommand groups the stand-ins for backend servers and the weight store.
 type standinCommand struct {
 	Engine  *standinEngineCommand  `arg:"subcommand:engine" help:"run a stand-in model engine"`
 	Service *standinServiceCommand `arg:"subcommand:service" help:"run a stand-in plain service"`
 	Store   *standinStoreCommand   `arg:"subcommand:store" help:"run a stand-in weight store"`
 }
 
-// standinEngineCommand runs a model engine's stand-in.
+// standinEngineCommand runs a stand-in model engine.
 type standinEngineCommand struct {
 	Listen        string  `arg:"required" placeholder:"IP:PORT" help:"address to serve on"`
 	BaseModel     string  `arg:"--base-model" default:"base" help:"name of the base model"`
@@ -50,11 +50,11 @@
 		TimeScale:     c.TimeScale,
 		Seed:          c.Seed,
 	})
-	return serveStandin(ctx, out, "engine", c.Listen, engine, announcement{
+	return serveStandin(ctx, out, "engine", c.Listen, engine, announceSettings{
 		companion: c.Announce, keyFile: c.KeyFile,
-		current: func(ctx context.Context, bound string) (announcer.Announcement, error) {
-			// The engine's own state is read each time: a stand-in that was told to
-			// restart has another incarnation.
+		describe: func(ctx context.Context, bound string) (announcer.Announcement, error) {
+			// The state of the engine is read for each announcement, since a simulated
+			// restart changes its incarnation.
 			client := orderer.NewEngine(orderer.Settings{Address: bound})
 			defer client.Close()
 			s, err := client.State(ctx)
@@ -66,7 +66,7 @@
 	})
 }
 
-// standinServiceCommand runs a plain service's stand-in.
+// standinServiceCommand runs a stand-in plain service.
 type standinServiceCommand struct {
 	Listen   string        `arg:"required" placeholder:"IP:PORT" help:"address to serve on"`
 	Delay    time.Duration `help:"time that each call takes"`
@@ -78,9 +78,9 @@
 func (c *standinServiceCommand) run(ctx context.Context, out io.Writer) error {
 	service := responder.NewService(responder.Settings{Name: c.Name, Faults: responder.Faults{Delay: c.Delay}})
 	incarnation := rand.Text()
-	return serveStandin(ctx, out, "service", c.Listen, service, announcement{
+	return serveStandin(ctx, out, "service", c.Listen, service, announceSettings{
 		companion: c.Announce, keyFile: c.KeyFile,
-		current: func(_ context.Context, bound string) (announcer.Announcement, error) {
+		describe: func(_ context.Context, bound string) (announcer.Announcement, error) {
 			return announcer.Announcement{
 				Address: bound, Kind: configurer.BackendKindService, Service: c.Name, Incarnation: incarnation,
 			}, nil
@@ -88,7 +88,7 @@
 	})
 }
 
-// standinStoreCommand runs a weight store's stand-in.
+// standinStoreCommand runs a stand-in weight store.
 type standinStoreCommand struct {
 	Listen string        `arg:"required" placeholder:"IP:PORT" help:"address to serve on"`
 	Rate   int           `default:"4" help:"loads that may start in a second"`
@@ -97,7 +97,7 @@
 
 func (c *standinStoreCommand) run(ctx context.Context, out io.Writer) error {
 	store := weigher.NewStore(weigher.Settings{Rate: c.Rate, FullSpeedTime: c.Time})
-	return serveStandin(ctx, out, "store", c.Listen, store, announcement{})
+	return serveStandin(ctx, out, "store", c.Listen, store, announceSettings{})
 }
 
 // standin is a stand-in that can be served on an address.
@@ -106,18 +106,19 @@
 	Close() error
 }
 
-// announcement is how a stand-in announces itself.
-type announcement struct {
-	// companion is the address announced to; empty for a stand-in that doesn't.
+// announceSettings are the settings with which a stand-in announces itself.
+type announceSettings struct {
+	// companion is the address of the companion's operators' listener; empty for a
+	// stand-in that does not announce itself.
 	companion string
-	// keyFile holds the operators' key; empty where none is needed.
+	// keyFile is the path of the operators' key; empty if none is needed.
 	keyFile string
-	// current returns what is true now of the stand-in served on bound.
-	current func(ctx context.Context, bound string) (announcer.Announcement, error)
+	// describe returns the current announcement of the stand-in that listens on bound.
+	describe func(ctx context.Context, bound string) (announcer.Announcement, error)
 }
 
-// repeat announces until ctx ends, and prints each change of the result.
-func (a announcement) repeat(ctx context.Context, out io.Writer, bound string) error {
+// run sends announcements periodically until ctx ends and prints each change of the result.
+func (a announceSettings) run(ctx context.Context, out io.Writer, bound string) error {
 	client := announcer.Client{Companion: a.companion, HTTP: &http.Client{}}
 	if a.keyFile != "" {
 		var err error
@@ -125,8 +126,8 @@
 			return usageError{err}
 		}
 	}
-	current := func(ctx context.Context) (announcer.Announcement, error) { return a.current(ctx, bound) }
-	client.Repeat(ctx, announcer.DefaultInterval, current, func(err error) {
+	describe := func(ctx context.Context) (announcer.Announcement, error) { return a.describe(ctx, bound) }
+	client.Repeat(ctx, announcer.DefaultInterval, describe, func(err error) {
 		if err != nil {
 			fmt.Fprintf(out, "not accepted by the companion: %v\n", err)
 			return
@@ -136,14 +137,14 @@
 	return nil
 }
 
-func serveStandin(ctx context.Context, out io.Writer, name, address string, s standin, a announcement) error {
+func serveStandin(ctx context.Context, out io.Writer, name, address string, s standin, a announceSettings) error {
 	bound, err := s.Listen(address)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	fmt.Fprintf(out, "stand-in %s on %s\n", name, bound)
 	if a.companion != "" {
-		if err := a.repeat(ctx, out, bound); err != nil {
+		if err := a.run(ctx, out, bound); err != nil {
 			return stderrors.Join(err, s.Close())
 		}
 	}
--- a/cmd/marigoldpoint/timeline.go
+++ b/cmd/marigoldpoint/timeline.go
@@ -8,7 +8,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/inspector"
 )
 
-// timelineCommand merges the events of several processes.
+// timelineCommand merges the events of several processes into one time line.
 type timelineCommand struct {
 	Operators []string `arg:"positional,required" placeholder:"IP:PORT" help:"operators' listeners of the processes"`
 	Request   string   `help:"only the events of one request"`
@@ -28,7 +28,7 @@
 	return t.WriteText(out)
 }
 
-// readKey returns the bearer key in a file; no file means no key.
+// readKey reads a bearer key from a file. It returns no key if path is empty.
 func readKey(path string) (string, error) {
 	if path == "" {
 		return "", nil
