--- a/example_test.go
+++ b/example_test.go
@@ -8,7 +8,7 @@
 	"marigoldpoint.example/marigoldpoint"
 )
 
-// noon is the time at which the examples begin.
+// noon is the start time of the examples.
 var noon = time.Date(2026, time.March, 2, 12, 0, 0, 0, time.UTC)
 
 func ExampleRouter() {
@@ -53,7 +53,7 @@
 
 func ExamplePermitTable() {
 	t := marigoldpoint.NewPermitTable(marigoldpoint.PermitSettings{Rate: 4}, 3, noon, nil)
-	later := noon.Add(time.Minute) // A new leader first waits out its predecessor's permits.
+	later := noon.Add(time.Minute) // A new leader grants nothing until its predecessor's permits have expired.
 	t.Request(later, marigoldpoint.PermitRequest{Companion: "engine-1", Workspace: "portal", Version: "portal/a@v1", Waiters: 1})
 	t.Request(later, marigoldpoint.PermitRequest{Companion: "engine-2", Workspace: "portal", Version: "portal/b@v1", Waiters: 5})
 
--- a/routing.go
+++ b/routing.go
@@ -6,21 +6,21 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// The parts of routing.
+// The components of routing.
 type (
-	// Router chooses backend servers; several goroutines may use it.
+	// Router chooses backend servers. It is safe for concurrent use.
 	Router = router.Router
 	// RouterSettings are a Router's options.
 	RouterSettings = router.Settings
-	// RoutedCall is what a choice is made for.
+	// RoutedCall is a call for which a Router chooses a backend server.
 	RoutedCall = router.Call
-	// RoutingPool names the backend servers which can run the same calls.
+	// RoutingPool identifies a set of backend servers that can run the same calls.
 	RoutingPool = router.Pool
-	// RoutingDecision is the caller's storage for a choice and its reasons.
+	// RoutingDecision is caller-provided storage for a choice and its reasons.
 	RoutingDecision = router.Decision
-	// RoutingEnding tells a Router how a call ended.
+	// RoutingEnding is the result of a call, reported to a Router.
 	RoutingEnding = router.CallResult
-	// Member is a backend server with its announcement.
+	// Member is a backend server and its announcement.
 	Member = indexer.Member
 	// MemberSpec is the announcement of a backend server.
 	MemberSpec = storer.MemberSpec
--- a/slots.go
+++ b/slots.go
@@ -7,28 +7,28 @@
 	"marigoldpoint.example/marigoldpoint/internal/coordination/scheduler"
 )
 
-// The parts beside one engine.
+// The components of an engine's companion.
 type (
 	// SlotTable decides which adapter versions an engine holds.
 	SlotTable = loader.Table
 	// SlotSettings are a SlotTable's options.
 	SlotSettings = loader.Settings
-	// SlotWant is a request that needs a version.
+	// SlotWant is a request that needs an adapter version.
 	SlotWant = loader.Want
-	// SlotAction is what a SlotTable asks its owner to do: one of PermitAction,
-	// LoadAction, UnloadAction, ReadyAction, FailAction and their like.
+	// SlotAction is an action that the owner of a SlotTable must carry out: one of
+	// PermitAction, LoadAction, UnloadAction, ReadyAction, FailAction or a similar type.
 	SlotAction = loader.Action
-	// PermitAction asks for a load permit.
+	// PermitAction requests a load permit.
 	PermitAction = loader.PermitAction
-	// LoadAction asks to order a load.
+	// LoadAction orders a load.
 	LoadAction = loader.LoadAction
-	// UnloadAction asks to order an eviction.
+	// UnloadAction orders an eviction.
 	UnloadAction = loader.UnloadAction
-	// ReadyAction tells that a request's version is resident and pinned.
+	// ReadyAction reports that a request's version is resident and pinned.
 	ReadyAction = loader.ReadyAction
-	// FailAction tells that a request's version can't be had.
+	// FailAction reports that a request's version can't be made resident.
 	FailAction = loader.FailAction
-	// FairQueue holds the requests that wait for a place in one batch.
+	// FairQueue holds the requests that wait for a place in an engine's batch.
 	FairQueue = scheduler.Queue
 	// FairQueueSettings are a FairQueue's options.
 	FairQueueSettings = scheduler.Settings
@@ -36,8 +36,8 @@
 	QueuedItem = scheduler.Item
 )
 
-// NewSlotTable returns the table of an empty engine. Its orders' fencing numbers
-// rise from the membership's epoch.
+// NewSlotTable returns the table of an empty engine. The fencing numbers of its orders
+// increase from the membership's epoch.
 func NewSlotTable(s SlotSettings, epoch uint64, random *rand.Rand) *SlotTable {
 	return loader.NewTable(s, epoch, random)
 }
