--- a/cmd/marigoldpoint/load.go
+++ b/cmd/marigoldpoint/load.go
@@ -224,7 +224,7 @@
 	return errors.Annotate(err, path)
 }
 
-// isTerminal reports whether out is a character device, which is taken to be a terminal.
+// isTerminal reports whether out is a character device and thus presumably a terminal.
 func isTerminal(out io.Writer) bool {
 	f, ok := out.(*os.File)
 	if !ok {
