--- a/internal/transport/attendant/ordering.go
+++ b/internal/transport/attendant/ordering.go
@@ -50,7 +50,7 @@
 }
 
 // applyEvent passes the outcome of an order to the table and carries out the actions that
-// follow. It calls event under mu.
+// follow. It locks mu while it calls event.
 func (a *Attendant) applyEvent(event func(now time.Time) []loader.Action) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
