--- a/cmd/marigoldpoint/load.go
+++ b/cmd/marigoldpoint/load.go
@@ -112,7 +112,7 @@
 		},
 		WarmUp:        c.WarmUp,
 		AllowRemote:   c.Remote,
-		UncheckedText: c.NoText,
+		SkipTextCheck: c.NoText,
 		Label:         c.Label,
 	}
 	var err error
@@ -170,7 +170,7 @@
 func (c *loadCommand) awaitInForce(ctx context.Context, s *driver.Settings) error {
 	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	return errors.Annotate(driver.AwaitInForce(ctx, &s.Workload, s.Keys, s.Entries), "the workload is not in force")
+	return errors.Annotate(driver.WaitAdaptersListed(ctx, &s.Workload, s.Keys, s.Entries), "the workload is not in force")
 }
 
 // prepare declares the workload, or reads the keys of a run that did.
--- a/internal/standin/demonstrator/run.go
+++ b/internal/standin/demonstrator/run.go
@@ -157,7 +157,7 @@
 func (r Run) inForce(ctx context.Context, d *Deployment, keys []driver.WorkspaceKey) error {
 	ctx, cancel := context.WithTimeout(ctx, readyLimit)
 	defer cancel()
-	return driver.AwaitInForce(ctx, &r.Workload, keys, d.entries())
+	return driver.WaitAdaptersListed(ctx, &r.Workload, keys, d.entries())
 }
 
 // entries returns the entries as the driver reaches them.
--- a/internal/standin/driver/collector.go
+++ b/internal/standin/driver/collector.go
@@ -16,7 +16,7 @@
 }
 
 func newCollector(s *Settings) *collector {
-	return &collector{settings: s, checker: NewChecker(!s.UncheckedText), tally: NewTally(&s.Workload, s.Interval, s.WarmUp)}
+	return &collector{settings: s, checker: NewChecker(!s.SkipTextCheck), tally: NewTally(&s.Workload, s.Interval, s.WarmUp)}
 }
 
 // collect takes in results and samples until both channels are closed.
@@ -133,7 +133,7 @@
 		MaxCalls:        s.Schedule.MaxCalls,
 		MaxInFlight:     s.MaxInFlight,
 		Balance:         s.Balance,
-		CheckText:       !s.UncheckedText,
+		CheckText:       !s.SkipTextCheck,
 		Rate:            w.Rate,
 		ZipfExponent:    w.ZipfExponent,
 		ShiftAt:         w.ShiftAt,
--- a/internal/standin/driver/inforce.go
+++ b/internal/standin/driver/inforce.go
@@ -15,10 +15,10 @@
 
 const inForcePause = 50 * time.Millisecond
 
-// AwaitInForce waits until every entry lists all adapters of the workload, with
+// WaitAdaptersListed waits until every entry lists all adapters of the workload, with
 // their current versions, to each workspace's key. It returns the last reason to
 // wait where ctx ends first.
-func AwaitInForce(ctx context.Context, w *Workload, keys []WorkspaceKey, entries []Entry) error {
+func WaitAdaptersListed(ctx context.Context, w *Workload, keys []WorkspaceKey, entries []Entry) error {
 	bearer, err := bearers(w, keys)
 	if err != nil {
 		return err
--- a/internal/standin/driver/observer.go
+++ b/internal/standin/driver/observer.go
@@ -87,10 +87,10 @@
 
 // Counters are what an engine or its companion counted.
 type Counters struct {
-	// Places counts the places of the batch over the steps that ran, or over the
-	// samples of a companion; Taken counts those taken.
-	Places float64
-	Taken  float64
+	// BatchCapacity counts the places of the batch over the steps that ran, or over the
+	// samples of a companion; BatchUsed counts those taken.
+	BatchCapacity float64
+	BatchUsed     float64
 	// Loads, FailedLoads, Evictions and NeededAgain are a companion's. It counts an
 	// eviction as needed again within a minute.
 	Loads       float64
@@ -102,8 +102,8 @@
 // recorded returns the observation of an engine that keeps a record.
 func recorded(r *generator.Record, maxBatch int) EngineObservation {
 	return EngineObservation{Record: r, Counters: Counters{
-		Places: float64(r.Steps) * float64(maxBatch),
-		Taken:  float64(r.SequenceSteps),
+		BatchCapacity: float64(r.Steps) * float64(maxBatch),
+		BatchUsed:     float64(r.SequenceSteps),
 	}}
 }
 
@@ -174,8 +174,8 @@
 	}
 	var c Counters
 	for _, m := range families["marigoldpoint_batch_fill_ratio"].GetMetric() {
-		c.Places += float64(m.GetHistogram().GetSampleCount())
-		c.Taken += m.GetHistogram().GetSampleSum()
+		c.BatchCapacity += float64(m.GetHistogram().GetSampleCount())
+		c.BatchUsed += m.GetHistogram().GetSampleSum()
 	}
 	c.Loads = counter(families["marigoldpoint_slot_loads_total"])
 	c.FailedLoads = counter(families["marigoldpoint_slot_load_failures_total"])
@@ -252,8 +252,8 @@
 func (o *Observation) counted(before *Observation) Counters {
 	var sum Counters
 	add := func(c *Counters, sign float64) {
-		sum.Places += sign * c.Places
-		sum.Taken += sign * c.Taken
+		sum.BatchCapacity += sign * c.BatchCapacity
+		sum.BatchUsed += sign * c.BatchUsed
 		sum.Loads += sign * c.Loads
 		sum.FailedLoads += sign * c.FailedLoads
 		sum.Evictions += sign * c.Evictions
@@ -272,9 +272,9 @@
 // where no step ran.
 func batchFill(before, after *Observation) *float64 {
 	sum := after.counted(before)
-	if sum.Places <= 0 {
+	if sum.BatchCapacity <= 0 {
 		return nil
 	}
-	fill := sum.Taken / sum.Places
+	fill := sum.BatchUsed / sum.BatchCapacity
 	return &fill
 }
--- a/internal/standin/driver/report_test.go
+++ b/internal/standin/driver/report_test.go
@@ -55,7 +55,7 @@
 	}
 	after.Engines = []driver.EngineObservation{{
 		Record:   &r,
-		Counters: driver.Counters{Places: 16 * float64(r.Steps), Taken: float64(r.SequenceSteps)},
+		Counters: driver.Counters{BatchCapacity: 16 * float64(r.Steps), BatchUsed: float64(r.SequenceSteps)},
 	}}
 	var fills []float64
 	for i := range int(length / time.Second) {
--- a/internal/standin/driver/settings.go
+++ b/internal/standin/driver/settings.go
@@ -23,9 +23,9 @@
 	Observed []Observed
 	// AllowRemote lets calls go beyond the loopback.
 	AllowRemote bool
-	// UncheckedText leaves the text of answers uncompared, for engines other than
+	// SkipTextCheck leaves the text of answers uncompared, for engines other than
 	// the stand-ins.
-	UncheckedText bool
+	SkipTextCheck bool
 	// MaxInFlight bounds the calls in progress; 4096 by default. A call that waits
 	// for its turn is late, and its latency counts the wait.
 	MaxInFlight int
