--- a/cmd/marigoldpoint/probe.go
+++ b/cmd/marigoldpoint/probe.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	prober.WriteHead(out)
+	prober.WriteHeader(out)
 	var rows []prober.Row
 	for n := range c.Repeat {
 		for _, size := range c.Sizes {
--- a/internal/standin/prober/crowd.go
+++ b/internal/standin/prober/crowd.go
@@ -24,8 +24,8 @@
 // ringSize is the number of events that a light client keeps.
 const ringSize = 64
 
-// CrowdSettings are the options of a Crowd.
-type CrowdSettings struct {
+// ClientGroupSettings are the options of a ClientGroup.
+type ClientGroupSettings struct {
 	// Hosts are the control hosts, and Group the name of their group.
 	Hosts []configurer.ControlHost
 	Group string
@@ -40,22 +40,22 @@
 // Traffic counts the bytes on the connections of one kind of clients.
 type Traffic struct{ Read, Written atomic.Int64 }
 
-// Crowd is a number of light clients in one process.
-type Crowd struct {
+// ClientGroup is a number of light clients in one process.
+type ClientGroup struct {
 	// Entries hold the whole configuration, Companions their part of it.
-	Entries    []*Light
-	Companions []*Light
+	Entries    []*LightClient
+	Companions []*LightClient
 	// EntryTraffic and CompanionTraffic are the bytes of each kind together.
 	EntryTraffic, CompanionTraffic Traffic
 	// DigestEntries counts the backend servers' states that reached entries.
 	DigestEntries atomic.Int64
 }
 
-// Light is one client of a Crowd.
-type Light struct {
+// LightClient is one client of a ClientGroup.
+type LightClient struct {
 	*subscriber.Client
 	Name  string
-	Index *Watched
+	Index *TimedIndex
 	// Lease is a companion's membership after Join.
 	Lease registrar.Lease
 }
@@ -78,12 +78,12 @@
 	return n, err
 }
 
-// NewCrowd starts the clients. They connect in their own time: see Settle.
-func NewCrowd(s CrowdSettings) *Crowd {
+// NewClientGroup starts the clients. They connect in their own time: see WaitLeases.
+func NewClientGroup(s ClientGroupSettings) *ClientGroup {
 	if s.Random == nil || len(s.Hosts) == 0 {
 		panic("prober: NewCrowd needs control hosts and a random source")
 	}
-	c := &Crowd{}
+	c := &ClientGroup{}
 	for i := range s.Entries {
 		l := s.client(fmt.Sprintf("%sentry-%d", s.Prefix, i), i, distributor.ScopeEntry, &c.EntryTraffic)
 		l.OnDigest(func(d registrar.Digest) { c.DigestEntries.Add(int64(len(d.Servers))) })
@@ -95,9 +95,9 @@
 	return c
 }
 
-func (s CrowdSettings) client(name string, i int, scope distributor.Scope, t *Traffic) *Light {
+func (s ClientGroupSettings) client(name string, i int, scope distributor.Scope, t *Traffic) *LightClient {
 	h := s.Hosts[i%len(s.Hosts)]
-	l := &Light{Name: name, Index: &Watched{Index: indexer.NewIndex(indexer.Settings{})}}
+	l := &LightClient{Name: name, Index: &TimedIndex{Index: indexer.NewIndex(indexer.Settings{})}}
 	l.Client = subscriber.NewClient(subscriber.Settings{
 		Node: name, Region: h.Region, FailureDomain: h.FailureDomain, Group: s.Group, Scope: scope,
 		Hosts: s.Hosts, Index: l.Index,
@@ -117,11 +117,11 @@
 // settlePoll is the time between two looks at the clients' leases.
 const settlePoll = 50 * time.Millisecond
 
-// Settle returns once all clients trust what they hold.
-func (c *Crowd) Settle(ctx context.Context) error {
+// WaitLeases returns once all clients trust what they hold.
+func (c *ClientGroup) WaitLeases(ctx context.Context) error {
 	ticker := time.NewTicker(settlePoll)
 	defer ticker.Stop()
-	for _, kind := range [][]*Light{c.Entries, c.Companions} {
+	for _, kind := range [][]*LightClient{c.Entries, c.Companions} {
 		for _, l := range kind {
 			for !l.LeaseValid() {
 				select {
@@ -136,7 +136,7 @@
 }
 
 // Join has every companion join as a backend server.
-func (c *Crowd) Join(ctx context.Context) error {
+func (c *ClientGroup) Join(ctx context.Context) error {
 	for i, l := range c.Companions {
 		lease, err := l.Join(ctx, l.Name, storer.MemberSpec{
 			Kind: storer.MemberKindEngine, Address: fmt.Sprintf("127.0.0.1:%d", firstPort+i), BaseModel: "base",
@@ -158,7 +158,7 @@
 )
 
 // Close ends all clients, and their memberships.
-func (c *Crowd) Close(ctx context.Context) error {
+func (c *ClientGroup) Close(ctx context.Context) error {
 	var errs []error
 	for _, l := range c.Companions {
 		if l.Lease.Epoch != 0 {
--- a/internal/standin/prober/doc.go
+++ b/internal/standin/prober/doc.go
@@ -2,7 +2,7 @@
 // change, heartbeat, claim, load permit or stream costs a process in processor
 // time, memory and bytes on the wire.
 //
-// A Crowd is many light clients in one process, each with the code and the
+// A ClientGroup is many light clients in one process, each with the code and the
 // connection of a real node, against control hosts that run as processes of
 // their own. A Probe puts them through a Phase at several sizes and reads what
 // the processes used from the kernel's accounts; Fit draws the line. Processor
--- a/internal/standin/prober/phase.go
+++ b/internal/standin/prober/phase.go
@@ -59,7 +59,7 @@
 
 // work is a phase under way.
 type work struct {
-	crowd *Crowd
+	crowd *ClientGroup
 	// run names this window, so that no key is used twice.
 	run string
 
@@ -134,7 +134,7 @@
 )
 
 // Prepare declares what the phases need.
-func Prepare(ctx context.Context, l *Light) error {
+func Prepare(ctx context.Context, l *LightClient) error {
 	for _, r := range []storer.Resource{
 		{Kind: storer.KindWorkspace, Metadata: storer.Metadata{Workspace: workspaceName, Name: workspaceName}, Spec: storer.WorkspaceSpec{Share: 1}},
 		{Kind: storer.KindAdapter, Metadata: storer.Metadata{Workspace: workspaceName, Name: adapterName}, Spec: storer.AdapterSpec{BaseModel: "base"}},
--- a/internal/standin/prober/probe.go
+++ b/internal/standin/prober/probe.go
@@ -63,9 +63,9 @@
 type Cost struct {
 	// Window is the measured length.
 	Window time.Duration
-	// Hosts is the processor time of all control hosts, Own that of the crowd, in
+	// Hosts is the processor time of all control hosts, Clients that of the client group, in
 	// microseconds a second.
-	Hosts, Own float64
+	Hosts, Clients float64
 	// HostsWritten is what all control hosts write to connections and files, in
 	// bytes a second.
 	HostsWritten float64
@@ -80,7 +80,7 @@
 // minus returns what c used above base.
 func (c Cost) minus(base Cost) Cost {
 	c.Hosts -= base.Hosts
-	c.Own -= base.Own
+	c.Clients -= base.Clients
 	c.HostsWritten -= base.HostsWritten
 	c.EntryRead -= base.EntryRead
 	c.EntryWritten -= base.EntryWritten
@@ -93,23 +93,23 @@
 // Row is one measurement of a phase at a size.
 type Row struct {
 	Size int
-	// Rest is the window before the phase, with all clients connected. Work is
+	// Idle is the window before the phase, with all clients connected. Work is
 	// what the phase used above it.
-	Rest, Work Cost
+	Idle, Work Cost
 	// Events is the number of events a second of the phase.
 	Events float64
-	// Half and Worst are the median and the 99th percentile of the time that an
+	// Median and P99 are the median and the 99th percentile of the time that an
 	// event's caller waited; 0 for heartbeats.
-	Half, Worst time.Duration
-	// InForceHalf and InForceWorst are the same of the time from the acceptance of
+	Median, P99 time.Duration
+	// PropagationMedian and PropagationP99 are the same of the time from the acceptance of
 	// a change until every entry holds it.
-	InForceHalf, InForceWorst time.Duration
+	PropagationMedian, PropagationP99 time.Duration
 }
 
 // Run measures the phase once at a size.
 func Run(ctx context.Context, s Settings, size int) (Row, error) {
 	s = s.withDefaults()
-	cs := CrowdSettings{
+	cs := ClientGroupSettings{
 		Hosts: s.Hosts, Group: s.Group, Entries: s.Entries, Companions: s.Companions,
 		Prefix: fmt.Sprintf("probe-%d-%d-", size, s.Seed), Random: rand.New(rand.NewPCG(s.Seed, uint64(size))),
 	}
@@ -120,7 +120,7 @@
 		cs.Companions += size
 	case PhaseClaims, PhasePermits:
 	}
-	c := NewCrowd(cs) //nolint:contextcheck // Clients outlive the calls that they make.
+	c := NewClientGroup(cs) //nolint:contextcheck // Clients outlive the calls that they make.
 	row, err := s.measure(ctx, c, size)
 	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
@@ -130,9 +130,9 @@
 	return row, errors.Annotatef(err, "%v at size %d", s.Phase, size)
 }
 
-func (s Settings) measure(ctx context.Context, c *Crowd, size int) (Row, error) {
+func (s Settings) measure(ctx context.Context, c *ClientGroup, size int) (Row, error) {
 	row := Row{Size: size}
-	if err := c.Settle(ctx); err != nil {
+	if err := c.WaitLeases(ctx); err != nil {
 		return row, err
 	}
 	if len(c.Entries) > 0 {
@@ -141,7 +141,7 @@
 		}
 	}
 	var err error
-	if row.Rest, err = s.cost(c, func() { rest(ctx, s.Window) }); err != nil || s.Phase == PhaseIdle {
+	if row.Idle, err = s.cost(c, func() { rest(ctx, s.Window) }); err != nil || s.Phase == PhaseIdle {
 		return row, err
 	}
 	// Companions join after the rest: without renewals their leases run out.
@@ -155,10 +155,10 @@
 	if err != nil {
 		return row, err
 	}
-	row.Work = busy.minus(row.Rest)
+	row.Work = busy.minus(row.Idle)
 	row.Events = float64(w.events) / busy.Window.Seconds()
-	row.Half, row.Worst = quantiles(w.times)
-	row.InForceHalf, row.InForceWorst, err = inForce(ctx, c, w.changes)
+	row.Median, row.P99 = quantiles(w.times)
+	row.PropagationMedian, row.PropagationP99, err = inForce(ctx, c, w.changes)
 	if w.failed != nil {
 		err = w.failed
 	}
@@ -204,7 +204,7 @@
 }
 
 // cost measures what a window uses.
-func (s Settings) cost(c *Crowd, window func()) (Cost, error) {
+func (s Settings) cost(c *ClientGroup, window func()) (Cost, error) {
 	before, err := s.take(c)
 	if err != nil {
 		return Cost{}, err
@@ -219,7 +219,7 @@
 	cost := after.minus(before)
 	cost.Window = took
 	for _, v := range []*float64{
-		&cost.Hosts, &cost.Own, &cost.HostsWritten, &cost.EntryRead, &cost.EntryWritten, &cost.CompanionRead, &cost.CompanionWritten, &cost.DigestEntries,
+		&cost.Hosts, &cost.Clients, &cost.HostsWritten, &cost.EntryRead, &cost.EntryWritten, &cost.CompanionRead, &cost.CompanionWritten, &cost.DigestEntries,
 	} {
 		*v /= took.Seconds()
 	}
@@ -227,13 +227,13 @@
 }
 
 // take returns the sums since the beginning.
-func (s Settings) take(c *Crowd) (Cost, error) {
+func (s Settings) take(c *ClientGroup) (Cost, error) {
 	own, err := UsageOf(os.Getpid())
 	if err != nil {
 		return Cost{}, err
 	}
 	total := Cost{
-		Own:       microseconds(own.Processor),
+		Clients:   microseconds(own.Processor),
 		EntryRead: float64(c.EntryTraffic.Read.Load()), EntryWritten: float64(c.EntryTraffic.Written.Load()),
 		CompanionRead: float64(c.CompanionTraffic.Read.Load()), CompanionWritten: float64(c.CompanionTraffic.Written.Load()),
 		DigestEntries: float64(c.DigestEntries.Load()),
@@ -263,19 +263,19 @@
 
 // inForce returns the quantiles of the time from the acceptance of a change
 // until every entry holds it.
-func inForce(ctx context.Context, c *Crowd, changes []change) (half, worst time.Duration, err error) {
+func inForce(ctx context.Context, c *ClientGroup, changes []change) (half, worst time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var times []time.Duration
 	for _, ch := range changes {
 		last := ch.accepted
 		for _, l := range c.Entries {
-			at, ok := l.Index.HeldAt(ch.revision)
+			at, ok := l.Index.ReachedAt(ch.revision)
 			for !ok {
 				if rest(ctx, settlePoll); ctx.Err() != nil {
 					return 0, 0, errors.Annotatef(ctx.Err(), "%s lacks revision %d", l.Name, ch.revision)
 				}
-				at, ok = l.Index.HeldAt(ch.revision)
+				at, ok = l.Index.ReachedAt(ch.revision)
 			}
 			if at.After(last) {
 				last = at
--- a/internal/standin/prober/report.go
+++ b/internal/standin/prober/report.go
@@ -21,7 +21,7 @@
 }
 
 func hosts(r Row) float64 { return r.Work.Hosts }
-func own(r Row) float64   { return r.Work.Own }
+func own(r Row) float64   { return r.Work.Clients }
 
 func written(r Row) float64 { return r.Work.HostsWritten }
 
@@ -30,11 +30,11 @@
 	switch p {
 	case PhaseIdle:
 		return []slope{
-			{"control hosts, µs/s by client", bySize, func(r Row) float64 { return r.Rest.Hosts }},
-			{"clients, µs/s by client", bySize, func(r Row) float64 { return r.Rest.Own }},
-			{"read by clients, B/s by client", bySize, func(r Row) float64 { return r.Rest.EntryRead + r.Rest.CompanionRead }},
-			{"written by clients, B/s by client", bySize, func(r Row) float64 { return r.Rest.EntryWritten + r.Rest.CompanionWritten }},
-			{"private memory of the largest control host, B by client", bySize, func(r Row) float64 { return float64(r.Rest.Private) }},
+			{"control hosts, µs/s by client", bySize, func(r Row) float64 { return r.Idle.Hosts }},
+			{"clients, µs/s by client", bySize, func(r Row) float64 { return r.Idle.Clients }},
+			{"read by clients, B/s by client", bySize, func(r Row) float64 { return r.Idle.EntryRead + r.Idle.CompanionRead }},
+			{"written by clients, B/s by client", bySize, func(r Row) float64 { return r.Idle.EntryWritten + r.Idle.CompanionWritten }},
+			{"private memory of the largest control host, B by client", bySize, func(r Row) float64 { return float64(r.Idle.Private) }},
 		}
 	case PhaseChanges:
 		return []slope{
@@ -64,8 +64,8 @@
 	}
 }
 
-// WriteHead writes the heading of the rows.
-func WriteHead(out io.Writer) {
+// WriteHeader writes the heading of the rows.
+func WriteHeader(out io.Writer) {
 	fmt.Fprintf(out, "%6s %8s | %10s %10s | %10s %10s %10s %10s %10s %10s | %8s %8s %8s %8s | %8s\n",
 		"size", "events/s", "rest-host", "rest-own", "host µs/s", "own µs/s", "hostw B/s", "read B/s", "writ. B/s", "digest/s",
 		"p50", "p99", "force50", "force99", "host MB")
@@ -74,9 +74,9 @@
 // Write writes the row as one line. Read and written bytes are the clients'.
 func (r Row) Write(out io.Writer) {
 	fmt.Fprintf(out, "%6d %8.1f | %10.0f %10.0f | %10.0f %10.0f %10.0f %10.0f %10.0f %10.0f | %8s %8s %8s %8s | %8.1f\n",
-		r.Size, r.Events, r.Rest.Hosts, r.Rest.Own, r.Work.Hosts, r.Work.Own, r.Work.HostsWritten,
+		r.Size, r.Events, r.Idle.Hosts, r.Idle.Clients, r.Work.Hosts, r.Work.Clients, r.Work.HostsWritten,
 		r.Work.EntryRead+r.Work.CompanionRead, r.Work.EntryWritten+r.Work.CompanionWritten, r.Work.DigestEntries,
-		millis(r.Half), millis(r.Worst), millis(r.InForceHalf), millis(r.InForceWorst), float64(max(r.Rest.Private, r.Work.Private))/1e6)
+		millis(r.Median), millis(r.P99), millis(r.PropagationMedian), millis(r.PropagationP99), float64(max(r.Idle.Private, r.Work.Private))/1e6)
 }
 
 func millis(d time.Duration) string {
--- a/internal/standin/prober/streams.go
+++ b/internal/standin/prober/streams.go
@@ -45,8 +45,8 @@
 	// Answers and Pieces are counts a second.
 	Answers, Pieces float64
 	// Processor is the time of each process above rest in microseconds a second,
-	// and Rest that without callers.
-	Processor, Rest []float64
+	// and Idle that without callers.
+	Processor, Idle []float64
 	// Private is the private memory of each process at the end, in bytes.
 	Private []float64
 }
@@ -59,11 +59,11 @@
 
 // PrepareStreams declares what callers need and waits until an entry serves it.
 func PrepareStreams(ctx context.Context, s StreamSettings) error {
-	c := NewCrowd(CrowdSettings{Hosts: s.Hosts, Group: s.Group, Entries: 1, Prefix: "prepare-", Random: rand.New(rand.NewPCG(1, 1))}) //nolint:contextcheck // Clients outlive calls.
+	c := NewClientGroup(ClientGroupSettings{Hosts: s.Hosts, Group: s.Group, Entries: 1, Prefix: "prepare-", Random: rand.New(rand.NewPCG(1, 1))}) //nolint:contextcheck // Clients outlive calls.
 	return stderrors.Join(s.prepare(ctx, c.Entries[0]), c.Close(ctx))
 }
 
-func (s StreamSettings) prepare(ctx context.Context, l *Light) error {
+func (s StreamSettings) prepare(ctx context.Context, l *LightClient) error {
 	if err := Prepare(ctx, l); err != nil {
 		return err
 	}
@@ -135,8 +135,8 @@
 	cancel()
 	callers.Wait()
 	for i := range busy {
-		row.Rest = append(row.Rest, microseconds(idle[i].Processor)/s.Window.Seconds())
-		row.Processor = append(row.Processor, microseconds(busy[i].Processor)/took-row.Rest[i])
+		row.Idle = append(row.Idle, microseconds(idle[i].Processor)/s.Window.Seconds())
+		row.Processor = append(row.Processor, microseconds(busy[i].Processor)/took-row.Idle[i])
 		row.Private = append(row.Private, float64(busy[i].Private))
 	}
 	select {
@@ -218,7 +218,7 @@
 func (r StreamRow) Write(out io.Writer) {
 	fmt.Fprintf(out, "%7d callers %5d tokens %8.1f answers/s %9.1f pieces/s", r.Callers, r.Tokens, r.Answers, r.Pieces)
 	for i := range r.Processor {
-		fmt.Fprintf(out, " | rest %6.0f µs/s, above %8.0f µs/s, %6.1f MB", r.Rest[i], r.Processor[i], r.Private[i]/1e6)
+		fmt.Fprintf(out, " | rest %6.0f µs/s, above %8.0f µs/s, %6.1f MB", r.Idle[i], r.Processor[i], r.Private[i]/1e6)
 	}
 	fmt.Fprintln(out)
 }
--- a/internal/standin/prober/watched.go
+++ b/internal/standin/prober/watched.go
@@ -9,8 +9,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// Watched is a node's replica that notes when it moved.
-type Watched struct {
+// TimedIndex is a node's replica that notes when it moved.
+type TimedIndex struct {
 	*indexer.Index
 
 	mu sync.Mutex
@@ -23,14 +23,14 @@
 	at       time.Time
 }
 
-func (w *Watched) note(revision uint64) {
+func (w *TimedIndex) note(revision uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.moves = append(w.moves, move{revision: revision, at: time.Now()})
 }
 
 // Apply applies changes and notes the time.
-func (w *Watched) Apply(changes []storer.Change, upTo uint64) error {
+func (w *TimedIndex) Apply(changes []storer.Change, upTo uint64) error {
 	if err := w.Index.Apply(changes, upTo); err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 }
 
 // Reset takes a whole state in and notes the time.
-func (w *Watched) Reset(rs []storer.Resource, revision uint64) error {
+func (w *TimedIndex) Reset(rs []storer.Resource, revision uint64) error {
 	if err := w.Index.Reset(rs, revision); err != nil {
 		return err
 	}
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// HeldAt returns when the replica first held a revision, and false where it does
+// ReachedAt returns when the replica first held a revision, and false where it does
 // not yet.
-func (w *Watched) HeldAt(revision uint64) (time.Time, bool) {
+func (w *TimedIndex) ReachedAt(revision uint64) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := sort.Search(len(w.moves), func(i int) bool { return w.moves[i].revision >= revision })
