--- a/internal/standin/driver/answer.go
+++ b/internal/standin/driver/answer.go
@@ -16,59 +16,60 @@
 	outcomeUnknown   = "Unknown"
 )
 
-// Wait is a time that the deployment reports of a call.
+// Wait is a waiting time of a call as reported by the deployment.
 type Wait struct {
 	// Known is false where the deployment did not report the time.
 	Known  bool
 	Length time.Duration
 }
 
-// Answer is what a caller got. Its moments are on the clock of Call.Intended.
+// Answer is the answer to a call. Its durations count from the start of the run, as
+// Call.Intended does.
 type Answer struct {
-	// Status is 0 where no header came.
+	// Status is the HTTP status; 0 if no header was received.
 	Status int
-	// Failure is the error of the connection, if there was one.
+	// Failure is the connection error; empty if there was none.
 	Failure string
 
 	Request string
 	Adapter string
 	Backend string
 	Outcome string
-	// Code is the machine-readable cause of an error.
+	// Code is the error code of a refusal or an error event.
 	Code string
-	// RetryAfter tells that the answer says when to ask again.
+	// RetryAfter reports whether the answer has a Retry-After header.
 	RetryAfter bool
 	Stall      Wait
 	Queue      Wait
 
-	// Model and ID are those of the body; Mixed tells that parts of the body
-	// differed in one of them.
+	// Model and ID are those of the body; Mixed reports whether parts of the body
+	// differ in one of them.
 	Model string
 	ID    string
 	Mixed bool
-	// Text is the text as far as it came.
+	// Text is the text received, possibly incomplete.
 	Text string
-	// Done tells that the body came to its end: the mark of a stream, or a whole
-	// body.
+	// Done reports whether the answer is complete: the end marker of a stream or a
+	// complete body was received.
 	Done bool
-	// ErrorEvent tells that the body is an error or that the stream ended in one.
+	// ErrorEvent reports whether the body is an error or the stream ended with an error event.
 	ErrorEvent bool
 	// Service is the body of a plain service's answer.
 	Service responder.Answer
 
-	// SentAt is when the call was sent, to be compared with the records of engines and
-	// services.
+	// SentAt is the wall-clock time at which the call was sent, for comparison with the
+	// records of engines and services.
 	SentAt time.Time
-	// Sent is when the call was sent, Ended when its answer ended, since the run began.
+	// Sent and Ended are the times at which the call was sent and its answer ended.
 	Sent  time.Duration
 	Ended time.Duration
-	// FirstToken is when the first text came; 0 if none came.
+	// FirstToken is the time at which the first text was received; 0 if there was none.
 	FirstToken time.Duration
-	// Gaps are the times between the pieces of text.
+	// Gaps are the times between successive pieces of text.
 	Gaps []time.Duration
 }
 
-// Ending returns how the call ended.
+// Ending classifies how the call ended.
 func (a *Answer) Ending() Ending {
 	switch {
 	case a.Status == 0:
@@ -88,17 +89,17 @@
 	}
 }
 
-// readFields takes what the header tells, or the trailer of a stream.
+// readFields sets the fields that h, the header or the trailer of a stream, contains.
 func (a *Answer) readFields(h http.Header) {
-	take := func(field *string, name string) {
+	set := func(field *string, name string) {
 		if v := h.Get(name); v != "" {
 			*field = v
 		}
 	}
-	take(&a.Request, translator.HeaderRequest)
-	take(&a.Adapter, translator.HeaderAdapter)
-	take(&a.Backend, translator.HeaderBackend)
-	take(&a.Outcome, translator.HeaderOutcome)
+	set(&a.Request, translator.HeaderRequest)
+	set(&a.Adapter, translator.HeaderAdapter)
+	set(&a.Backend, translator.HeaderBackend)
+	set(&a.Outcome, translator.HeaderOutcome)
 	a.RetryAfter = a.RetryAfter || h.Get(translator.HeaderRetryAfter) != ""
 	readWait(&a.Stall, h.Get(translator.HeaderStallMillis))
 	readWait(&a.Queue, h.Get(translator.HeaderQueueMillis))
--- a/internal/standin/driver/bodyreader.go
+++ b/internal/standin/driver/bodyreader.go
@@ -12,22 +12,22 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/orderer"
 )
 
-// maxAnswerBytes bounds the body of one answer.
+// maxAnswerBytes limits the body of one answer.
 const maxAnswerBytes = 16 << 20
 
 // bodyReader reads the body of an answer into an Answer. It is not safe for
 // concurrent use.
 type bodyReader struct {
 	answer *Answer
-	// now tells the time since the start of the run.
+	// now returns the time since the start of the run.
 	now func() time.Duration
-	// last is when the last piece of text came.
-	last time.Duration
-	text bytes.Buffer
+	// lastText is the time at which the last piece of text was received.
+	lastText time.Duration
+	text     bytes.Buffer
 }
 
-// readStream reads server-sent events up to the end of the body. What came stays
-// in the answer, also where an error is returned.
+// readStream reads server-sent events until the end of the body. If it returns an error,
+// the answer contains the text received before it.
 func (r *bodyReader) readStream(body io.Reader) error {
 	defer func() { r.answer.Text = r.text.String() }()
 	lines := bufio.NewReader(io.LimitReader(body, maxAnswerBytes))
@@ -57,7 +57,7 @@
 	return r.readChunk(data)
 }
 
-// readWhole reads the body of a whole answer or an error.
+// readWhole reads the body of an unstreamed answer or an error.
 func (r *bodyReader) readWhole(body io.Reader) error {
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	if err != nil {
@@ -78,59 +78,60 @@
 		return errors.Trace(err)
 	}
 	r.answer.Done = true
-	// A body of another shape leaves the fields empty, which Judge finds.
+	// A body of another format leaves the fields empty, which Judge reports.
 	_ = json.Unmarshal(data, &r.answer.Service)
 	var c chunk
 	if json.Unmarshal(data, &c) == nil && c.Error != nil {
-		r.answer.Code = c.Error.Code.text
+		r.answer.Code = c.Error.Code.value
 	}
 	return nil
 }
 
-// chunk is a part of an answer or an error in OpenAI's shape.
+// chunk is a part of an answer, or an error, in OpenAI's format.
 type chunk struct {
 	orderer.Chunk
 	Error *errorDetail `json:"error"`
 }
 
-// errorDetail is what a caller needs of an error.
+// errorDetail holds the fields of an error that are checked.
 type errorDetail struct {
 	Outcome string `json:"outcome"`
 	Code    code   `json:"code"`
 }
 
-// code is the cause of an error: a name at an entry, a number at an engine.
-type code struct{ text string }
+// code is an error code: a string from an entry, a number from an engine.
+type code struct{ value string }
 
-// UnmarshalJSON takes any value as text.
+// UnmarshalJSON accepts a string or any other JSON value.
 func (c *code) UnmarshalJSON(data []byte) error {
-	c.text = string(bytes.Trim(data, `"`))
+	c.value = string(bytes.Trim(data, `"`))
 	return nil
 }
 
 func (r *bodyReader) readChunk(data []byte) error {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
-		return errors.Annotate(err, "answer")
+		return errors.Annotate(err, "decode answer")
 	}
 	if c.Error != nil {
 		r.answer.ErrorEvent = true
-		r.answer.Code = c.Error.Code.text
+		r.answer.Code = c.Error.Code.value
 		if c.Error.Outcome != "" {
 			r.answer.Outcome = c.Error.Outcome
 		}
 		return nil
 	}
-	r.identify(&r.answer.Model, c.Model)
-	r.identify(&r.answer.ID, c.ID)
+	r.checkSame(&r.answer.Model, c.Model)
+	r.checkSame(&r.answer.ID, c.ID)
 	for _, choice := range c.Choices {
-		r.take(choiceText(&choice))
+		r.addText(choiceText(&choice))
 	}
 	return nil
 }
 
-// identify notes a name that must be the same in all parts of a body.
-func (r *bodyReader) identify(field *string, name string) {
+// checkSame sets field to name, or sets Mixed if an earlier part of the body had another
+// name.
+func (r *bodyReader) checkSame(field *string, name string) {
 	if *field != "" && *field != name {
 		r.answer.Mixed = true
 		return
@@ -151,8 +152,8 @@
 	}
 }
 
-// take appends a piece of text and notes when it came.
-func (r *bodyReader) take(piece string) {
+// addText appends a piece of text and records the time of its arrival.
+func (r *bodyReader) addText(piece string) {
 	if piece == "" {
 		return
 	}
@@ -161,7 +162,7 @@
 	if r.answer.FirstToken == 0 {
 		r.answer.FirstToken = now
 	} else {
-		r.answer.Gaps = append(r.answer.Gaps, now-r.last)
+		r.answer.Gaps = append(r.answer.Gaps, now-r.lastText)
 	}
-	r.last = now
+	r.lastText = now
 }
--- a/internal/standin/driver/call.go
+++ b/internal/standin/driver/call.go
@@ -8,32 +8,33 @@
 
 // Call is one call of a Schedule.
 type Call struct {
-	// Number counts the calls from 1.
+	// Number is the number of the call in the schedule, from 1.
 	Number int
 	Kind   CallKind
-	// Intended is the moment at which the call is to be sent.
+	// Intended is the time at which the call is to be sent, since the start of the run.
 	Intended time.Duration
 	// Workspace is the index in Workload.Workspaces.
 	Workspace     int
 	WorkspaceName string
-	// Model is what the call names. Empty for a plain service.
+	// Model is the requested model name. Empty for a plain service.
 	Model string
-	// Version is the full name, WORKSPACE/ADAPTER@VERSION, that must answer. Empty
-	// for a plain service.
+	// Version is the full name, WORKSPACE/ADAPTER@VERSION, of the version that must
+	// answer. Empty for a plain service.
 	Version string
-	// Prompt is the prompt of a completion or the one message of a chat.
+	// Prompt is the prompt of a completion, the only message of a chat, or the body of a
+	// call to a plain service.
 	Prompt    string
 	MaxTokens int
-	// Key is the Idempotency-Key, or empty.
+	// Key is the Idempotency-Key; empty for none.
 	Key string
-	// Path is the path below the plain service.
+	// Path is the path within the plain service.
 	Path string
-	// Resend asks for the same call once more, ResendAfter after the first.
+	// Resend requests a duplicate of the call, sent ResendAfter after the first.
 	Resend      bool
 	ResendAfter time.Duration
-	// Deadline is the longest time for the answer, from Intended on.
+	// Deadline is the maximum time for the answer, counted from Intended.
 	Deadline time.Duration
-	// Rushing marks a call of the rush, InRush one that is intended during it.
+	// Rushing marks a call of the rush, InRush any call that is intended during the rush.
 	Rushing bool
 	InRush  bool
 }
@@ -43,7 +44,7 @@
 	return []orderer.Message{{Role: "user", Content: orderer.Content(c.Prompt)}}
 }
 
-// enginePrompt returns the prompt that the engine computes.
+// enginePrompt returns the prompt that the engine processes.
 func (c *Call) enginePrompt() string {
 	if c.Kind.isChat() {
 		return orderer.ChatPrompt(c.messages())
--- a/internal/standin/driver/caller.go
+++ b/internal/standin/driver/caller.go
@@ -16,11 +16,11 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/translator"
 )
 
-// deadlineGrace is how much longer than the call's deadline a caller listens, so
-// that a refusal at the deadline is still heard.
+// deadlineGrace is the time that a caller waits beyond the call's deadline, so that it
+// still receives a refusal that is sent at the deadline.
 const deadlineGrace = 2 * time.Second
 
-// newClient returns a client for a number of calls at once to each host.
+// newClient returns a client that keeps up to parallelism idle connections to each host.
 func newClient(parallelism int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 3 * time.Second}).DialContext,
@@ -33,35 +33,35 @@
 type caller struct {
 	client  *http.Client
 	service string
-	// bearer holds the value of the authorization header by workspace.
+	// bearer holds the value of the Authorization header by workspace.
 	bearer []string
-	// now tells the time since the start of the run.
+	// now returns the time since the start of the run.
 	now func() time.Duration
 }
 
-// call sends the call to the entry and reads the answer.
+// call sends q to the entry and reads the answer. An error is stored in Answer.Failure.
 func (c *caller) call(ctx context.Context, entry string, q *Call) Answer {
 	a := Answer{Sent: c.now(), SentAt: time.Now()}
-	left := max(q.Intended+q.Deadline-a.Sent, time.Millisecond)
-	ctx, cancel := context.WithTimeout(ctx, left+deadlineGrace)
+	timeLeft := max(q.Intended+q.Deadline-a.Sent, time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, timeLeft+deadlineGrace)
 	defer cancel()
-	if err := c.exchange(ctx, entry, q, left, &a); err != nil {
+	if err := c.exchangeHTTP(ctx, entry, q, timeLeft, &a); err != nil {
 		a.Failure = errors.Cause(err).Error()
 	}
 	a.Ended = c.now()
 	return a
 }
 
-func (c *caller) exchange(ctx context.Context, entry string, q *Call, left time.Duration, a *Answer) error {
+func (c *caller) exchangeHTTP(ctx context.Context, entry string, q *Call, timeLeft time.Duration, a *Answer) error {
 	r, err := c.request(ctx, entry, q)
 	if err != nil {
 		return err
 	}
 	r.Header.Set(translator.HeaderAuthorization, c.bearer[q.Workspace])
-	r.Header.Set(translator.HeaderDeadline, left.Round(time.Millisecond).String())
+	r.Header.Set(translator.HeaderDeadline, timeLeft.Round(time.Millisecond).String())
 	if q.Key != "" {
 		r.Header.Set(translator.HeaderIdempotencyKey, q.Key)
-		r.GetBody = nil // Or net/http sends a call with a key again by itself.
+		r.GetBody = nil // Prevents net/http from retrying calls that have an Idempotency-Key.
 	}
 	answer, err := c.client.Do(r)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// request returns the HTTP request of a call.
+// request returns the HTTP request for a call.
 func (c *caller) request(ctx context.Context, entry string, q *Call) (*http.Request, error) {
 	base := "http://" + entry
 	switch q.Kind {
--- a/internal/standin/driver/checker.go
+++ b/internal/standin/driver/checker.go
@@ -10,58 +10,60 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/responder"
 )
 
-// maxExamples bounds the details that are kept of each broken promise.
+// maxExamples limits the details that are stored for each broken promise.
 const maxExamples = 5
 
-// PromiseFigures tell how often a promise was tried and broken.
+// PromiseFigures count how often a promise was checked and broken.
 type PromiseFigures struct {
 	Promise Promise
-	// Tried counts the checks; nil means that nobody observed what the check needs.
+	// Tried counts the checks; nil means that the data for the check was not observed.
 	Tried *int64
 	// Broken counts the checks that failed.
 	Broken *int64
-	// Examples tells of the first broken ones.
+	// Examples describe the first failed checks.
 	Examples []string `json:",omitempty"`
 }
 
-// Checker gathers the findings of a run, and compares what callers were told with
-// what engines and services recorded. It is not safe for concurrent use.
+// Checker collects the findings of a run and compares the answers with the records of
+// engines and services. It is not safe for concurrent use.
 type Checker struct {
 	checkText bool
 	figures   [promises]PromiseFigures
-	// notRun holds the ids of the requests refused as not run.
+	// notRun holds the calls that were refused as not run.
 	notRun []refusedCall
 	// keyed holds, by Idempotency-Key, the first complete answer.
 	keyed map[string]keyedCall
-	// keys holds the Idempotency-Key of each request id that had one.
+	// keys holds the Idempotency-Key by request id.
 	keys map[string]string
-	// requests holds, by request id, the call's number, to find an id given twice.
+	// requests holds the call's number by request id, to detect an id that was used twice.
 	requests map[string]int
-	scratch  []Finding
+	buffer   []Finding
 }
 
 type refusedCall struct {
 	request string
 	number  int
-	// key is the call's Idempotency-Key, or empty, and sentAt when it was sent.
+	// key is the call's Idempotency-Key, or empty; sentAt is the time at which the call was
+	// sent.
 	key    string
 	sentAt time.Time
 }
 
 type keyedCall struct {
 	number int
-	// run is the id under which the engine or service answered first.
-	run string
+	// runID is the id in the first answer of the engine or service.
+	runID string
 }
 
-// NewChecker returns a checker without findings.
+// NewChecker returns a checker without findings. Without checkText the text of answers is
+// not compared.
 func NewChecker(checkText bool) *Checker {
 	c := &Checker{checkText: checkText, keyed: make(map[string]keyedCall), keys: make(map[string]string), requests: make(map[string]int)}
 	for p := range c.figures {
 		c.figures[p].Promise = Promise(p)
 	}
 	for p := RightVersion; p <= OutcomeTold; p++ {
-		c.observe(p)
+		c.markTried(p)
 	}
 	if !checkText {
 		c.figures[WholeAnswer].Tried, c.figures[WholeAnswer].Broken = nil, nil
@@ -69,16 +71,16 @@
 	return c
 }
 
-// observe makes the promise's figures known, 0 so far.
-func (c *Checker) observe(p Promise) {
+// markTried sets the figures of a promise to 0 if they are nil.
+func (c *Checker) markTried(p Promise) {
 	if c.figures[p].Tried == nil {
 		c.figures[p].Tried, c.figures[p].Broken = new(int64), new(int64)
 	}
 }
 
-// add notes one finding.
+// add counts one finding.
 func (c *Checker) add(f Finding) {
-	c.observe(f.Promise)
+	c.markTried(f.Promise)
 	p := &c.figures[f.Promise]
 	*p.Tried++
 	if !f.Broken {
@@ -90,10 +92,10 @@
 	}
 }
 
-// Add checks one answer.
+// Add checks one answer and stores what CrossCheck needs of it.
 func (c *Checker) Add(call *Call, a *Answer) {
-	c.scratch = Judge(c.scratch[:0], call, a, c.checkText)
-	for _, f := range c.scratch {
+	c.buffer = Judge(c.buffer[:0], call, a, c.checkText)
+	for _, f := range c.buffer {
 		c.add(f)
 	}
 	if a.Request == "" {
@@ -114,37 +116,37 @@
 	}
 }
 
-// addKeyed compares the run behind an answer with the one behind an earlier answer
-// to the same key: two different ones prove that the call ran twice.
+// addKeyed compares the run that gave an answer with that of an earlier answer to the same
+// key: two different runs prove that the call ran twice.
 func (c *Checker) addKeyed(call *Call, a *Answer) {
-	run := a.ID
+	runID := a.ID
 	if call.Kind.isService() {
-		run = a.Service.Request
+		runID = a.Service.Request
 	}
 	first, ok := c.keyed[call.Key]
 	if !ok {
-		c.keyed[call.Key] = keyedCall{number: call.Number, run: run}
+		c.keyed[call.Key] = keyedCall{number: call.Number, runID: runID}
 		return
 	}
-	f := Finding{Promise: AtMostOnce, Broken: run != first.run}
+	f := Finding{Promise: AtMostOnce, Broken: runID != first.runID}
 	if f.Broken {
-		f.Detail = fmt.Sprintf("call %d: key %s was answered by the runs %s and %s", call.Number, call.Key, first.run, run)
+		f.Detail = fmt.Sprintf("call %d: key %s was answered by the runs %s and %s", call.Number, call.Key, first.runID, runID)
 	}
 	c.add(f)
 }
 
-// CrossCheck compares the answers with the records of all engines and all services
-// of the deployment. A nil slice means that they were not observed; what only they
-// can prove then stays unknown.
+// CrossCheck compares the answers with the records of all engines and all services of the
+// deployment. A nil slice means that they were not observed; the promises that only they
+// can prove are then not checked.
 func (c *Checker) CrossCheck(engines []generator.Record, services []responder.Record) {
 	if engines == nil && services == nil {
 		return
 	}
-	runs := runCounts{keys: c.keys, byRequest: make(map[string]int), byKey: make(map[string]int), begun: make(map[string]time.Time)}
+	runs := runCounts{keys: c.keys, byRequest: make(map[string]int), byKey: make(map[string]int), firstStart: make(map[string]time.Time)}
 	for i := range engines {
 		for _, r := range engines[i].Runs {
-			// What never entered the batch did not run; what was imported is the
-			// other half of a run.
+			// A request that never entered the batch did not run; an imported one is the
+			// second part of a run that began at another engine.
 			if !r.Started.IsZero() && !r.Imported {
 				runs.add(r.Request, "", r.Started)
 			}
@@ -164,14 +166,14 @@
 	c.checkKeys(runs.byKey)
 }
 
-// runCounts count runs by request id and by the caller's Idempotency-Key.
+// runCounts counts runs by request id and by the caller's Idempotency-Key.
 type runCounts struct {
-	// keys holds the keys by request id, since engines don't learn them.
+	// keys holds the keys by request id, because engines do not receive the keys.
 	keys      map[string]string
 	byRequest map[string]int
 	byKey     map[string]int
-	// begun is when the first run of each key began.
-	begun map[string]time.Time
+	// firstStart is the start of the first run by key.
+	firstStart map[string]time.Time
 }
 
 func (r *runCounts) add(request, key string, started time.Time) {
@@ -183,14 +185,14 @@
 		return
 	}
 	r.byKey[key]++
-	if first, ok := r.begun[key]; !ok || started.Before(first) {
-		r.begun[key] = started
+	if first, ok := r.firstStart[key]; !ok || started.Before(first) {
+		r.firstStart[key] = started
 	}
 }
 
-// checkInUse: unloading an adapter under a request breaks that request.
+// checkInUse checks that no adapter was unloaded while requests used it.
 func (c *Checker) checkInUse(engines []generator.Record) {
-	c.observe(StaysInUse)
+	c.markTried(StaysInUse)
 	for i := range engines {
 		for _, o := range engines[i].Orders {
 			if o.Kind != generator.UnloadOrder {
@@ -205,27 +207,29 @@
 	}
 }
 
-// checkNotRun: a caller who was told that a call did not run repeats it, under another
-// key perhaps: so none of its key may have run when it was sent.
+// checkNotRun checks the calls that were refused as not run. A caller may repeat such a
+// call, possibly under another key, so no run of its key may have started before the call
+// was sent.
 func (c *Checker) checkNotRun(runs *runCounts) {
-	c.observe(NotRunDidNotRun)
+	c.markTried(NotRunDidNotRun)
 	for _, r := range c.notRun {
 		f := Finding{Promise: NotRunDidNotRun}
-		begun, ran := runs.begun[r.key]
+		firstStart, ran := runs.firstStart[r.key]
 		switch {
 		case runs.byRequest[r.request] > 0:
 			f.Broken, f.Detail = true, fmt.Sprintf("call %d: request %s was refused as not run and ran", r.number, r.request)
-		case r.key != "" && ran && begun.Before(r.sentAt):
+		case r.key != "" && ran && firstStart.Before(r.sentAt):
 			f.Broken, f.Detail = true, fmt.Sprintf("call %d: request %s was refused as not run, and its key %s had run %s before it was sent",
-				r.number, r.request, r.key, r.sentAt.Sub(begun))
+				r.number, r.request, r.key, r.sentAt.Sub(firstStart))
 		}
 		c.add(f)
 	}
 }
 
-// checkKeys: two runs under one key are two bookings or two reviews.
+// checkKeys checks that each key ran at most once: two runs would be two bookings or two
+// reviews.
 func (c *Checker) checkKeys(runs map[string]int) {
-	c.observe(AtMostOnce)
+	c.markTried(AtMostOnce)
 	for _, key := range slices.Sorted(maps.Keys(runs)) {
 		f := Finding{Promise: AtMostOnce, Broken: runs[key] > 1}
 		if f.Broken {
@@ -235,7 +239,7 @@
 	}
 }
 
-// Figures returns how often each promise was tried and broken.
+// Figures returns the counts of each promise.
 func (c *Checker) Figures() []PromiseFigures {
 	return append([]PromiseFigures(nil), c.figures[:]...)
 }
--- a/internal/standin/driver/checker_test.go
+++ b/internal/standin/driver/checker_test.go
@@ -15,14 +15,14 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/responder"
 )
 
-// exchange is one call and its answer, rightly given.
+// exchange is a call and its answer.
 type exchange struct {
 	call   driver.Call
 	answer driver.Answer
 }
 
-// exchanges returns answers to the first calls of a schedule.
-func exchanges(seed uint64, count int) []exchange {
+// correctAnswers returns the first calls of a schedule with their correct answers.
+func correctAnswers(seed uint64, count int) []exchange {
 	w := driver.Agenzia()
 	s := driver.NewSchedule(w, driver.ScheduleSettings{Seed: seed, Duration: time.Hour, MaxCalls: count})
 	var all []exchange
@@ -33,7 +33,7 @@
 	return all
 }
 
-// rightAnswer returns the answer that the call is promised.
+// rightAnswer returns the correct answer to the call.
 func rightAnswer(c *driver.Call) driver.Answer {
 	id := fmt.Sprintf("entry-%04d", c.Number)
 	a := driver.Answer{Status: http.StatusOK, Request: id, Outcome: "Completed", Done: true}
@@ -46,7 +46,7 @@
 	return a
 }
 
-// broken returns the promises that the answers and records break.
+// broken returns the promises that the answers and records violate.
 func broken(all []exchange, engines []generator.Record, services []responder.Record) []driver.Promise {
 	c := driver.NewChecker(true)
 	for i := range all {
@@ -66,7 +66,7 @@
 	return e.call.Kind == driver.StreamedChat || e.call.Kind == driver.StreamedCompletion
 }
 
-// runsOf returns the records in which each call ran once.
+// runsOf returns the records of engines and services in which each call ran once.
 func runsOf(all []exchange) ([]generator.Record, []responder.Record) {
 	now := time.Now()
 	var e generator.Record
@@ -83,13 +83,13 @@
 	return []generator.Record{e}, []responder.Record{s}
 }
 
-// plant is a fault and the promise that it breaks.
-type plant struct {
+// fault is a fault that a test injects and the promise that it breaks.
+type fault struct {
 	name    string
 	promise driver.Promise
-	// fits tells whether the call, followed by the next one, has a place for it.
-	fits func(x, next *exchange) bool
-	do   func(x, next *exchange, e *generator.Record, s *responder.Record)
+	// fits reports whether the fault can be injected into the call x, followed by next.
+	fits   func(x, next *exchange) bool
+	inject func(x, next *exchange, e *generator.Record, s *responder.Record)
 }
 
 func anyCall(_, _ *exchange) bool     { return true }
@@ -104,33 +104,33 @@
 	return func(x, _ *exchange) bool { return x.call.Kind == k }
 }
 
-// answerPlant returns a fault of the answer alone.
-func answerPlant(name string, p driver.Promise, fits func(x, next *exchange) bool, do func(a *driver.Answer)) plant {
-	return plant{name, p, fits, func(x, _ *exchange, _ *generator.Record, _ *responder.Record) { do(&x.answer) }}
+// answerFault returns a fault that changes only the answer.
+func answerFault(name string, p driver.Promise, fits func(x, next *exchange) bool, do func(a *driver.Answer)) fault {
+	return fault{name, p, fits, func(x, _ *exchange, _ *generator.Record, _ *responder.Record) { do(&x.answer) }}
 }
 
-var plants = []plant{
-	answerPlant("stream cut that ends cleanly", driver.HonestEnd, streamCall, func(a *driver.Answer) {
+var faults = []fault{
+	answerFault("interrupted stream that ends cleanly", driver.HonestEnd, streamCall, func(a *driver.Answer) {
 		a.Done, a.Text = false, a.Text[:len(a.Text)/2]
 	}),
-	answerPlant("stream cut that ends with the mark", driver.HonestEnd, streamCall, func(a *driver.Answer) {
+	answerFault("interrupted stream that ends with the end marker", driver.HonestEnd, streamCall, func(a *driver.Answer) {
 		a.Text = a.Text[:len(a.Text)*2/3]
 	}),
-	answerPlant("whole answer without its end", driver.WholeAnswer, wholeCall, func(a *driver.Answer) {
+	answerFault("truncated unstreamed answer", driver.WholeAnswer, wholeCall, func(a *driver.Answer) {
 		a.Text = a.Text[:len(a.Text)/2]
 	}),
-	answerPlant("text given twice", driver.WholeAnswer, engineCall, func(a *driver.Answer) { a.Text += a.Text }),
-	answerPlant("another version named", driver.RightVersion, engineCall, func(a *driver.Answer) { a.Adapter += "x" }),
-	answerPlant("another model in the body", driver.RightVersion, engineCall, func(a *driver.Answer) { a.Model += "x" }),
-	answerPlant("parts of two answers", driver.OwnAnswer, engineCall, func(a *driver.Answer) { a.Mixed = true }),
-	answerPlant("service's answer to another", driver.OwnAnswer, serviceRead, func(a *driver.Answer) { a.Service.Request += "x" }),
-	answerPlant("refusal without an outcome", driver.OutcomeTold, anyCall, func(a *driver.Answer) {
+	answerFault("duplicated text", driver.WholeAnswer, engineCall, func(a *driver.Answer) { a.Text += a.Text }),
+	answerFault("header of another version", driver.RightVersion, engineCall, func(a *driver.Answer) { a.Adapter += "x" }),
+	answerFault("body of another model", driver.RightVersion, engineCall, func(a *driver.Answer) { a.Model += "x" }),
+	answerFault("parts of two answers", driver.OwnAnswer, engineCall, func(a *driver.Answer) { a.Mixed = true }),
+	answerFault("service's answer to another request", driver.OwnAnswer, serviceRead, func(a *driver.Answer) { a.Service.Request += "x" }),
+	answerFault("refusal without an outcome", driver.OutcomeTold, anyCall, func(a *driver.Answer) {
 		*a = driver.Answer{Status: 500, Request: a.Request, Done: true}
 	}),
-	answerPlant("refused as not run, and ran", driver.NotRunDidNotRun, anyCall, func(a *driver.Answer) {
+	answerFault("refused as not run, but ran", driver.NotRunDidNotRun, anyCall, func(a *driver.Answer) {
 		*a = driver.Answer{Status: 503, Request: a.Request, Outcome: "NotRun", Done: true, RetryAfter: true}
 	}),
-	{"refused as not run, after its key had run", driver.NotRunDidNotRun, kind(driver.ServiceWrite), func(x, _ *exchange, _ *generator.Record, s *responder.Record) {
+	{"refused as not run, but its key ran before", driver.NotRunDidNotRun, kind(driver.ServiceWrite), func(x, _ *exchange, _ *generator.Record, s *responder.Record) {
 		for i := range s.Runs {
 			if s.Runs[i].Key == x.call.Key {
 				s.Runs[i].Started = time.Now().Add(-time.Second)
@@ -138,7 +138,7 @@
 		}
 		x.answer = driver.Answer{Status: 503, Request: x.answer.Request + "b", Outcome: "NotRun", Done: true, RetryAfter: true, SentAt: time.Now()}
 	}},
-	{"text by another version", driver.OwnAnswer, engineCall, func(x, _ *exchange, _ *generator.Record, _ *responder.Record) {
+	{"text of another version", driver.OwnAnswer, engineCall, func(x, _ *exchange, _ *generator.Record, _ *responder.Record) {
 		x.answer.Text = generator.Expected(x.call.Version+"x", driver.EnginePrompt(&x.call), x.call.MaxTokens)
 	}},
 	{"swapped answers", driver.OwnAnswer, bothEngine, func(x, n *exchange, _ *generator.Record, _ *responder.Record) {
@@ -158,13 +158,13 @@
 	}},
 }
 
-// TestPropertyPlantedFaults: a run without faults breaks nothing, and one planted
-// fault breaks its own promise and no other.
+// TestPropertyPlantedFaults checks that a run without faults breaks no promise, and that
+// each injected fault breaks exactly its own promise.
 func TestPropertyPlantedFaults(t *testing.T) {
-	for _, p := range plants {
+	for _, p := range faults {
 		t.Run(p.name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				all := exchanges(rapid.Uint64().Draw(t, "seed"), 100)
+				all := correctAnswers(rapid.Uint64().Draw(t, "seed"), 100)
 				engines, services := runsOf(all)
 				if found := broken(all, engines, services); len(found) > 0 {
 					t.Fatalf("without a fault: %v", found)
@@ -172,10 +172,10 @@
 				i := rapid.IntRange(0, len(all)-2).Draw(t, "call")
 				for !p.fits(&all[i], &all[i+1]) {
 					if i++; i == len(all)-1 {
-						t.Skip("no place for the fault")
+						t.Skip("no call fits the fault")
 					}
 				}
-				p.do(&all[i], &all[i+1], &engines[0], &services[0])
+				p.inject(&all[i], &all[i+1], &engines[0], &services[0])
 				found := broken(all, engines, services)
 				if len(found) != 1 || found[0] != p.promise {
 					t.Fatalf("found %v at call %+v", found, all[i].call)
@@ -186,26 +186,26 @@
 }
 
 var _ = Describe("Checker", func() {
-	// Symptom: a booking shows up twice although each caller got one answer.
-	// Sequence: the caller sends again through another entry before the first answer
-	// has come; each entry runs the call. Cause: the key was not claimed first.
-	It("finds a second run by the two answers alone", func() {
-		all := exchanges(1, 400)
+	// Guards against a booking that is made twice although the caller got only correct
+	// answers: the caller sends a duplicate through another entry before the first answer,
+	// and both entries run the call because neither claimed the key first.
+	It("detects a second run from the two answers alone", func() {
+		all := correctAnswers(1, 400)
 		for i := range all {
 			if all[i].call.Kind != driver.ServiceWrite || !all[i].call.Resend {
 				continue
 			}
 			again := all[i]
 			again.answer.Request += "b"
-			Expect(broken([]exchange{all[i], again}, nil, nil)).To(BeEmpty(), "the kept answer, given again")
+			Expect(broken([]exchange{all[i], again}, nil, nil)).To(BeEmpty(), "the retained answer, returned again")
 			again.answer.Service.Request += "b"
 			Expect(broken([]exchange{all[i], again}, nil, nil)).To(Equal([]driver.Promise{driver.AtMostOnce}))
 			return
 		}
-		Fail("no call was sent again")
+		Fail("the schedule has no duplicate of a service write")
 	})
 
-	It("tells what nobody observed from what never happened", func() {
+	It("distinguishes promises that were not observed from promises without checks", func() {
 		c := driver.NewChecker(false)
 		c.CrossCheck(nil, nil)
 		for _, f := range c.Figures() {
--- a/internal/standin/driver/collector.go
+++ b/internal/standin/driver/collector.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// maxFaults bounds the errors that a report keeps.
+// maxFaults limits the number of errors in a report.
 const maxFaults = 20
 
-// collector takes in all results of a run, in one goroutine.
+// collector aggregates the results of a run in one goroutine.
 type collector struct {
 	settings *Settings
 	checker  *Checker
@@ -19,8 +19,8 @@
 	return &collector{settings: s, checker: NewChecker(!s.SkipTextCheck), tally: NewTally(&s.Workload, s.Interval, s.WarmUp)}
 }
 
-// collect takes in results and samples until both channels are closed.
-func (c *collector) collect(d *Driver) {
+// collectAll adds results and samples until both channels are closed.
+func (c *collector) collectAll(d *Driver) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	results, samples := d.results, d.samples
@@ -39,7 +39,7 @@
 			}
 			c.addSample(&s)
 		case <-ticker.C:
-			c.tell(d)
+			c.reportProgress(d)
 		}
 	}
 }
@@ -52,25 +52,25 @@
 		c.tally.Add(&r.call, &r.answer)
 	}
 	if r.answer.Failure != "" {
-		c.fault(r.answer.Failure)
+		c.addFault(r.answer.Failure)
 	}
 }
 
 func (c *collector) addSample(s *sample) {
 	if s.err != nil {
-		c.fault(s.err.Error())
+		c.addFault(s.err.Error())
 		return
 	}
 	c.tally.points.at(s.at).BatchFill = s.fill
 }
 
-func (c *collector) fault(text string) {
+func (c *collector) addFault(text string) {
 	if len(c.faults) < maxFaults {
 		c.faults = append(c.faults, text)
 	}
 }
 
-func (c *collector) tell(d *Driver) {
+func (c *collector) reportProgress(d *Driver) {
 	if c.settings.Progress == nil {
 		return
 	}
@@ -84,18 +84,18 @@
 	})
 }
 
-// records are what was observed before and after a run.
-type records struct {
+// records are the observations before and after a run.
+type observations struct {
 	before Observation
-	// warm is what was observed when the measuring began.
+	// warm is the observation at the end of the warm-up.
 	warm    Observation
 	after   Observation
 	failure error
 	start   time.Time
 }
 
-// report returns the report of a run that is over.
-func (c *collector) report(seen *records, length time.Duration, stopped bool) *Report {
+// report returns the report of a finished run.
+func (c *collector) report(obs *observations, length time.Duration, stopped bool) *Report {
 	s := c.settings
 	r := &Report{
 		Format:     ReportFormat,
@@ -106,15 +106,15 @@
 		Seconds:    seconds(length),
 		Stopped:    stopped,
 	}
-	if seen.failure == nil {
-		engines, services := seen.after.since(&seen.before)
+	if obs.failure == nil {
+		engines, services := obs.after.recordsSince(&obs.before)
 		c.checker.CrossCheck(engines, services)
-		r.Engines = engineFigures(&seen.warm, &seen.after, s.NeededWithin)
+		r.Engines = engineFigures(&obs.warm, &obs.after, s.NeededWithin)
 		if len(engines) > 0 {
-			c.tally.points.addOrders(seen.start, engines)
+			c.tally.points.addOrders(obs.start, engines)
 		}
 	} else {
-		c.fault(seen.failure.Error())
+		c.addFault(obs.failure.Error())
 	}
 	c.tally.Report(&s.Workload, r)
 	r.Promises = c.checker.Figures()
--- a/internal/standin/driver/doc.go
+++ b/internal/standin/driver/doc.go
@@ -1,20 +1,18 @@
-// Package driver drives a deployment with load over its caller API and checks
-// every answer.
+// Package driver is a load generator: it sends calls to a deployment through its caller
+// API and checks every answer.
 //
-// A Workload is data: workspaces with weights, adapters with skewed popularity,
-// the mix of calls, a shift of popularity, a rush. A Schedule draws its calls in
-// advance of their time from a seed, so that two runs with one seed send the same
-// calls at the same moments whatever the deployment does: arrivals are open-loop,
-// and latencies count from the intended send time, which leaves no room for
-// coordinated omission.
+// A Workload describes workspaces with weights, adapters with skewed popularity, the mix
+// of calls, a shift of popularity, and a rush of one workspace. A Schedule generates the
+// calls from a seed, independently of the answers, so that two runs with one seed send the
+// same calls at the same times: arrivals are open-loop, and latencies are measured from the
+// intended send time, which avoids coordinated omission.
 //
-// Judge compares one answer with its call, Checker compares what callers were told
-// with what engines and services recorded, and Tally counts. These are plain
-// functions and structs without goroutines; Driver wires them to HTTP and time,
-// and Report is what a run leaves. A figure that nobody observed is nil, in JSON
-// null, never 0.
+// Judge checks one answer against its call, Checker compares the answers with the records
+// of engines and services, and Tally aggregates the measurements. These are functions and
+// structs without goroutines; Driver connects them to HTTP and the clock, and Report is the
+// result of a run. A figure that was not observed is nil (null in JSON), never 0.
 //
-// Times inside a run are durations since its start. The driver shares no code with
-// the entries and companions that it checks: it knows the published protocols and
-// the stand-ins' records only.
+// Times inside a run are durations since its start. The driver shares no code with the
+// entries and companions that it checks; it uses only the published protocols and the
+// records of the stand-ins.
 package driver
--- a/internal/standin/driver/driver.go
+++ b/internal/standin/driver/driver.go
@@ -20,18 +20,18 @@
 	pathReady        = "/readyz"
 )
 
-// Driver drives one run. Make a new one for each run.
+// Driver performs one run. It can't be reused.
 type Driver struct {
 	settings Settings
 	caller   caller
 	balancer *balancer
 	observer observer
-	// slots bounds the calls in progress.
-	slots *semaphore.Weighted
-	// start is the start of the run; it is set before any goroutine begins.
+	// inFlight limits the calls in progress.
+	inFlight *semaphore.Weighted
+	// start is the start of the run; it is set before any goroutine starts.
 	start time.Time
 	sent  atomic.Int64
-	// results and samples are read by the collector.
+	// results and samples are consumed by the collector.
 	results chan result
 	samples chan sample
 }
@@ -40,19 +40,18 @@
 type result struct {
 	call   Call
 	answer Answer
-	// resent marks the second answer to a call that was sent twice on purpose.
+	// resent marks the answer to the duplicate of a call with Call.Resend.
 	resent bool
 }
 
-// sample is the batch fill of one interval, or why it is unknown.
+// sample is the batch fill of one interval, or the error that prevented its observation.
 type sample struct {
 	at   time.Duration
 	fill *float64
 	err  error
 }
 
-// NewDriver returns a driver. It returns an error if the settings can't be carried
-// out.
+// NewDriver returns a driver, or an error if the settings are not valid.
 func NewDriver(s Settings) (*Driver, error) {
 	s = s.withDefaults()
 	if err := s.validate(); err != nil {
@@ -66,7 +65,7 @@
 	d := &Driver{
 		settings: s,
 		balancer: newBalancer(len(s.Entries), s.Balance, random),
-		slots:    semaphore.NewWeighted(int64(s.MaxInFlight)),
+		inFlight: semaphore.NewWeighted(int64(s.MaxInFlight)),
 		results:  make(chan result, s.MaxInFlight),
 		samples:  make(chan sample),
 	}
@@ -79,43 +78,43 @@
 // now returns the time since the start of the run.
 func (d *Driver) now() time.Duration { return time.Since(d.start) }
 
-// Run drives the whole run and returns its report. If ctx ends, the run stops
-// sending, waits for what it sent and reports that it was stopped. It returns an
-// error where the records can't be read before the start.
+// Run performs the run and returns its report. If ctx ends, it stops sending, waits for
+// the answers to the calls already sent, and marks the report as stopped. It returns an
+// error if the records can't be read before the start.
 func (d *Driver) Run(ctx context.Context) (*Report, error) {
 	defer d.caller.client.CloseIdleConnections()
 	detached := context.WithoutCancel(ctx)
 	before, err := d.observe(detached, false)
 	if err != nil {
-		return nil, errors.Annotate(err, "before the run")
+		return nil, errors.Annotate(err, "read the records before the run")
 	}
 	c := newCollector(&d.settings)
-	seen := records{before: before, warm: before}
+	obs := observations{before: before, warm: before}
 	d.start = time.Now()
-	aside, stopAside := context.WithCancel(detached)
-	defer stopAside()
+	backgroundCtx, stopBackground := context.WithCancel(detached)
+	defer stopBackground()
 	var background, collecting sync.WaitGroup
-	background.Go(func() { d.sample(aside, &seen) })
+	background.Go(func() { d.sample(backgroundCtx, &obs) })
 	for i := range d.settings.Entries {
 		if d.settings.Entries[i].Operator != "" {
-			background.Go(func() { d.probe(aside, i) })
+			background.Go(func() { d.pollReady(backgroundCtx, i) })
 		}
 	}
-	collecting.Go(func() { c.collect(d) })
+	collecting.Go(func() { c.collectAll(d) })
 	d.dispatch(ctx)
 	length := d.now()
-	stopAside()
+	stopBackground()
 	background.Wait()
 	close(d.results)
 	close(d.samples)
 	collecting.Wait()
-	seen.start = d.start
-	seen.after, seen.failure = d.observe(detached, false)
-	return c.report(&seen, length, ctx.Err() != nil), nil
+	obs.start = d.start
+	obs.after, obs.failure = d.observe(detached, false)
+	return c.report(&obs, length, ctx.Err() != nil), nil
 }
 
-// dispatch sends all calls at their intended moments, until ctx ends, and waits
-// for their answers.
+// dispatch sends all calls at their intended times until ctx ends, and waits for their
+// answers.
 func (d *Driver) dispatch(ctx context.Context) {
 	schedule := NewSchedule(d.settings.Workload, d.settings.Schedule)
 	var calls sync.WaitGroup
@@ -133,24 +132,24 @@
 		case <-ctx.Done():
 			return
 		}
-		if d.slots.Acquire(ctx, 1) != nil {
+		if d.inFlight.Acquire(ctx, 1) != nil {
 			return
 		}
 		calls.Go(func() {
-			defer d.slots.Release(1)
+			defer d.inFlight.Release(1)
 			d.send(context.WithoutCancel(ctx), &c)
 		})
 	}
 }
 
-// send sends one call, and sends it again through another entry where it asks for
-// that, whether or not the first answer has come.
+// send sends one call and, if c.Resend is set, a duplicate through another entry,
+// regardless of whether the first answer has been received.
 func (d *Driver) send(ctx context.Context, c *Call) {
 	first := d.balancer.pick(d.now(), -1)
-	var again sync.WaitGroup
-	defer again.Wait()
+	var resends sync.WaitGroup
+	defer resends.Wait()
 	if c.Resend {
-		again.Go(func() {
+		resends.Go(func() {
 			timer := time.NewTimer(c.ResendAfter)
 			defer timer.Stop()
 			<-timer.C
@@ -171,12 +170,12 @@
 	return a
 }
 
-// probe asks an entry again and again whether it is ready.
-func (d *Driver) probe(ctx context.Context, index int) {
+// pollReady polls the readiness of an entry until ctx ends.
+func (d *Driver) pollReady(ctx context.Context, index int) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		d.balancer.setReady(index, d.ready(ctx, d.settings.Entries[index].Operator))
+		d.balancer.setReady(index, d.isReady(ctx, d.settings.Entries[index].Operator))
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -185,7 +184,7 @@
 	}
 }
 
-func (d *Driver) ready(ctx context.Context, operator string) bool {
+func (d *Driver) isReady(ctx context.Context, operator string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	r, err := newRequest(ctx, http.MethodGet, "http://"+operator+pathReady, http.NoBody)
@@ -200,10 +199,10 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// sample reads the batch fill of each interval, and notes what was observed when
-// the measuring began.
-func (d *Driver) sample(ctx context.Context, seen *records) {
-	last := seen.before
+// sample observes the batch fill of each interval, and stores the first observation after
+// the warm-up in obs.warm.
+func (d *Driver) sample(ctx context.Context, obs *observations) {
+	last := obs.before
 	if len(last.Engines) == 0 {
 		return
 	}
@@ -224,7 +223,7 @@
 			s.fill = batchFill(&last, &current)
 			last = current
 			if !warm && d.now() >= d.settings.WarmUp {
-				seen.warm, warm = current, true
+				obs.warm, warm = current, true
 			}
 		}
 		select {
--- a/internal/standin/driver/driver_test.go
+++ b/internal/standin/driver/driver_test.go
@@ -21,26 +21,26 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/responder"
 )
 
-// honestEntry is a deployment of one process that answers at once and rightly.
-type honestEntry struct {
+// testEntry is a deployment of one process that answers immediately and correctly.
+type testEntry struct {
 	workload *driver.Workload
 	requests atomic.Int64
 	service  *responder.Service
 	mu       sync.Mutex
-	// kept holds the bodies of services' answers by key; guarded by mu.
-	kept map[string][]byte
-	// meddle, where set, changes the stream of an answer.
-	meddle func(stream string) string
+	// retained holds the bodies of services' answers by key; guarded by mu.
+	retained map[string][]byte
+	// tamper, if set, changes the stream of an answer.
+	tamper func(stream string) string
 }
 
-func (e *honestEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *testEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := fmt.Sprintf("r%d", e.requests.Add(1))
 	h := w.Header()
 	h.Set(translator.HeaderRequest, id)
 	h.Set(translator.HeaderOutcome, "Completed")
 	key := r.Header.Get(translator.HeaderIdempotencyKey)
 	if key != "" {
-		id = key // Both answers to a key are those of one run.
+		id = key // All answers to a key come from one run.
 		h.Set(translator.HeaderRequest, id)
 	}
 	if path, ok := strings.CutPrefix(r.URL.Path, "/services/"+e.workload.Service.Name); ok {
@@ -80,14 +80,14 @@
 	}
 	stream.WriteString("data: [DONE]\n\n")
 	out := stream.String()
-	if e.meddle != nil {
-		out = e.meddle(out)
+	if e.tamper != nil {
+		out = e.tamper(out)
 	}
 	_, _ = w.Write([]byte(out))
 }
 
-// serveService runs a call under a key once.
-func (e *honestEntry) serveService(w http.ResponseWriter, r *http.Request, path, id, key string) {
+// serveService runs a call with a key only once.
+func (e *testEntry) serveService(w http.ResponseWriter, r *http.Request, path, id, key string) {
 	inner := r.Clone(r.Context())
 	inner.URL.Path = path
 	inner.Header.Set(responder.HeaderRequest, id)
@@ -97,51 +97,51 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.kept[key] == nil {
+	if e.retained[key] == nil {
 		recorded := httptest.NewRecorder()
 		e.service.Handler().ServeHTTP(recorded, inner)
-		e.kept[key] = recorded.Body.Bytes()
+		e.retained[key] = recorded.Body.Bytes()
 	}
-	_, _ = w.Write(e.kept[key])
+	_, _ = w.Write(e.retained[key])
 }
 
-// behind is what stands behind the entry of a run.
-type behind struct {
+// backends are the backend servers of the test entry.
+type backends struct {
 	service *responder.Service
 	engine  *generator.Engine
 }
 
-// local observes both in the process.
-func (b *behind) local() []driver.Observed {
+// local returns both as sources in this process.
+func (b *backends) local() []driver.Observed {
 	return []driver.Observed{driver.LocalService{Service: b.service}, driver.LocalEngine{Engine: b.engine, MaxBatch: 16}}
 }
 
-// remote observes both over HTTP.
-func (b *behind) remote() []driver.Observed {
+// remote returns both as sources over HTTP.
+func (b *backends) remote() []driver.Observed {
 	return []driver.Observed{
 		driver.RemoteService{Address: serve(b.service.Handler())},
 		driver.RemoteEngine{Address: serve(b.engine.Handler())},
 	}
 }
 
-// serve returns the address of a server that ends with the test.
+// serve starts a server that is closed at the end of the test, and returns its address.
 func serve(h http.Handler) string {
 	s := httptest.NewServer(h)
 	DeferCleanup(s.Close)
 	return s.Listener.Addr().String()
 }
 
-// run drives two addresses of one entry for a moment.
-func run(meddle func(string) string, observed func(*behind) []driver.Observed) *driver.Report {
+// run performs a short run against two addresses of one test entry.
+func run(tamper func(string) string, observed func(*backends) []driver.Observed) *driver.Report {
 	GinkgoHelper()
-	return runUntil(context.Background(), meddle, observed)
+	return runUntil(context.Background(), tamper, observed)
 }
 
-func runUntil(ctx context.Context, meddle func(string) string, observed func(*behind) []driver.Observed) *driver.Report {
+func runUntil(ctx context.Context, tamper func(string) string, observed func(*backends) []driver.Observed) *driver.Report {
 	GinkgoHelper()
 	w := driver.Peachtree().WithAdapters(60)
 	service := responder.NewService(responder.Settings{Name: w.Service.Name})
-	entry := &honestEntry{workload: &w, service: service, meddle: meddle, kept: make(map[string][]byte)}
+	entry := &testEntry{workload: &w, service: service, tamper: tamper, retained: make(map[string][]byte)}
 	engine := generator.NewEngine(generator.Settings{})
 	DeferCleanup(engine.Close)
 	d, err := driver.NewDriver(driver.Settings{
@@ -149,7 +149,7 @@
 		Schedule: driver.ScheduleSettings{Seed: 1, Duration: 500 * time.Millisecond, TimeScale: 0.02, MaxCalls: 300},
 		Entries:  []driver.Entry{{Address: serve(entry)}, {Address: serve(entry)}},
 		Keys:     driver.NewKeys(&w),
-		Observed: observed(&behind{service: service, engine: engine}),
+		Observed: observed(&backends{service: service, engine: engine}),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	r, err := d.Run(ctx)
@@ -158,8 +158,8 @@
 }
 
 var _ = Describe("Driver", func() {
-	It("finds nothing broken in a deployment that keeps its promises", func() {
-		r := run(nil, (*behind).local)
+	It("reports no broken promise for a correct deployment", func() {
+		r := run(nil, (*backends).local)
 		Expect(r.Faults).To(BeEmpty())
 		for _, p := range r.Promises {
 			Expect(p.Examples).To(BeEmpty())
@@ -174,27 +174,26 @@
 		Expect(r.Engines.BatchFill).To(BeNil(), "no step ran")
 	})
 
-	// Symptom: a paralegal files half a title review as the whole. Sequence: the
-	// backend server dies in mid-stream, and what stands between closes the body as
-	// if it had ended. Cause: the end of the body was taken for the end of the
-	// answer.
-	It("finds streams that end without mark or error", func() {
+	// Guards against an incomplete title review that is taken for a complete one: the
+	// backend server dies during the stream, an intermediary closes the body normally, and
+	// the end of the body is taken for the end of the answer.
+	It("reports streams that end without end marker or error", func() {
 		r := run(func(stream string) string {
 			return strings.TrimSuffix(stream, "data: [DONE]\n\n")
-		}, (*behind).local)
+		}, (*backends).local)
 		Expect(*r.Promises[driver.HonestEnd].Broken).To(BeNumerically(">", 0))
 		Expect(r.All.Endings.Cut).To(Equal(*r.Promises[driver.HonestEnd].Broken))
 	})
 
 	It("reads records over HTTP", func() {
-		r := run(nil, (*behind).remote)
+		r := run(nil, (*backends).remote)
 		Expect(r.Faults).To(BeEmpty())
 		Expect(r.Broken()).To(BeZero())
 		Expect(*r.Promises[driver.AtMostOnce].Tried).To(BeNumerically(">", 0))
 		Expect(r.Engines.StaleOrders).To(HaveValue(BeZero()))
 	})
 
-	It("reads companions' metrics, and claims nothing that only records prove", func() {
+	It("reads companions' metrics, and does not check promises that need records", func() {
 		var asked atomic.Int64
 		companion := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			n := asked.Add(1)
@@ -202,7 +201,7 @@
 				"marigoldpoint_batch_fill_ratio_sum %d\nmarigoldpoint_batch_fill_ratio_count %d\n"+
 				"# TYPE marigoldpoint_slot_loads_total counter\nmarigoldpoint_slot_loads_total %d\n", n, 4*n, 10*n)
 		})
-		r := run(nil, func(*behind) []driver.Observed {
+		r := run(nil, func(*backends) []driver.Observed {
 			return []driver.Observed{driver.RemoteCompanion{Operator: serve(companion)}}
 		})
 		Expect(r.Faults).To(BeEmpty())
@@ -213,20 +212,20 @@
 		Expect(r.Promises[driver.NotRunDidNotRun].Tried).To(BeNil())
 	})
 
-	It("stops when it is told to, with an answer to all it sent", func() {
+	It("stops when the context ends, with an answer to all calls that it sent", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		r := runUntil(ctx, func(stream string) string {
 			cancel()
 			return stream
-		}, (*behind).local)
+		}, (*backends).local)
 		Expect(r.Stopped).To(BeTrue())
 		Expect(r.Faults).To(BeEmpty())
 		Expect(r.All.Endings.Calls).To(BeNumerically("<", 300))
 		Expect(r.All.Endings.Completed).To(Equal(r.All.Endings.Calls))
 	})
 
-	It("refuses to drive what is not on the loopback", func() {
+	It("rejects addresses that are not on the loopback", func() {
 		w := driver.Peachtree()
 		_, err := driver.NewDriver(driver.Settings{
 			Workload: w,
--- a/internal/standin/driver/enginefigures.go
+++ b/internal/standin/driver/enginefigures.go
@@ -8,23 +8,24 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/generator"
 )
 
-// EngineFigures are what engines or their companions tell of a run.
+// EngineFigures are the figures of a run from the records of engines or the metrics of
+// their companions.
 type EngineFigures struct {
 	Engines int
 	// BatchFill is the mean fill of the batches over all steps that ran; nil if
 	// none ran.
 	BatchFill *float64
 	Loads     int64
-	// FailedLoads counts the load orders that were refused or failed at once.
+	// FailedLoads counts the load orders that were answered with an error.
 	FailedLoads    int64
 	Evictions      int64
 	LoadsPerSecond float64
-	// NeededAgain counts the evictions of an adapter that some engine was ordered
-	// to load again within NeededWithinSeconds.
+	// NeededAgain counts the evictions of adapters that any engine was ordered to load
+	// again within NeededWithinSeconds.
 	NeededAgain         int64
 	NeededWithinSeconds float64
-	// StaleOrders counts the obeyed orders with an old fencing number; nil where
-	// an engine keeps no record.
+	// StaleOrders counts the executed orders with an outdated fencing number; nil if an
+	// engine keeps no record.
 	StaleOrders *int64
 }
 
@@ -34,14 +35,14 @@
 		return nil
 	}
 	e := &EngineFigures{Engines: len(after.Engines), BatchFill: batchFill(before, after)}
-	if records, _ := after.since(before); records != nil {
+	if records, _ := after.recordsSince(before); records != nil {
 		e.NeededWithinSeconds = seconds(within)
 		e.countOrders(records, within)
 	} else {
-		sum := after.counted(before)
+		sum := after.countersSince(before)
 		e.Loads, e.FailedLoads = int64(sum.Loads), int64(sum.FailedLoads)
 		e.Evictions, e.NeededAgain = int64(sum.Evictions), int64(sum.NeededAgain)
-		e.NeededWithinSeconds = neededWithin.Seconds()
+		e.NeededWithinSeconds = defaultNeededWithin.Seconds()
 	}
 	if length := after.At.Sub(before.At).Seconds(); length > 0 {
 		e.LoadsPerSecond = float64(e.Loads) / length
@@ -49,8 +50,8 @@
 	return e
 }
 
-// countOrders counts loads and evictions, and pairs each eviction with the next
-// load of the same adapter at any engine.
+// countOrders counts loads and evictions, and matches each eviction with the next load of
+// the same adapter at any engine.
 func (e *EngineFigures) countOrders(records []generator.Record, within time.Duration) {
 	var orders []generator.Order
 	e.StaleOrders = new(int64)
@@ -80,7 +81,7 @@
 	}
 }
 
-// addOrders counts the loads and unloads of the run in its time line.
+// addOrders adds the loads and unloads of the run to the series.
 func (s *series) addOrders(start time.Time, records []generator.Record) {
 	for i := range s.points {
 		s.points[i].Loads, s.points[i].Unloads = new(int64), new(int64)
--- a/internal/standin/driver/enum.go
+++ b/internal/standin/driver/enum.go
@@ -13,8 +13,7 @@
 
 // The kinds of calls.
 const (
-	// StreamedChat and the three after it are calls to an engine that may be
-	// repeated.
+	// StreamedChat and the next three kinds are calls to an engine that may be repeated.
 	StreamedChat CallKind = iota
 	WholeChat
 	StreamedCompletion
@@ -30,58 +29,58 @@
 	callKinds = iota
 )
 
-// Promise is one thing that must hold for every call.
+// Promise is a guarantee of the deployment that is checked.
 type Promise int
 
 // The promises, in the order of reports.
 const (
-	// RightVersion: the answer is by the adapter and version that was asked for.
+	// RightVersion means that the requested adapter and version gave the answer.
 	RightVersion Promise = iota
-	// WholeAnswer: an answer given as complete has all its text, in order.
+	// WholeAnswer means that an answer marked as complete has all its text, in order.
 	WholeAnswer
-	// OwnAnswer: the answer belongs to the request it was given to.
+	// OwnAnswer means that the answer belongs to the request.
 	OwnAnswer
-	// HonestEnd: a stream that was cut does not end as if it were complete.
+	// HonestEnd means that an interrupted stream does not end as a complete one does.
 	HonestEnd
-	// OutcomeTold: the answer's header names request, outcome and, where there is
-	// one, the adapter.
+	// OutcomeTold means that the answer states the request id, a consistent outcome and,
+	// with a status that asks to retry, the time to do so.
 	OutcomeTold
-	// NotRunDidNotRun: what was refused as not run ran nowhere.
+	// NotRunDidNotRun means that a call refused as not run did not run anywhere.
 	NotRunDidNotRun
-	// AtMostOnce: a call under an Idempotency-Key ran once or not at all.
+	// AtMostOnce means that a call with an Idempotency-Key ran at most once.
 	AtMostOnce
-	// StaysInUse: no adapter is unloaded while a request uses it.
+	// StaysInUse means that no adapter is unloaded while a request uses it.
 	StaysInUse
 
 	promises = iota
 )
 
-// Ending is how a call ended, as its caller sees it.
+// Ending is the result of a call as seen by its caller.
 type Ending int
 
 // The endings of a call.
 const (
-	// Completed means that the whole answer came, a plain service's own refusal
-	// included.
+	// Completed means that the complete answer was received. It may be a refusal by the
+	// plain service itself.
 	Completed Ending = iota
 	// NotRun means that the deployment refused the call as not run.
 	NotRun
 	// Unknown means that the deployment answered without knowing whether the call
 	// ran.
 	Unknown
-	// Cut means that the answer began and did not come to its end.
+	// Cut means that the answer began but is incomplete.
 	Cut
-	// Unanswered means that no answer came: no connection, or it broke before the
-	// header, or the caller's deadline passed.
+	// Unanswered means that no header was received: the connection failed, or the
+	// caller's deadline passed.
 	Unanswered
 
 	endings = iota
 )
 
-// Balance is how the entry for a call is chosen among the ready ones.
+// Balance is the strategy by which the entry for a call is chosen among the ready ones.
 type Balance int
 
-// The ways to choose an entry.
+// The strategies to choose an entry.
 const (
 	RoundRobin Balance = iota
 	Random
@@ -90,40 +89,41 @@
 // isChat reports whether the call goes to the chat endpoint.
 func (k CallKind) isChat() bool { return k == StreamedChat || k == WholeChat || k == Review }
 
-// isStreamed reports whether the answer comes as a stream.
+// isStreamed reports whether the answer is a stream.
 func (k CallKind) isStreamed() bool { return k == StreamedChat || k == StreamedCompletion }
 
 // isService reports whether the call goes to a plain service.
 func (k CallKind) isService() bool { return k == ServiceRead || k == ServiceWrite }
 
-// isKeyed reports whether the call runs at most once.
+// isKeyed reports whether the call has an Idempotency-Key and runs at most once.
 func (k CallKind) isKeyed() bool { return k == Review || k == ServiceWrite }
 
-// MarshalText writes the kind by its name.
+// MarshalText encodes the kind as its name.
 func (k CallKind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads a kind by its name.
+// UnmarshalText decodes the name of a kind.
 func (k *CallKind) UnmarshalText(text []byte) error { return parseName(k, text, callKinds) }
 
-// MarshalText writes the promise by its name.
+// MarshalText encodes the promise as its name.
 func (p Promise) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads a promise by its name.
+// UnmarshalText decodes the name of a promise.
 func (p *Promise) UnmarshalText(text []byte) error { return parseName(p, text, promises) }
 
-// MarshalText writes the ending by its name.
+// MarshalText encodes the ending as its name.
 func (e Ending) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
 
-// UnmarshalText reads an ending by its name.
+// UnmarshalText decodes the name of an ending.
 func (e *Ending) UnmarshalText(text []byte) error { return parseName(e, text, endings) }
 
-// MarshalText writes the way by its name.
+// MarshalText encodes the strategy as its name.
 func (b Balance) MarshalText() ([]byte, error) { return []byte(b.String()), nil }
 
-// UnmarshalText reads a way by its name.
+// UnmarshalText decodes the name of a strategy.
 func (b *Balance) UnmarshalText(text []byte) error { return parseName(b, text, Random+1) }
 
-// parseName sets target to the value below the limit that text names.
+// parseName sets target to the value below limit whose name is text. If there is none, it
+// returns a NotValid error.
 func parseName[T interface {
 	~int
 	fmt.Stringer
--- a/internal/standin/driver/inforce.go
+++ b/internal/standin/driver/inforce.go
@@ -13,11 +13,12 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/translator"
 )
 
-const inForcePause = 50 * time.Millisecond
+// listPollInterval is the time between two requests for the list of models.
+const listPollInterval = 50 * time.Millisecond
 
-// WaitAdaptersListed waits until every entry lists all adapters of the workload, with
-// their current versions, to each workspace's key. It returns the last reason to
-// wait where ctx ends first.
+// WaitAdaptersListed waits until every entry lists all adapters of the workload, with their
+// current versions, to the key of each workspace. If ctx ends first, it returns the last
+// reason why an entry was not ready.
 func WaitAdaptersListed(ctx context.Context, w *Workload, keys []WorkspaceKey, entries []Entry) error {
 	bearer, err := bearers(w, keys)
 	if err != nil {
@@ -28,11 +29,11 @@
 	for _, e := range entries {
 		for i := range w.Workspaces {
 			for {
-				err := listed(ctx, client, e.Address, bearer[i], w.Workspaces[i].Adapters)
+				err := checkListed(ctx, client, e.Address, bearer[i], w.Workspaces[i].Adapters)
 				if err == nil {
 					break
 				}
-				timer := time.NewTimer(inForcePause)
+				timer := time.NewTimer(listPollInterval)
 				select {
 				case <-timer.C:
 				case <-ctx.Done():
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// modelList is the part of OpenAI's list of models that is looked at.
+// modelList is the part of OpenAI's model list that is read.
 type modelList struct {
 	Data []modelName `json:"data"`
 }
@@ -54,8 +55,8 @@
 	ID string `json:"id"`
 }
 
-// listed returns an error unless the entry lists that many adapters.
-func listed(ctx context.Context, client *http.Client, entry, bearer string, want int) error {
+// checkListed returns an error unless the entry lists at least want adapters.
+func checkListed(ctx context.Context, client *http.Client, entry, bearer string, want int) error {
 	r, err := newRequest(ctx, http.MethodGet, "http://"+entry+orderer.PathModels, http.NoBody)
 	if err != nil {
 		return err
@@ -80,7 +81,7 @@
 		}
 	}
 	if found < want {
-		return errors.Errorf("%d of %d adapters in force", found, want)
+		return errors.Errorf("%d of %d adapters listed", found, want)
 	}
 	return nil
 }
--- a/internal/standin/driver/observer.go
+++ b/internal/standin/driver/observer.go
@@ -17,27 +17,27 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/responder"
 )
 
-// Observed is something behind the deployment whose own record a run reads: one of
-// LocalEngine, RemoteEngine, RemoteCompanion, LocalService and RemoteService.
+// Observed is an engine or service behind the deployment whose records or metrics a run
+// reads: one of LocalEngine, RemoteEngine, RemoteCompanion, LocalService and RemoteService.
 type Observed interface{ observed() }
 
 // LocalEngine is a stand-in engine in the same process.
 type LocalEngine struct {
 	Engine *generator.Engine
-	// MaxBatch is the engine's own setting.
+	// MaxBatch is the maximum batch size of the engine.
 	MaxBatch int
 }
 
-// RemoteEngine is a stand-in engine that gives its record over HTTP.
+// RemoteEngine is a stand-in engine that serves its record over HTTP.
 type RemoteEngine struct {
 	// Address is the IP and port.
 	Address string
 }
 
-// RemoteCompanion is the companion of an engine that keeps no record. Its metrics
-// tell of batch fill, loads and evictions; what ran where stays unknown.
+// RemoteCompanion is the companion of an engine that keeps no record. Its metrics contain
+// batch fill, loads and evictions, but not which requests ran.
 type RemoteCompanion struct {
-	// Operator is the IP and port of the operators' listener.
+	// Operator is the IP and port of the operator listener.
 	Operator string
 }
 
@@ -46,7 +46,7 @@
 	Service *responder.Service
 }
 
-// RemoteService is a stand-in plain service that gives its record over HTTP.
+// RemoteService is a stand-in plain service that serves its record over HTTP.
 type RemoteService struct {
 	// Address is the IP and port.
 	Address string
@@ -59,63 +59,64 @@
 func (RemoteService) observed()   {}
 
 const (
-	// maxRecordBytes bounds a record that is read over HTTP.
+	// maxRecordBytes limits a record that is read over HTTP.
 	maxRecordBytes = 512 << 20
 	pathMetrics    = "/metrics"
 )
 
-// observer reads records. It is safe for concurrent use.
+// observer reads records and metrics. It is safe for concurrent use.
 type observer struct {
 	client *http.Client
 }
 
-// Observation is what the engines and services recorded up to one moment.
+// Observation holds the records of the engines and services up to one time.
 type Observation struct {
-	// At is the moment, by the clock of the records.
+	// At is the time of the observation, on the clock of the records.
 	At       time.Time
 	Engines  []EngineObservation
 	Services []responder.Record
 }
 
-// EngineObservation is what is known of one engine.
+// EngineObservation is the observation of one engine.
 type EngineObservation struct {
-	// Record is nil where only counters can be read. Counters of loads are then
-	// used in its place.
+	// Record is nil if only counters can be read. The counters of loads and evictions are
+	// then used instead.
 	Record   *generator.Record
 	Counters Counters
 }
 
-// Counters are what an engine or its companion counted.
+// Counters are cumulative counts of an engine or its companion.
 type Counters struct {
-	// BatchCapacity counts the places of the batch over the steps that ran, or over the
-	// samples of a companion; BatchUsed counts those taken.
+	// BatchCapacity is the sum of the batch sizes over the steps that ran; from a
+	// companion it is the number of samples of the batch fill. BatchUsed is the part of
+	// it that was in use.
 	BatchCapacity float64
 	BatchUsed     float64
-	// Loads, FailedLoads, Evictions and NeededAgain are a companion's. It counts an
-	// eviction as needed again within a minute.
+	// Loads, FailedLoads, Evictions and NeededAgain are counted by a companion only.
+	// NeededAgain are evictions of adapters that were loaded again within a minute.
 	Loads       float64
 	FailedLoads float64
 	Evictions   float64
 	NeededAgain float64
 }
 
-// recorded returns the observation of an engine that keeps a record.
-func recorded(r *generator.Record, maxBatch int) EngineObservation {
+// newEngineObservation returns the observation of an engine that keeps a record.
+func newEngineObservation(r *generator.Record, maxBatch int) EngineObservation {
 	return EngineObservation{Record: r, Counters: Counters{
 		BatchCapacity: float64(r.Steps) * float64(maxBatch),
 		BatchUsed:     float64(r.SequenceSteps),
 	}}
 }
 
-// observe reads everything observed. With countsOnly the records of remote engines
-// come without their runs.
+// observe reads all sources. With countsOnly the records of remote engines are read without
+// their runs.
 func (o *observer) observe(ctx context.Context, all []Observed, countsOnly bool) (Observation, error) {
 	found := Observation{At: time.Now()}
 	for _, one := range all {
 		switch v := one.(type) {
 		case LocalEngine:
 			r := v.Engine.Record()
-			found.Engines = append(found.Engines, recorded(&r, v.MaxBatch))
+			found.Engines = append(found.Engines, newEngineObservation(&r, v.MaxBatch))
 		case RemoteEngine:
 			e, err := o.remoteEngine(ctx, v, countsOnly)
 			if err != nil {
@@ -154,12 +155,12 @@
 	if err := o.get(ctx, r.Address, orderer.PathState, &state); err != nil {
 		return EngineObservation{}, err
 	}
-	return recorded(&record, state.MaxBatch), nil
+	return newEngineObservation(&record, state.MaxBatch), nil
 }
 
-// companion reads the metrics of a companion.
+// companion reads the counters from the metrics of a companion.
 func (o *observer) companion(ctx context.Context, r RemoteCompanion) (Counters, error) {
-	answer, err := o.ask(ctx, r.Operator, pathMetrics)
+	answer, err := o.fetch(ctx, r.Operator, pathMetrics)
 	if err != nil {
 		return Counters{}, err
 	}
@@ -177,15 +178,15 @@
 		c.BatchCapacity += float64(m.GetHistogram().GetSampleCount())
 		c.BatchUsed += m.GetHistogram().GetSampleSum()
 	}
-	c.Loads = counter(families["marigoldpoint_slot_loads_total"])
-	c.FailedLoads = counter(families["marigoldpoint_slot_load_failures_total"])
-	c.Evictions = counter(families["marigoldpoint_slot_evictions_total"])
-	c.NeededAgain = counter(families["marigoldpoint_slot_evictions_regretted_total"])
+	c.Loads = sumCounter(families["marigoldpoint_slot_loads_total"])
+	c.FailedLoads = sumCounter(families["marigoldpoint_slot_load_failures_total"])
+	c.Evictions = sumCounter(families["marigoldpoint_slot_evictions_total"])
+	c.NeededAgain = sumCounter(families["marigoldpoint_slot_evictions_regretted_total"])
 	return c, nil
 }
 
-// counter sums a counter over all companions of a process.
-func counter(f *dto.MetricFamily) float64 {
+// sumCounter returns the sum of a counter over all companions of a process.
+func sumCounter(f *dto.MetricFamily) float64 {
 	sum := 0.0
 	for _, m := range f.GetMetric() {
 		sum += m.GetCounter().GetValue()
@@ -194,7 +195,7 @@
 }
 
 func (o *observer) get(ctx context.Context, address, path string, into any) error {
-	answer, err := o.ask(ctx, address, path)
+	answer, err := o.fetch(ctx, address, path)
 	if err != nil {
 		return err
 	}
@@ -202,8 +203,9 @@
 	return errors.Trace(json.NewDecoder(io.LimitReader(answer.Body, maxRecordBytes)).Decode(into))
 }
 
-// ask returns an answer of status 200, whose body must be closed.
-func (o *observer) ask(ctx context.Context, address, path string) (*http.Response, error) {
+// fetch returns an answer with status 200, whose body the caller must close. Another status
+// is an error.
+func (o *observer) fetch(ctx context.Context, address, path string) (*http.Response, error) {
 	r, err := newRequest(ctx, http.MethodGet, "http://"+address+path, http.NoBody)
 	if err != nil {
 		return nil, err
@@ -219,10 +221,10 @@
 	return answer, nil
 }
 
-// since returns the records of what came after an earlier observation of the same
-// engines and services. Engines of which one keeps no record give nil: a check
-// that doesn't see all of them proves nothing.
-func (o *Observation) since(before *Observation) ([]generator.Record, []responder.Record) {
+// recordsSince returns the records made after an earlier observation of the same engines
+// and services. The records of engines are nil if one engine keeps none: a check on a part
+// of the engines proves nothing.
+func (o *Observation) recordsSince(before *Observation) ([]generator.Record, []responder.Record) {
 	var engines []generator.Record
 	for i := range o.Engines {
 		if o.Engines[i].Record == nil {
@@ -248,8 +250,9 @@
 	return engines, services
 }
 
-// counted returns the sums of the counters since an earlier observation.
-func (o *Observation) counted(before *Observation) Counters {
+// countersSince returns the increase of the counters, summed over all engines, since an
+// earlier observation.
+func (o *Observation) countersSince(before *Observation) Counters {
 	var sum Counters
 	add := func(c *Counters, sign float64) {
 		sum.BatchCapacity += sign * c.BatchCapacity
@@ -268,10 +271,10 @@
 	return sum
 }
 
-// batchFill returns the mean fill of the batches between two observations, or nil
-// where no step ran.
+// batchFill returns the mean fill of the batches between two observations, or nil if no
+// step ran.
 func batchFill(before, after *Observation) *float64 {
-	sum := after.counted(before)
+	sum := after.countersSince(before)
 	if sum.BatchCapacity <= 0 {
 		return nil
 	}
--- a/internal/standin/driver/panels.go
+++ b/internal/standin/driver/panels.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// headline names the run.
+// headline returns the title of the plot: the run and its main figures.
 func (r *Report) headline() string {
 	name := r.Workload
 	if r.Label != "" {
@@ -23,19 +23,19 @@
 		name, e.Calls, r.Sizes.Adapters, r.Seconds, e.Completed, e.NotRun, r.Broken())
 }
 
-// waitPanel shows how long the calls of each second waited in all.
-func (r *Report) waitPanel() (*plot.Plot, error) {
+// waitsPanel shows the total waiting time of the calls of each second.
+func (r *Report) waitsPanel() (*plot.Plot, error) {
 	p := newPanel(r.headline(), "seconds per second")
 	err := r.addLines(p, 0, []line{
 		{
 			name:  withTotal("queue", r.All.Queue.TotalSeconds),
-			style: draw.LineStyle{Color: queueColour, Width: thick},
-			value: func(t *Point) *float64 { return r.rate(t.QueueSeconds) },
+			style: draw.LineStyle{Color: queueColour, Width: lineWidth},
+			value: func(t *Point) *float64 { return r.perSecond(t.QueueSeconds) },
 		},
 		{
 			name:  withTotal("load stall", r.All.Stall.TotalSeconds),
-			style: draw.LineStyle{Color: stallColour, Width: thick},
-			value: func(t *Point) *float64 { return r.rate(t.StallSeconds) },
+			style: draw.LineStyle{Color: stallColour, Width: lineWidth},
+			value: func(t *Point) *float64 { return r.perSecond(t.StallSeconds) },
 		},
 	})
 	return p, err
@@ -48,16 +48,16 @@
 	return fmt.Sprintf("%s, %.1f s in all", name, *total)
 }
 
-// rate returns a sum over a point by the second.
-func (r *Report) rate(sum *float64) *float64 {
+// perSecond converts the sum over a point to a rate per second.
+func (r *Report) perSecond(sum *float64) *float64 {
 	if sum == nil {
 		return nil
 	}
-	v := *sum / r.interval()
+	v := *sum / r.pointSeconds()
 	return &v
 }
 
-// fillPanel shows how full the batches ran, and the loads.
+// fillPanel shows the batch fill and the loads.
 func (r *Report) fillPanel() (*plot.Plot, error) {
 	p := newPanel("Batch fill of the steps that ran, and loads", "%, or loads per second")
 	p.X.Label.Text = fmt.Sprintf("seconds since the start; calls are sent until second %.0f", r.Parameters.DurationSeconds)
@@ -70,9 +70,9 @@
 			return nil
 		}
 		count := float64(*t.Loads)
-		return r.rate(&count)
+		return r.perSecond(&count)
 	}}
-	fill := line{name: name, style: draw.LineStyle{Color: fillColour, Width: thick}, value: func(t *Point) *float64 {
+	fill := line{name: name, style: draw.LineStyle{Color: fillColour, Width: lineWidth}, value: func(t *Point) *float64 {
 		if t.BatchFill == nil {
 			return nil
 		}
@@ -83,7 +83,7 @@
 	return p, err
 }
 
-// bars are one figure of all workspaces.
+// bars is one figure of all workspaces.
 type bars struct {
 	name   string
 	colour color.Color
--- a/internal/standin/driver/plot.go
+++ b/internal/standin/driver/plot.go
@@ -21,13 +21,13 @@
 	legendWidth = 6.2 * vg.Centimeter
 	plotDPI     = 110
 	margin      = 0.4 * vg.Centimeter
-	thick       = 2 * vg.Length(1)
+	lineWidth   = 2 * vg.Length(1)
 )
 
 // fontVariant is the font of all texts in a plot.
 const fontVariant = "Sans"
 
-// Colours of a plot, which differ in brightness too.
+// Colours of a plot. They also differ in brightness.
 var (
 	stallColour  = color.RGBA{R: 0xc4, G: 0x3a, B: 0x2b, A: 0xff}
 	queueColour  = color.RGBA{R: 0xe6, G: 0xa2, B: 0x2c, A: 0xff}
@@ -40,10 +40,10 @@
 	gridColour   = color.RGBA{R: 0xdd, G: 0xdd, B: 0xdd, A: 0xff}
 )
 
-// WritePlot writes the report as a PNG: stalls and batch fill over time, latency by
-// workspace.
+// WritePlot writes the report as a PNG image: waiting times and batch fill over time, and
+// latency by workspace.
 func (r *Report) WritePlot(w io.Writer) error {
-	panels := []func() (*plot.Plot, error){r.waitPanel, r.fillPanel, r.latencyPanel}
+	panels := []func() (*plot.Plot, error){r.waitsPanel, r.fillPanel, r.latencyPanel}
 	plots := make([][]*plot.Plot, len(panels))
 	for i, panel := range panels {
 		p, err := panel()
@@ -53,21 +53,21 @@
 		plots[i] = []*plot.Plot{p}
 	}
 	canvas := vgimg.PngCanvas{Canvas: vgimg.NewWith(vgimg.UseWH(plotWidth, plotHeight), vgimg.UseDPI(plotDPI))}
-	whole := draw.New(canvas)
+	canvasArea := draw.New(canvas)
 	tiles := draw.Tiles{
 		Rows: len(panels), Cols: 1, PadX: margin, PadY: 2 * margin,
 		PadTop: margin, PadBottom: margin, PadLeft: margin, PadRight: margin,
 	}
-	for i, row := range plot.Align(plots, tiles, draw.Crop(whole, 0, -legendWidth, 0, 0)) {
-		// The legend stands beside the panel, where it hides nothing.
+	for i, row := range plot.Align(plots, tiles, draw.Crop(canvasArea, 0, -legendWidth, 0, 0)) {
+		// The legend is drawn beside the panel, where it does not cover the lines.
 		p := plots[i][0]
 		legend := p.Legend
 		p.Legend = plot.NewLegend()
 		p.Draw(row[0])
-		beside := whole
-		beside.Min = vg.Point{X: whole.Max.X - legendWidth, Y: row[0].Min.Y}
-		beside.Max = vg.Point{X: whole.Max.X - margin, Y: row[0].Max.Y - 2*margin}
-		legend.Draw(beside)
+		legendArea := canvasArea
+		legendArea.Min = vg.Point{X: canvasArea.Max.X - legendWidth, Y: row[0].Min.Y}
+		legendArea.Max = vg.Point{X: canvasArea.Max.X - margin, Y: row[0].Max.Y - 2*margin}
+		legend.Draw(legendArea)
 	}
 	_, err := canvas.WriteTo(w)
 	return errors.Annotate(err, "plot")
@@ -93,15 +93,15 @@
 	return p
 }
 
-// addGrid draws the grid over what was added before.
+// addGrid draws the grid over the elements added before.
 func addGrid(p *plot.Plot) {
 	g := plotter.NewGrid()
 	g.Vertical.Color, g.Horizontal.Color = gridColour, gridColour
 	p.Add(g)
 }
 
-// evenTicks puts a tick with a label at each multiple of 1, 2 or 5 times a power
-// of ten, about seven in all.
+// evenTicks places labelled ticks at multiples of 1, 2 or 5 times a power of ten, about
+// seven per axis.
 type evenTicks struct{}
 
 // Ticks returns the ticks of an axis.
@@ -124,25 +124,26 @@
 	return ticks
 }
 
-// line is a figure over time.
+// line is a figure plotted over time.
 type line struct {
 	name  string
 	style draw.LineStyle
-	// fill, where set, fills the area below, drawn as steps.
+	// fill is the colour of the area below the line, which is then drawn as steps; nil for
+	// none.
 	fill  color.Color
 	value func(*Point) *float64
 }
 
-// interval returns the length of a point, in seconds.
-func (r *Report) interval() float64 {
+// pointSeconds returns the length of a point, in seconds.
+func (r *Report) pointSeconds() float64 {
 	if len(r.Series) < 2 {
 		return 1
 	}
 	return r.Series[1].Seconds - r.Series[0].Seconds
 }
 
-// pieces returns the known values of a figure, cut where it is unknown.
-func (r *Report) pieces(value func(*Point) *float64) []plotter.XYs {
+// segments returns the known values of a figure, split where it is unknown.
+func (r *Report) segments(value func(*Point) *float64) []plotter.XYs {
 	var found []plotter.XYs
 	open := false
 	for i := range r.Series {
@@ -156,20 +157,20 @@
 			open = true
 		}
 		last := len(found) - 1
-		found[last] = append(found[last], plotter.XY{X: r.Series[i].Seconds + r.interval()/2, Y: *v})
+		found[last] = append(found[last], plotter.XY{X: r.Series[i].Seconds + r.pointSeconds()/2, Y: *v})
 	}
 	return found
 }
 
-// addLines draws figures over time and names them in the legend. The panel gets
-// the height of the highest value, or height if that is above 0.
+// addLines draws figures over time and adds them to the legend. The panel has the given
+// height, or that of the highest value if height is 0.
 func (r *Report) addLines(p *plot.Plot, height float64, lines []line) error {
 	p.X.Tick.Marker = evenTicks{}
 	highest := 0.0
-	pieces := make([][]plotter.XYs, len(lines))
+	segments := make([][]plotter.XYs, len(lines))
 	for i := range lines {
-		pieces[i] = r.pieces(lines[i].value)
-		for _, points := range pieces[i] {
+		segments[i] = r.segments(lines[i].value)
+		for _, points := range segments[i] {
 			for _, xy := range points {
 				highest = math.Max(highest, xy.Y)
 			}
@@ -178,13 +179,13 @@
 	if height == 0 {
 		height = math.Max(highest*1.1, 0.1)
 	}
-	band, shift, err := r.marks(p, height)
+	band, shift, err := r.rushAndShift(p, height)
 	if err != nil {
 		return err
 	}
 	addGrid(p)
 	for i := range lines {
-		if err := addLine(p, &lines[i], pieces[i]); err != nil {
+		if err := addLine(p, &lines[i], segments[i]); err != nil {
 			return err
 		}
 	}
@@ -196,7 +197,7 @@
 		p.Legend.Add("popularity shifts", shift)
 	}
 	if at := r.Parameters.WarmUpSeconds; at > 0 {
-		warm, err := upright(at, height)
+		warm, err := verticalLine(at, height)
 		if err != nil {
 			return err
 		}
@@ -207,18 +208,18 @@
 	p.Y.Max = height
 	p.X.Min, p.X.Max = 0, r.Parameters.DurationSeconds
 	if n := len(r.Series); n > 0 {
-		p.X.Max = math.Max(p.X.Max, r.Series[n-1].Seconds+r.interval())
+		p.X.Max = math.Max(p.X.Max, r.Series[n-1].Seconds+r.pointSeconds())
 	}
 	return nil
 }
 
-func addLine(p *plot.Plot, l *line, pieces []plotter.XYs) error {
+func addLine(p *plot.Plot, l *line, segments []plotter.XYs) error {
 	name := l.name
-	if len(pieces) == 0 {
+	if len(segments) == 0 {
 		name += " (" + notObserved + ")"
 	}
 	sample := &plotter.Line{LineStyle: l.style, FillColor: l.fill}
-	for _, points := range pieces {
+	for _, points := range segments {
 		drawn, err := plotter.NewLine(points)
 		if err != nil {
 			return errors.Trace(err)
@@ -234,9 +235,9 @@
 	return nil
 }
 
-// marks returns the band of the rush, which it adds below all else, and the line of
-// the shift; nil where there is none.
-func (r *Report) marks(p *plot.Plot, height float64) (*plotter.Polygon, *plotter.Line, error) {
+// rushAndShift returns the band of the rush, which it adds to the panel as the background,
+// and the line of the shift. Either is nil if the run has none.
+func (r *Report) rushAndShift(p *plot.Plot, height float64) (*plotter.Polygon, *plotter.Line, error) {
 	end := r.Parameters.DurationSeconds
 	var band *plotter.Polygon
 	var shift *plotter.Line
@@ -252,19 +253,19 @@
 		p.Add(band)
 	}
 	if at := r.Parameters.ShiftAt * end; at > 0 {
-		if shift, err = upright(at, height); err != nil {
+		if shift, err = verticalLine(at, height); err != nil {
 			return nil, nil, err
 		}
 	}
 	return band, shift, nil
 }
 
-// upright returns a dashed line over the height of a panel.
-func upright(at, height float64) (*plotter.Line, error) {
+// verticalLine returns a dashed line over the height of a panel.
+func verticalLine(at, height float64) (*plotter.Line, error) {
 	l, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: height}})
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	l.LineStyle = draw.LineStyle{Color: color.Black, Width: thick / 2, Dashes: []vg.Length{vg.Points(6), vg.Points(4)}}
+	l.LineStyle = draw.LineStyle{Color: color.Black, Width: lineWidth / 2, Dashes: []vg.Length{vg.Points(6), vg.Points(4)}}
 	return l, nil
 }
--- a/internal/standin/driver/popularity.go
+++ b/internal/standin/driver/popularity.go
@@ -6,21 +6,21 @@
 	"sort"
 )
 
-// Popularity is a Zipf law over the adapters of one workspace, whose ranks change
-// at once when the popularity shifts. It is safe for concurrent use.
+// Popularity is a Zipf distribution over the adapters of one workspace. A shift changes the
+// ranks of all adapters at once. It is safe for concurrent use.
 type Popularity struct {
 	// cumulative holds, by rank, the probability of that rank or a lower one.
 	cumulative []float64
-	// before and after hold, by rank, the adapter's index. Each is a permutation.
+	// before and after the shift, the adapter's index by rank. Each is a permutation.
 	before []int
 	after  []int
 }
 
-// NewPopularity returns the law 1/rank^exponent over count adapters, with ranks
-// drawn from random. It panics if count is not positive.
+// NewPopularity returns the distribution 1/rank^exponent over count adapters, whose ranks
+// are drawn from random. It panics if count is not positive.
 func NewPopularity(count int, exponent float64, random *rand.Rand) *Popularity {
 	if count < 1 {
-		panic("driver: no adapters to draw from")
+		panic("driver: NewPopularity needs at least one adapter")
 	}
 	p := &Popularity{cumulative: zipf(count, exponent)}
 	p.before = random.Perm(count)
@@ -48,8 +48,7 @@
 	return min(sort.SearchFloat64s(p.cumulative, u), len(p.cumulative)-1)
 }
 
-// Adapter returns the index of the adapter that has the rank, before or after the
-// shift.
+// Adapter returns the index of the adapter with the rank before or after the shift.
 func (p *Popularity) Adapter(rank int, shifted bool) int {
 	if shifted {
 		return p.after[rank]
--- a/internal/standin/driver/preparer.go
+++ b/internal/standin/driver/preparer.go
@@ -28,7 +28,7 @@
 // keyName is the name of the KeySpec that Prepare declares in each workspace.
 const keyName = "load"
 
-// NewKeys draws a bearer key for each workspace.
+// NewKeys returns a random bearer key for each workspace.
 func NewKeys(w *Workload) []WorkspaceKey {
 	keys := make([]WorkspaceKey, 0, len(w.Workspaces))
 	for _, l := range w.Workspaces {
@@ -37,8 +37,8 @@
 	return keys
 }
 
-// Resources returns what the workload needs declared, in stages: the resources of
-// a stage don't depend on each other, only on earlier stages.
+// Resources returns the resources that the workload needs, in stages: the resources of a
+// stage depend only on earlier stages, not on each other.
 func Resources(w *Workload, keys []WorkspaceKey) [][]storer.Resource {
 	stages := make([][]storer.Resource, 4)
 	add := func(stage int, kind storer.Kind, workspace, name string, spec storer.Spec) {
@@ -71,17 +71,17 @@
 	return stages
 }
 
-// PrepareSettings say where and how a workload is declared.
+// PrepareSettings are the settings of Prepare.
 type PrepareSettings struct {
-	// Operators are the operators' listeners, IP:port; one at least.
+	// Operators are the operator listeners, IP:port; at least one.
 	Operators []string
-	// Key is the operators' bearer key; empty for none.
+	// Key is the bearer key of the operator API; empty for none.
 	Key string
-	// Parallelism is the number of changes sent at once; 64 by default.
+	// Parallelism is the number of changes in flight; 64 by default.
 	Parallelism int
-	// Timeout bounds the whole; 2 min by default.
+	// Timeout limits the time of Prepare; 2 min by default.
 	Timeout time.Duration
-	// Client sends the changes; a client of the package by default.
+	// Client sends the changes; a new client by default.
 	Client *http.Client
 }
 
@@ -100,16 +100,16 @@
 
 const (
 	operatorPath = "/api/v1/workspaces/"
-	// changeAttempts bounds how often one change is sent, with changePause between.
+	// changeAttempts limits the attempts to send one change, which are changePause apart.
 	changeAttempts = 10
 	changePause    = 200 * time.Millisecond
 )
 
-// Prepare declares the workload through the operator API and returns how many
-// changes were accepted. Repeating it changes nothing but the keys.
+// Prepare declares the workload through the operator API and returns the number of accepted
+// changes. A repetition changes only the keys. It panics if s has no operator listener.
 func Prepare(ctx context.Context, w *Workload, keys []WorkspaceKey, s PrepareSettings) (int, error) {
 	if len(s.Operators) == 0 {
-		panic("driver: no operators' listener to prepare through")
+		panic("driver: Prepare needs an operator listener")
 	}
 	s = s.withDefaults()
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
@@ -132,19 +132,20 @@
 	return accepted, nil
 }
 
-// put sends one change until it is accepted or refused for good. All attempts have
-// one key, so that an answer that was lost does no harm.
+// put sends one change until it is accepted, is refused with a permanent error, or has been
+// sent changeAttempts times. All attempts have one Idempotency-Key, so that a lost answer
+// does no harm.
 func (s *PrepareSettings) put(ctx context.Context, operator, key string, r *storer.Resource) error {
 	body, err := json.Marshal(r)
 	if err != nil {
 		return errors.Annotate(err, "encode resource")
 	}
 	for attempt := 1; ; attempt++ {
-		again, err := s.putOnce(ctx, operator, key, r, body)
+		retry, err := s.putOnce(ctx, operator, key, r, body)
 		if err == nil {
 			return nil
 		}
-		if !again || attempt == changeAttempts {
+		if !retry || attempt == changeAttempts {
 			return errors.Annotatef(err, "declare %v %s/%s", r.Kind, r.Metadata.Workspace, r.Metadata.Name)
 		}
 		timer := time.NewTimer(changePause)
@@ -157,7 +158,7 @@
 	}
 }
 
-// putOnce sends one change. It reports whether a failure is worth another attempt.
+// putOnce sends one change. It reports whether a failure can be retried.
 func (s *PrepareSettings) putOnce(ctx context.Context, operator, key string, r *storer.Resource, body []byte) (bool, error) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+operator+resourcePath(r), bytes.NewReader(body))
 	if err != nil {
@@ -180,8 +181,8 @@
 	case err != nil:
 		return true, errors.Trace(err)
 	default:
-		again := answer.StatusCode >= http.StatusInternalServerError || answer.StatusCode == http.StatusTooManyRequests
-		return again, errors.Errorf("status %d: %s", answer.StatusCode, bytes.TrimSpace(text))
+		retry := answer.StatusCode >= http.StatusInternalServerError || answer.StatusCode == http.StatusTooManyRequests
+		return retry, errors.Errorf("status %d: %s", answer.StatusCode, bytes.TrimSpace(text))
 	}
 }
 
--- a/internal/standin/driver/quantiles.go
+++ b/internal/standin/driver/quantiles.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles summarise times, in milliseconds.
+// Quantiles summarise a distribution of times, in milliseconds.
 type Quantiles struct {
 	Count int64
 	Mean  float64
@@ -18,33 +18,33 @@
 }
 
 const (
-	// slowest is the longest time that a histogram tells from longer ones.
-	slowest = time.Hour
-	// significantFigures of the times are exact.
+	// maxTime is the upper limit of a histogram; longer times are counted as maxTime.
+	maxTime = time.Hour
+	// significantFigures is the number of decimal digits that are exact.
 	significantFigures = 3
 )
 
-// histogram counts times with a resolution of a microsecond.
+// histogram counts times with a resolution of 1 µs.
 type histogram struct {
 	counts *hdrhistogram.Histogram
-	// sum is exact, unlike the mean of the counts.
+	// sum is the exact sum; the mean of the counts is rounded.
 	sum time.Duration
 }
 
 func newHistogram() *histogram {
-	return &histogram{counts: hdrhistogram.New(1, slowest.Microseconds(), significantFigures)}
+	return &histogram{counts: hdrhistogram.New(1, maxTime.Microseconds(), significantFigures)}
 }
 
 // add counts one time.
 func (h *histogram) add(length time.Duration) {
-	length = min(max(length, 0), slowest)
+	length = min(max(length, 0), maxTime)
 	h.sum += length
 	if err := h.counts.RecordValue(length.Microseconds()); err != nil {
-		panic("driver: histogram refuses a time within its bounds")
+		panic("driver: histogram rejects a time within its limits")
 	}
 }
 
-// quantiles returns the summary, or nil where nothing was counted.
+// quantiles returns the summary, or nil if nothing was counted.
 func (h *histogram) quantiles() *Quantiles {
 	count := h.counts.TotalCount()
 	if count == 0 {
@@ -74,7 +74,7 @@
 	return float64(length.Milliseconds()) / 1000
 }
 
-// quantile returns a figure of the summary, nil where there is none.
+// quantile returns of(q), or nil if q is nil.
 func quantile(q *Quantiles, of func(*Quantiles) float64) *float64 {
 	if q == nil {
 		return nil
--- a/internal/standin/driver/report.go
+++ b/internal/standin/driver/report.go
@@ -10,32 +10,32 @@
 	"github.com/juju/errors"
 )
 
-// ReportFormat is the number of the format that a Report has today.
+// ReportFormat is the version of the current report format.
 const ReportFormat = 1
 
-// Report is what a run leaves. A nil figure was not observed.
+// Report is the result of a run. A nil figure was not observed.
 type Report struct {
 	Format     int
 	Workload   string
 	Parameters Parameters
 	Sizes      Sizes
-	// Label tells runs apart, such as by the policy of the deployment.
+	// Label identifies the run, for example by the policy of the deployment.
 	Label string
-	// Seconds is the time from the first intended moment to the last answer.
+	// Seconds is the time from the start of the run to the last answer.
 	Seconds float64
-	// Stopped tells that the run was ended before its time.
+	// Stopped reports whether the run was ended before its scheduled duration.
 	Stopped bool
-	// WarmUp counts the calls before the measuring began. Their promises are
-	// checked like all others; no other figure holds them, but for the Series.
+	// WarmUp counts the calls of the warm-up. Their promises are checked as those of
+	// all calls, but only Series includes them among the other figures.
 	WarmUp EndingCounts
 	All    GroupFigures
-	// Lateness is the time between the intended moments and the sending; a high one
-	// says that the driver itself was short of processor time.
+	// LatenessMillis is the time between the intended and the actual send time. High
+	// values mean that the driver itself was short of processor time.
 	LatenessMillis *Quantiles
-	// Resent counts the calls that were sent again on purpose under the same key.
+	// Resent counts the intentional duplicates of calls with an Idempotency-Key.
 	Resent EndingCounts
-	// Causes count the calls that were not completed by what they were told, the
-	// most frequent first.
+	// Causes count the calls that were not completed by cause, the most frequent
+	// first.
 	Causes     []CauseFigures
 	Kinds      []KindFigures
 	Workspaces []WorkspaceFigures
@@ -46,16 +46,16 @@
 	Series []Point
 }
 
-// Cause is what a caller was told of a call that was not completed.
+// Cause is the answer to a call that was not completed, as its caller sees it.
 type Cause struct {
 	Ending Ending
-	// Status is 0 where no answer came.
+	// Status is the HTTP status; 0 if there was no answer.
 	Status int
-	// Code is the machine-readable cause; it may be empty.
+	// Code is the error code; it may be empty.
 	Code string
 }
 
-// CauseFigures count the calls of one cause.
+// CauseFigures counts the calls of one cause.
 type CauseFigures struct {
 	Cause
 	Calls int64
@@ -76,11 +76,11 @@
 	return found
 }
 
-// Parameters are what the run was asked to do.
+// Parameters are the settings of the run.
 type Parameters struct {
 	Seed            uint64
 	DurationSeconds float64
-	// WarmUpSeconds is the part of the duration before the measuring began.
+	// WarmUpSeconds is the part of the duration that is excluded from the measurement.
 	WarmUpSeconds float64
 	TimeScale     float64
 	RateScale     float64
@@ -88,7 +88,7 @@
 	MaxInFlight   int
 	Balance       Balance
 	CheckText     bool
-	// Rate is the workload's mean number of calls in a second before scaling.
+	// Rate is the workload's mean number of calls per second before scaling.
 	Rate         float64
 	ZipfExponent float64
 	ShiftAt      float64
@@ -96,11 +96,11 @@
 	RushTo       float64
 	RushRate     float64
 	RushAdapters int
-	// RushWorkspace is empty where no workspace rushes.
+	// RushWorkspace is empty if there is no rush.
 	RushWorkspace string
 }
 
-// Sizes tell what the run was run on.
+// Sizes describe the workload and the deployment of the run.
 type Sizes struct {
 	Workspaces int
 	Adapters   int
@@ -110,21 +110,21 @@
 	Services int
 }
 
-// GroupFigures are the figures of one set of calls. Latencies are of completed
-// calls and count from the intended send time.
+// GroupFigures are the figures of one set of calls. Latencies are those of completed calls,
+// measured from the intended send time.
 type GroupFigures struct {
 	Endings     EndingCounts
 	TotalMillis *Quantiles
 	// FirstTokenMillis and BetweenTokenMillis are of streamed calls.
 	FirstTokenMillis   *Quantiles
 	BetweenTokenMillis *Quantiles
-	// Stall is the time that calls waited for a load, Queue that for a place in a
-	// batch, as the deployment reports them.
+	// Stall is the time that calls waited for an adapter load, Queue the time that they
+	// waited for batch capacity, as reported by the deployment.
 	Stall Waits
 	Queue Waits
-	// InVainSeconds is the time that the calls took which were not completed. They
-	// stand in no other figure: a deployment that refuses what would have waited
-	// long looks fast without this one.
+	// InVainSeconds is the total time of the calls that were not completed. No latency
+	// includes them, so that without this figure a deployment would look fast if it
+	// refused the calls that would have waited long.
 	InVainSeconds float64
 }
 
@@ -138,17 +138,17 @@
 type WorkspaceFigures struct {
 	Name string
 	GroupFigures
-	// DuringRush and OutsideRush are the total latencies of its calls to engines,
-	// those of the rush left out.
+	// DuringRush and OutsideRush are the total latencies of the workspace's calls to
+	// engines, without the calls of the rush itself.
 	DuringRush  *Quantiles
 	OutsideRush *Quantiles
 }
 
-// Report fills in what the tally counted.
+// Report sets the figures of r that the tally counts.
 func (t *Tally) Report(w *Workload, r *Report) {
 	r.All = t.all.figures()
 	r.LatenessMillis = t.lateness.quantiles()
-	r.WarmUp, r.Resent = t.warming, t.resent
+	r.WarmUp, r.Resent = t.warmUpCalls, t.resent
 	r.Causes = causeFigures(t.causes)
 	r.Kinds, r.Workspaces = nil, nil
 	for k := range t.kinds {
@@ -160,14 +160,14 @@
 		r.Workspaces = append(r.Workspaces, WorkspaceFigures{
 			Name:         w.Workspaces[i].Name,
 			GroupFigures: t.workspaces[i].figures(),
-			DuringRush:   t.rushing[i].quantiles(),
-			OutsideRush:  t.quiet[i].quantiles(),
+			DuringRush:   t.duringRush[i].quantiles(),
+			OutsideRush:  t.outsideRush[i].quantiles(),
 		})
 	}
 	r.Series = t.points.points
 }
 
-// Broken returns the number of broken promises.
+// Broken returns the number of failed checks of promises.
 func (r *Report) Broken() int64 {
 	count := int64(0)
 	for i := range r.Promises {
@@ -178,15 +178,15 @@
 	return count
 }
 
-// WriteJSON writes the report.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	e.SetEscapeHTML(false)
-	return errors.Annotate(e.Encode(r), "report")
+	return errors.Annotate(e.Encode(r), "encode report")
 }
 
-// ReadReport reads a report of the present format from a file.
+// ReadReport reads a report from a file. A report of another format is a NotValid error.
 func ReadReport(path string) (*Report, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -197,7 +197,7 @@
 		return nil, errors.Annotatef(err, "%s", path)
 	}
 	if r.Format != ReportFormat {
-		return nil, errors.NotValidf("%s: format %d where %d is read; it", path, r.Format, ReportFormat)
+		return nil, errors.NotValidf("%s: report format %d (expected %d)", path, r.Format, ReportFormat)
 	}
 	return &r, nil
 }
--- a/internal/standin/driver/report_test.go
+++ b/internal/standin/driver/report_test.go
@@ -18,8 +18,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/responder"
 )
 
-// sampleRun returns the report of a made-up run: cold calls stall longer after the
-// shift, and everything waits during the rush.
+// sampleRun returns the report of a synthetic run: calls that need a load stall longer after
+// the shift, and all calls take longer during the rush.
 func sampleRun(label string, slowness float64, length time.Duration, observed bool) *driver.Report {
 	w := driver.Peachtree().WithAdapters(100)
 	s := driver.Settings{
@@ -64,7 +64,7 @@
 	return driver.ReportOf(s, calls, answers, before, after, fills)
 }
 
-// sampleAnswer returns an answer whose times follow from the call.
+// sampleAnswer returns an answer whose times depend only on the call.
 func sampleAnswer(c *driver.Call, slowness float64, length time.Duration) driver.Answer {
 	a := rightAnswer(c)
 	a.Sent = c.Intended + time.Millisecond
@@ -92,7 +92,7 @@
 }
 
 var _ = Describe("Report", func() {
-	It("is written as the golden JSON, and read back", func() {
+	It("is written as the golden JSON and can be read back", func() {
 		r := sampleRun("marigold", 1, 12*time.Second, true)
 		r.Series = r.Series[:2]
 		var text bytes.Buffer
@@ -103,20 +103,20 @@
 		Expect(driver.ReadReport(path)).To(Equal(r))
 	})
 
-	It("is shown as the golden text", func() {
+	It("is written as the golden text", func() {
 		var text bytes.Buffer
 		Expect(sampleRun("marigold", 1, 12*time.Second, true).WriteText(&text)).To(Succeed())
 		expectGolden("report.txt", text.Bytes())
 	})
 
-	It("is compared as the golden text, with what was not observed named so", func() {
+	It("is compared as the golden text, which marks figures that were not observed", func() {
 		var text bytes.Buffer
 		a, b := sampleRun("LeastLoaded", 2, 12*time.Second, true), sampleRun("marigold", 1, 12*time.Second, false)
 		Expect(driver.Compare(&text, a, b)).To(Succeed())
 		expectGolden("compare.txt", text.Bytes())
 	})
 
-	It("is plotted, observed or not", func() {
+	It("is plotted with and without observations", func() {
 		for _, r := range []*driver.Report{sampleRun("marigold", 1, time.Minute, true), sampleRun("", 1, time.Second, false)} {
 			var picture bytes.Buffer
 			Expect(r.WritePlot(&picture)).To(Succeed())
@@ -128,7 +128,7 @@
 	})
 })
 
-// The least misses of the two deployments, with four slots at each engine.
+// The lowest miss rates of the two workloads with four slots per engine.
 func ExampleWorkload_MissShare() {
 	for _, w := range []driver.Workload{driver.Peachtree(), driver.Agenzia()} {
 		engineCalls := w.Rate * (1 - (w.Mix.ServiceRead+w.Mix.ServiceWrite)/100)
--- a/internal/standin/driver/schedule_test.go
+++ b/internal/standin/driver/schedule_test.go
@@ -11,8 +11,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/driver"
 )
 
-// TestPropertyShiftKeepsLaw: the shift gives the ranks to other adapters, each to
-// one, and leaves the frequencies of the ranks as they were.
+// TestPropertyShiftKeepsLaw checks that the shift assigns each rank to exactly one adapter
+// and does not change the frequencies of the ranks.
 func TestPropertyShiftKeepsLaw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 400).Draw(t, "count")
@@ -41,7 +41,7 @@
 			for _, rank := range []int{0, count / 2, count - 1} {
 				want := draws * math.Pow(float64(rank+1), -exponent) / sum
 				got := float64(byAdapter[p.Adapter(rank, shifted)])
-				// Six standard deviations, and a little for small counts.
+				// Six standard deviations, plus a margin for small counts.
 				if math.Abs(got-want) > 6*math.Sqrt(want)+6 {
 					t.Fatalf("rank %d of %d: %v calls, want %v (shifted: %v)", rank, count, got, want, shifted)
 				}
@@ -50,8 +50,9 @@
 	})
 }
 
-// TestPropertySchedule: the calls come in order and at the mean rate, bursts or
-// not, inside the run, the rush in its window only, and the same for one seed.
+// TestPropertySchedule checks that the calls are in order, within the run and at the mean
+// rate with and without bursts, that calls of the rush are within its window, and that one
+// seed gives the same calls.
 func TestPropertySchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := driver.Peachtree().WithAdapters(rapid.IntRange(50, 3000).Draw(t, "adapters"))
@@ -84,8 +85,8 @@
 	})
 }
 
-// BenchmarkCall3000Adapters measures what the driver itself spends on a call: the
-// drawing of the call, the comparison of its answer, and the tallies.
+// BenchmarkCall3000Adapters measures the driver's own processor time per call: generating
+// the call, checking its answer and updating the tallies.
 func BenchmarkCall3000Adapters(b *testing.B) {
 	w := driver.Peachtree()
 	s := driver.NewSchedule(w, driver.ScheduleSettings{Seed: 1, Duration: math.MaxInt64 / 2})
--- a/internal/standin/driver/series.go
+++ b/internal/standin/driver/series.go
@@ -2,36 +2,38 @@
 
 import "time"
 
-// Point is what happened in one interval of a run.
+// Point holds the figures of one interval of a run.
 type Point struct {
 	// Seconds is the start of the interval since the start of the run.
 	Seconds float64
-	// Calls counts the calls intended in the interval; the endings are theirs.
+	// Calls counts the calls intended in the interval. Completed and NotRun count these
+	// calls by their ending.
 	Calls     int64
 	Completed int64
 	NotRun    int64
-	// StallSeconds is the load stall of those calls; nil if none is known.
+	// StallSeconds is the total load stall of these calls; nil if none is known.
 	StallSeconds *float64
-	// QueueSeconds is their wait for a place in a batch; nil if none is known.
+	// QueueSeconds is their total wait for batch capacity; nil if none is known.
 	QueueSeconds *float64
-	// BatchFill is the mean fill of the engines' batches during the interval, of
-	// the steps that ran; nil if it was not observed or no step ran.
+	// BatchFill is the mean fill of the engines' batches over the steps of the interval;
+	// nil if it was not observed or no step ran.
 	BatchFill *float64
 	// Loads and Unloads count the orders of the interval; nil if not observed.
 	Loads   *int64
 	Unloads *int64
 }
 
-// maxPoints bounds the time line; what comes later is added to the last point.
+// maxPoints limits the series; later calls are added to the last point.
 const maxPoints = 100_000
 
-// series is the time line of a run.
+// series holds the figures of a run over time.
 type series struct {
 	interval time.Duration
 	points   []Point
 }
 
-// at returns the point of the interval that holds the moment.
+// at returns the point of the interval that contains the moment, and appends the points up
+// to it.
 func (s *series) at(moment time.Duration) *Point {
 	index := min(max(int(moment/s.interval), 0), maxPoints-1)
 	for len(s.points) <= index {
--- a/internal/standin/driver/settings.go
+++ b/internal/standin/driver/settings.go
@@ -8,43 +8,43 @@
 	"github.com/juju/errors"
 )
 
-// Settings are the settings of a Driver. The zero value of each field without
-// another word means its default.
+// Settings are the settings of a Driver. A zero field has the default that its comment
+// states.
 type Settings struct {
 	Workload Workload
 	Schedule ScheduleSettings
-	// Entries are the deployment's entries; one at least.
+	// Entries are the deployment's entries; at least one.
 	Entries []Entry
 	Balance Balance
 	// Keys are the callers' keys, one for each workspace.
 	Keys []WorkspaceKey
-	// Observed are the engines and plain services whose records can be read: all
-	// engines or none, all services or none.
+	// Observed are the engines and plain services whose records can be read. They
+	// must contain all engines or none, and all services or none.
 	Observed []Observed
-	// AllowRemote lets calls go beyond the loopback.
+	// AllowRemote allows addresses outside the loopback.
 	AllowRemote bool
-	// SkipTextCheck leaves the text of answers uncompared, for engines other than
-	// the stand-ins.
+	// SkipTextCheck disables the comparison of the text of answers, for engines other
+	// than the stand-ins.
 	SkipTextCheck bool
-	// MaxInFlight bounds the calls in progress; 4096 by default. A call that waits
-	// for its turn is late, and its latency counts the wait.
+	// MaxInFlight limits the calls in progress; 4096 by default. A call that waits for
+	// this limit is sent late, and its latency includes the wait.
 	MaxInFlight int
-	// WarmUp is the time before the measuring begins, within the schedule's
-	// duration: engines that start empty fill their slots, which takes longer than
-	// anything that follows. It is 0 by default.
+	// WarmUp is the time at the start of the schedule's duration that is excluded from
+	// the measurement; 0 by default. Engines that start empty fill their slots in it,
+	// which takes longer than any later phase.
 	WarmUp time.Duration
-	// Interval is the length of a point in the time line; 1 s by default.
+	// Interval is the length of a point in the series; 1 s by default.
 	Interval time.Duration
 	// NeededWithin is the time within which an evicted adapter that is loaded again
-	// counts as needed again; a minute of the workload by default.
+	// counts as needed again; by default 1 min, scaled by TimeScale.
 	NeededWithin time.Duration
-	// Label is passed on to the report.
+	// Label is copied to the report.
 	Label string
-	// Progress, if set, is called once a second.
+	// Progress, if set, is called once per second.
 	Progress func(Progress)
 }
 
-// Progress is where a run stands.
+// Progress is the state of a run in progress.
 type Progress struct {
 	Elapsed  time.Duration
 	Duration time.Duration
@@ -54,9 +54,9 @@
 }
 
 const (
-	defaultMaxInFlight = 4096
-	defaultInterval    = time.Second
-	neededWithin       = time.Minute
+	defaultMaxInFlight  = 4096
+	defaultInterval     = time.Second
+	defaultNeededWithin = time.Minute
 )
 
 func (s Settings) withDefaults() Settings {
@@ -71,7 +71,7 @@
 		s.Interval = defaultInterval
 	}
 	if s.NeededWithin == 0 {
-		s.NeededWithin = time.Duration(float64(neededWithin) * s.Schedule.TimeScale)
+		s.NeededWithin = time.Duration(float64(defaultNeededWithin) * s.Schedule.TimeScale)
 	}
 	return s
 }
@@ -95,7 +95,7 @@
 	return CheckLoopback(s.addresses()...)
 }
 
-// addresses returns all addresses that a run talks to.
+// addresses returns all addresses that a run connects to.
 func (s *Settings) addresses() []string {
 	var all []string
 	for _, e := range s.Entries {
@@ -117,9 +117,8 @@
 	return all
 }
 
-// CheckLoopback returns an error for the first address that is no IP:port on the
-// loopback. A load tool that is pointed at the wrong deployment by a slip is an
-// attack on it.
+// CheckLoopback returns an error for the first address that is not an IP:port on the
+// loopback. It guards against sending load to the wrong deployment by mistake.
 func CheckLoopback(addresses ...string) error {
 	for _, a := range addresses {
 		parsed, err := netip.ParseAddrPort(a)
@@ -133,7 +132,8 @@
 	return nil
 }
 
-// bearers returns the authorization of each workspace.
+// bearers returns the value of the Authorization header of each workspace, or a NotFound
+// error if a workspace has no key.
 func bearers(w *Workload, keys []WorkspaceKey) ([]string, error) {
 	found := make([]string, len(w.Workspaces))
 	for _, k := range keys {
--- a/internal/standin/driver/suite_test.go
+++ b/internal/standin/driver/suite_test.go
@@ -9,10 +9,10 @@
 	. "github.com/onsi/gomega"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func init() {
-	// The same cases in every run.
+	// A fixed seed gives the same cases in every run.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "10")
 }
--- a/internal/standin/driver/tally.go
+++ b/internal/standin/driver/tally.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Waits summarise a time that the deployment reports of each call.
+// Waits summarise a waiting time that the deployment reports for each call.
 type Waits struct {
-	// Known counts the completed calls to engines that came with the time, Absent
-	// those that came without.
+	// Known counts the completed calls to engines whose answer reports the time, Absent
+	// those whose answer does not.
 	Known  int64
 	Absent int64
 	// Above counts the known ones above 0.
@@ -16,7 +16,7 @@
 	Millis *Quantiles
 }
 
-// waitTally counts the reports of a Wait.
+// waitTally aggregates the reported values of a Wait.
 type waitTally struct {
 	times  *histogram
 	above  int64
@@ -43,7 +43,7 @@
 	return f
 }
 
-// EndingCounts count calls by how they ended.
+// EndingCounts counts calls by their ending.
 type EndingCounts struct {
 	Calls      int64
 	Completed  int64
@@ -51,7 +51,7 @@
 	Unknown    int64
 	Cut        int64
 	Unanswered int64
-	// PastDeadline counts the completed ones that came after the deadline.
+	// PastDeadline counts the completed calls whose answer ended after the deadline.
 	PastDeadline int64
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-// group gathers what is told of one set of calls, such as those of a workspace.
+// group aggregates the figures of one set of calls, such as those of a workspace.
 type group struct {
 	endings    EndingCounts
 	total      *histogram
@@ -82,8 +82,8 @@
 	gaps       *histogram
 	stall      waitTally
 	queue      waitTally
-	// inVain is the time of the calls that were not completed.
-	inVain time.Duration
+	// failedTime is the total time of the calls that were not completed.
+	failedTime time.Duration
 }
 
 func newGroup() *group {
@@ -96,12 +96,12 @@
 	}
 }
 
-// add counts one answer. Latencies count from the intended send time: a caller who
-// could not be served in time is served late, whenever the call was sent.
+// add counts one answer. Latencies are measured from the intended send time, so that the
+// delay of a call that was sent late counts as latency.
 func (g *group) add(c *Call, a *Answer) {
 	g.endings.add(c, a)
 	if a.Ending() != Completed {
-		g.inVain += a.Ended - c.Intended
+		g.failedTime += a.Ended - c.Intended
 		return
 	}
 	g.total.add(a.Ended - c.Intended)
@@ -129,37 +129,37 @@
 		BetweenTokenMillis: g.gaps.quantiles(),
 		Stall:              g.stall.figures(),
 		Queue:              g.queue.figures(),
-		InVainSeconds:      seconds(g.inVain),
+		InVainSeconds:      seconds(g.failedTime),
 	}
 }
 
 // Tally counts the answers of a run. It is not safe for concurrent use.
 type Tally struct {
-	// warmUp is the moment from which calls count.
-	warmUp     time.Duration
-	warming    EndingCounts
-	all        *group
-	workspaces []*group
-	// rushing and quiet hold the total latency of the usual calls during the rush
-	// and at other times, by workspace.
-	rushing []*histogram
-	quiet   []*histogram
-	kinds   [callKinds]*group
-	// lateness is the time between the intended moment and the sending.
+	// warmUp is the time from which calls are measured.
+	warmUp      time.Duration
+	warmUpCalls EndingCounts
+	all         *group
+	workspaces  []*group
+	// duringRush and outsideRush hold the total latency of the calls that are not part
+	// of the rush, during it and at other times, by workspace.
+	duringRush  []*histogram
+	outsideRush []*histogram
+	kinds       [callKinds]*group
+	// lateness is the time between the intended and the actual send time.
 	lateness *histogram
 	resent   EndingCounts
 	causes   map[Cause]int64
 	points   series
 }
 
-// NewTally returns a tally of a run with the workload, whose time line has a point
-// for each interval. Calls before warmUp are counted apart.
+// NewTally returns a tally of a run with the workload, whose series has a point for each
+// interval. Calls intended before warmUp are counted separately.
 func NewTally(w *Workload, interval, warmUp time.Duration) *Tally {
 	t := &Tally{warmUp: warmUp, all: newGroup(), lateness: newHistogram(), causes: make(map[Cause]int64), points: series{interval: interval}}
 	for range w.Workspaces {
 		t.workspaces = append(t.workspaces, newGroup())
-		t.rushing = append(t.rushing, newHistogram())
-		t.quiet = append(t.quiet, newHistogram())
+		t.duringRush = append(t.duringRush, newHistogram())
+		t.outsideRush = append(t.outsideRush, newHistogram())
 	}
 	for k := range t.kinds {
 		t.kinds[k] = newGroup()
@@ -171,7 +171,7 @@
 func (t *Tally) Add(c *Call, a *Answer) {
 	t.points.addAnswer(c, a)
 	if c.Intended < t.warmUp {
-		t.warming.add(c, a)
+		t.warmUpCalls.add(c, a)
 		return
 	}
 	t.all.add(c, a)
@@ -185,13 +185,13 @@
 		return
 	}
 	if c.InRush {
-		t.rushing[c.Workspace].add(a.Ended - c.Intended)
+		t.duringRush[c.Workspace].add(a.Ended - c.Intended)
 	} else {
-		t.quiet[c.Workspace].add(a.Ended - c.Intended)
+		t.outsideRush[c.Workspace].add(a.Ended - c.Intended)
 	}
 }
 
-// AddResent counts the answer to a call that was sent again on purpose.
+// AddResent counts the answer to the duplicate of a call.
 func (t *Tally) AddResent(c *Call, a *Answer) {
 	if c.Intended >= t.warmUp {
 		t.resent.add(c, a)
--- a/internal/standin/driver/text.go
+++ b/internal/standin/driver/text.go
@@ -10,14 +10,14 @@
 	"github.com/juju/errors"
 )
 
-// String returns the progress as one short line.
+// String returns the progress in one line.
 func (p Progress) String() string {
 	return fmt.Sprintf("%s of %s: %d sent, %d completed, %d not run, %d unknown or cut, %d broken promises",
 		p.Elapsed.Round(time.Second), p.Duration, p.Sent, p.Ended.Completed, p.Ended.NotRun,
 		p.Ended.Unknown+p.Ended.Cut+p.Ended.Unanswered, p.Broken)
 }
 
-// WriteText writes the figures that matter most.
+// WriteText writes the main figures as text.
 func (r *Report) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	line := func(name, format string, args ...any) {
@@ -58,7 +58,7 @@
 			line("", "%s", example)
 		}
 	}
-	return errors.Annotate(t.Flush(), "report")
+	return errors.Annotate(t.Flush(), "write report")
 }
 
 func (q *Quantiles) text() string {
--- a/internal/standin/driver/workload.go
+++ b/internal/standin/driver/workload.go
@@ -8,32 +8,32 @@
 	"github.com/juju/errors"
 )
 
-// Workload describes who calls what and how often. Times and rates are those of
-// the real deployment; Schedule scales them.
+// Workload describes the callers, the kinds of their calls and the rates. Times and rates
+// are those of the real deployment; Schedule scales them.
 type Workload struct {
 	Name      string
 	BaseModel string
-	// Workspaces have positive weights.
+	// Workspaces are the workspaces; at least one. Their weights must be positive.
 	Workspaces []WorkspaceLoad
 	Service    ServiceLoad
-	// Rate is the mean number of calls in a second, the rush left out.
+	// Rate is the mean number of calls per second without the rush.
 	Rate  float64
 	Burst Burst
-	// ZipfExponent is the s in the popularity 1/rank^s of a workspace's adapters.
+	// ZipfExponent is s in the popularity 1/rank^s of a workspace's adapters.
 	ZipfExponent float64
-	// ShiftAt is the moment, as a share of the run, at which the ranks of all
-	// adapters are drawn anew at once; 0 means never.
+	// ShiftAt is the time, as a fraction of the run, at which all adapters get new random
+	// ranks; 0 means never.
 	ShiftAt float64
 	Rush    Rush
 	Mix     Mix
 	Tokens  TokenCounts
-	// NamedVersion is the share of engine calls that name their version; the
-	// others get the current one.
+	// NamedVersion is the fraction of engine calls that name a version; the others get
+	// the current one.
 	NamedVersion float64
-	// SecondVersionEvery gives each n-th adapter of a workspace a second version,
-	// which is then its current one; 0 gives none.
+	// SecondVersionEvery is n if each n-th adapter of a workspace has a second version,
+	// which is its current one; 0 means none has.
 	SecondVersionEvery int
-	// Deadline is the longest time that a caller waits.
+	// Deadline is the maximum time that a caller waits.
 	Deadline time.Duration
 	Size     DeploymentSize
 }
@@ -43,11 +43,11 @@
 	Name string
 	// Weight is the workspace's share of the calls, relative to the others.
 	Weight float64
-	// Share weighs the workspace in queues, slots and load permits.
+	// Share is the weight of the workspace in queues, slots and load permits.
 	Share int
-	// Priority is that of the workspace's rule for all its adapters, 0 to 9.
+	// Priority is that of the rule for all adapters of the workspace, 0 to 9.
 	Priority int
-	// AdapterPrefix begins the names of the workspace's adapters.
+	// AdapterPrefix is the prefix of the names of the workspace's adapters.
 	AdapterPrefix string
 	// Adapters is the number of adapters.
 	Adapters int
@@ -56,32 +56,34 @@
 // ServiceLoad is the plain service of a Workload.
 type ServiceLoad struct {
 	Name string
-	// ReadPath is called by GET and is idempotent, WritePath by POST and is not.
+	// ReadPath is called with GET, which is idempotent, WritePath with POST, which is
+	// not.
 	ReadPath  string
 	WritePath string
 }
 
-// Burst modulates the arrivals: a Poisson process whose rate is higher during
-// bursts, with exponentially distributed lengths. The mean rate stays. The zero
-// value means plain Poisson arrivals.
+// Burst modulates the arrivals: a Poisson process with a higher rate during bursts. The
+// lengths of bursts and pauses are exponentially distributed, and the mean rate is
+// unchanged. The zero value means a plain Poisson process.
 type Burst struct {
-	// Factor is the rate during a burst relative to that between bursts.
+	// Factor is the rate during a burst relative to that outside bursts.
 	Factor float64
-	// MeanLength is the mean length of a burst, MeanPause that between bursts.
+	// MeanLength is the mean length of a burst, MeanPause that of the pause between
+	// bursts.
 	MeanLength time.Duration
 	MeanPause  time.Duration
 }
 
-// Rush is one workspace's run on many cold adapters beside the usual load.
+// Rush is a phase in which one workspace additionally calls many rarely used adapters.
 type Rush struct {
-	// Workspace is empty for no rush.
+	// Workspace is the name of the workspace; empty for no rush.
 	Workspace string
-	// From and To are shares of the run.
+	// From and To are the start and the end, as fractions of the run.
 	From float64
 	To   float64
-	// Rate is the number of additional calls in a second.
+	// Rate is the number of additional calls per second.
 	Rate float64
-	// Adapters is the number of adapters, the least popular ones.
+	// Adapters is the number of called adapters, the least popular of the workspace.
 	Adapters int
 }
 
@@ -94,12 +96,12 @@
 	Review             float64
 	ServiceRead        float64
 	ServiceWrite       float64
-	// Resent is the share of the calls under an Idempotency-Key that are sent
-	// again on purpose, through another entry where there is one.
+	// Resent is the fraction of the calls with an Idempotency-Key that are intentionally
+	// sent twice, the second time through another entry if possible.
 	Resent float64
 }
 
-// weights returns the frequencies by CallKind.
+// weights returns the relative frequencies by CallKind.
 func (m Mix) weights() [callKinds]float64 {
 	return [callKinds]float64{
 		StreamedChat:       m.StreamedChat,
@@ -112,8 +114,8 @@
 	}
 }
 
-// TokenCounts describe the lengths of prompts and answers: log-normal around the
-// median, within the bounds.
+// TokenCounts describe the lengths of prompts and answers, which have a log-normal
+// distribution limited to the range from Min to Max.
 type TokenCounts struct {
 	// SharedPrefix is the number of prompt tokens that all calls of one template
 	// share; Templates is the number of templates of each adapter.
@@ -132,12 +134,12 @@
 	Max    int
 }
 
-// DeploymentSize is the deployment that the workload was made for.
+// DeploymentSize is the size of the deployment for which the workload is designed.
 type DeploymentSize struct {
 	FailureDomains int
 	Engines        int
 	ServiceWorkers int
-	// LoadsPerSecond is the weight store's rate.
+	// LoadsPerSecond is the rate of adapter loads that the weight store supports.
 	LoadsPerSecond int
 }
 
@@ -150,7 +152,7 @@
 	return count
 }
 
-// Validate returns an error that tells what makes the workload impossible.
+// Validate returns a NotValid error if the workload can't be run.
 func (w *Workload) Validate() error {
 	switch {
 	case len(w.Workspaces) == 0:
@@ -189,8 +191,8 @@
 	return errors.NotValidf("rush of %q over %d adapters, which it lacks,", r.Workspace, r.Adapters)
 }
 
-// WithAdapters returns the workload with its adapters cut or grown to about the
-// count in all, in the same proportions, one at least for each workspace.
+// WithAdapters returns the workload with about count adapters in total. The workspaces keep
+// their proportions, with at least one adapter each.
 func (w Workload) WithAdapters(count int) Workload {
 	factor := float64(count) / float64(w.Adapters())
 	scaled := make([]WorkspaceLoad, len(w.Workspaces))
@@ -207,10 +209,10 @@
 	return w
 }
 
-// MissShare returns the part of the calls to engines that would need a load if the
-// slots held the most popular adapters all the time, each once: the least that any
-// choice can reach while the popularity stands still. It is what a rate of calls
-// has to be weighed against the weight store with.
+// MissShare returns the fraction of the calls to engines that would need a load if the
+// slots always held the most popular adapters, each once. This is the lower limit of any
+// placement while the popularity does not shift. Multiplied by the rate of calls to engines
+// it gives the lowest load rate, which must be within the capacity of the weight store.
 func (w *Workload) MissShare(slots int) float64 {
 	var shares []float64
 	weights := 0.0
@@ -232,7 +234,7 @@
 	return miss
 }
 
-// adapterName returns the name of the workspace's numbered adapter.
+// adapterName returns the name of the adapter with the index.
 func (l *WorkspaceLoad) adapterName(index int) string {
 	return fmt.Sprintf("%s-%04d", l.AdapterPrefix, index)
 }
@@ -243,7 +245,7 @@
 	secondVersion = "v2"
 )
 
-// versions returns the number of versions of the numbered adapter.
+// versions returns the number of versions of the adapter with the index.
 func (w *Workload) versions(index int) int {
 	if w.SecondVersionEvery > 0 && index%w.SecondVersionEvery == 0 {
 		return 2
@@ -251,7 +253,7 @@
 	return 1
 }
 
-// currentVersion returns the version that Prepare declares as current.
+// currentVersion returns the version that Prepare declares as the adapter's current one.
 func (w *Workload) currentVersion(index int) string {
 	if w.versions(index) == 2 {
 		return secondVersion
--- a/internal/standin/driver/workloads.go
+++ b/internal/standin/driver/workloads.go
@@ -6,13 +6,14 @@
 	"github.com/juju/errors"
 )
 
-// Names of the workloads that WorkloadByName knows.
+// Names of the workloads that WorkloadByName returns.
 const (
 	PeachtreeName = "peachtree"
 	AgenziaName   = "agenzia"
 )
 
-// WorkloadByName returns a copy of a workload of this package.
+// WorkloadByName returns a workload of this package, or a NotValid error if the name is
+// unknown.
 func WorkloadByName(name string) (Workload, error) {
 	switch name {
 	case PeachtreeName:
@@ -20,13 +21,12 @@
 	case AgenziaName:
 		return Agenzia(), nil
 	default:
-		return Workload{}, errors.NotValidf("workload %q (take %s or %s)", name, PeachtreeName, AgenziaName)
+		return Workload{}, errors.NotValidf("workload %q (use %s or %s)", name, PeachtreeName, AgenziaName)
 	}
 }
 
-// Peachtree returns the workload of the Peachtree Clearance Desk: quick lookups in
-// bursts beside long title reviews, and a batch of reprint checks that rushes over
-// cold adapters.
+// Peachtree returns the workload of the Peachtree Clearance Desk: bursts of short lookups,
+// long title reviews, and a batch of reprint checks that calls many rarely used adapters.
 func Peachtree() Workload {
 	return Workload{
 		Name:      PeachtreeName,
@@ -60,8 +60,8 @@
 	}
 }
 
-// Agenzia returns the workload of the Agenzia Regionale per lo Stampaggio
-// Siciliano: four sites that share the engines, longer answers, a slower store.
+// Agenzia returns the workload of the Agenzia Regionale per lo Stampaggio Siciliano: four
+// sites that share the engines, with longer answers and a slower weight store.
 func Agenzia() Workload {
 	return Workload{
 		Name:      AgenziaName,
