--- a/internal/standin/prober/connection_test.go
+++ b/internal/standin/prober/connection_test.go
@@ -13,21 +13,21 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/recorder"
 )
 
-// BenchmarkConnections gives what connections cost that only send heartbeats:
-// the heap of both ends together, and the processor time and bytes a second of
-// both ends. The window is a wait, since heartbeats are a matter of time.
+// BenchmarkConnections measures the cost of connections that send only heartbeats: the heap
+// and the processor time per second of both ends together, and the bytes per second on the
+// wire. The window has a fixed length because heartbeats are sent at fixed intervals.
 func BenchmarkConnections(b *testing.B) {
 	const window = 6 * time.Second
-	slopes(b, "Connections", []int{100, 400, 1600}, func(b *testing.B, n int) costs {
+	measureSlopes(b, "Connections", []int{100, 400, 1600}, func(b *testing.B, n int) costs {
 		b.Helper()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer l.Close()
-		before := heap()
-		clock := recorder.NewRecorder(recorder.Settings{Node: "probe", RingSize: ringSize})
-		settings := messenger.Settings{Recorder: clock, Log: zerolog.Nop()}
+		before := heapBytes()
+		eventRecorder := recorder.NewRecorder(recorder.Settings{Node: "probe", RingSize: ringSize})
+		settings := messenger.Settings{Recorder: eventRecorder, Log: zerolog.Nop()}
 		var traffic Traffic
 		var ends []*messenger.Conn
 		for range n {
@@ -39,13 +39,13 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			ends = append(ends, messenger.NewConn(counted{Conn: dialled, traffic: &traffic}, settings), messenger.NewConn(accepted, settings))
+			ends = append(ends, messenger.NewConn(countingConn{Conn: dialled, traffic: &traffic}, settings), messenger.NewConn(accepted, settings))
 		}
 		<-time.After(messenger.DefaultHeartbeatInterval)
-		held := heap() - before
-		began, bytes := used(), traffic.Read.Load()+traffic.Written.Load()
+		held := heapBytes() - before
+		began, bytes := processorTime(), traffic.Read.Load()+traffic.Written.Load()
 		<-time.After(window)
-		cpu, moved := used()-began, traffic.Read.Load()+traffic.Written.Load()-bytes
+		cpu, moved := processorTime()-began, traffic.Read.Load()+traffic.Written.Load()-bytes
 		for _, c := range ends {
 			if err := c.Close(); err != nil {
 				b.Fatal(err)
@@ -59,16 +59,16 @@
 	})
 }
 
-// BenchmarkRing gives the heap of a process's ring of events when it is full.
+// BenchmarkRing measures the heap of a process's full event ring.
 func BenchmarkRing(b *testing.B) {
-	slopes(b, "Events", []int{1024, 4096, 16384}, func(b *testing.B, n int) costs {
+	measureSlopes(b, "Events", []int{1024, 4096, 16384}, func(b *testing.B, n int) costs {
 		b.Helper()
-		before := heap()
+		before := heapBytes()
 		r := recorder.NewRecorder(recorder.Settings{Node: "probe", RingSize: n})
 		for i := range n {
 			r.Record(recorder.Event{Kind: recorder.KindConfigurationApplied, Revision: uint64(i), Request: fmt.Sprintf("request-%d", i), Detail: "a detail of one line"})
 		}
 		defer runtime.KeepAlive(r)
-		return costs{{"heap-B", heap() - before}}
+		return costs{{"heap-B", heapBytes() - before}}
 	})
 }
--- a/internal/standin/prober/crowd.go
+++ b/internal/standin/prober/crowd.go
@@ -21,7 +21,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/subscriber"
 )
 
-// ringSize is the number of events that a light client keeps.
+// ringSize is the number of events in the event ring of a light client.
 const ringSize = 64
 
 // ClientGroupSettings are the options of a ClientGroup.
@@ -29,25 +29,27 @@
 	// Hosts are the control hosts, and Group the name of their group.
 	Hosts []configurer.ControlHost
 	Group string
-	// Entries and Companions are the numbers of light clients of either kind.
-	// They spread evenly over the failure domains of Hosts.
+	// Entries and Companions are the numbers of light clients of each kind, which are
+	// distributed evenly over the failure domains of Hosts.
 	Entries, Companions int
-	// Prefix begins the clients' names.
+	// Prefix is the prefix of the clients' names.
 	Prefix string
+	// Random seeds the clients' random sources. It is required.
 	Random *rand.Rand
 }
 
-// Traffic counts the bytes on the connections of one kind of clients.
+// Traffic counts the bytes on the connections of one kind of client. It is safe for
+// concurrent use.
 type Traffic struct{ Read, Written atomic.Int64 }
 
-// ClientGroup is a number of light clients in one process.
+// ClientGroup is a group of light clients in one process.
 type ClientGroup struct {
-	// Entries hold the whole configuration, Companions their part of it.
+	// Entries replicate the complete configuration, Companions only their part of it.
 	Entries    []*LightClient
 	Companions []*LightClient
-	// EntryTraffic and CompanionTraffic are the bytes of each kind together.
+	// EntryTraffic and CompanionTraffic are the totals of all clients of each kind.
 	EntryTraffic, CompanionTraffic Traffic
-	// DigestEntries counts the backend servers' states that reached entries.
+	// DigestEntries counts the states of backend servers that entries have received.
 	DigestEntries atomic.Int64
 }
 
@@ -56,32 +58,33 @@
 	*subscriber.Client
 	Name  string
 	Index *TimedIndex
-	// Lease is a companion's membership after Join.
+	// Lease is the membership of a companion; it is set by Join.
 	Lease registrar.Lease
 }
 
-// counted is a connection whose bytes are counted.
-type counted struct {
+// countingConn is a connection that counts its bytes.
+type countingConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.Read.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.Written.Add(int64(n))
 	return n, err
 }
 
-// NewClientGroup starts the clients. They connect in their own time: see WaitLeases.
+// NewClientGroup starts the clients, which connect asynchronously; see WaitLeases. It panics
+// if s has no control hosts or no random source.
 func NewClientGroup(s ClientGroupSettings) *ClientGroup {
 	if s.Random == nil || len(s.Hosts) == 0 {
-		panic("prober: NewCrowd needs control hosts and a random source")
+		panic("prober: NewClientGroup needs control hosts and a random source")
 	}
 	c := &ClientGroup{}
 	for i := range s.Entries {
@@ -108,18 +111,19 @@
 			if err != nil {
 				return nil, errors.Trace(err)
 			}
-			return counted{Conn: conn, traffic: t}, nil
+			return countingConn{Conn: conn, traffic: t}, nil
 		},
 	})
 	return l
 }
 
-// settlePoll is the time between two looks at the clients' leases.
-const settlePoll = 50 * time.Millisecond
+// pollInterval is the time between two checks of a condition that is waited for.
+const pollInterval = 50 * time.Millisecond
 
-// WaitLeases returns once all clients trust what they hold.
+// WaitLeases waits until all clients have a valid configuration lease. It returns an error
+// if ctx ends first.
 func (c *ClientGroup) WaitLeases(ctx context.Context) error {
-	ticker := time.NewTicker(settlePoll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for _, kind := range [][]*LightClient{c.Entries, c.Companions} {
 		for _, l := range kind {
@@ -135,7 +139,7 @@
 	return nil
 }
 
-// Join has every companion join as a backend server.
+// Join registers every companion as a backend server.
 func (c *ClientGroup) Join(ctx context.Context) error {
 	for i, l := range c.Companions {
 		lease, err := l.Join(ctx, l.Name, storer.MemberSpec{
@@ -150,14 +154,15 @@
 	return nil
 }
 
-// What light companions announce.
+// Values that light companions announce: the port of the first one, and the slots and the
+// maximum batch size of each.
 const (
 	firstPort = 20000
 	slots     = 16
 	batch     = 32
 )
 
-// Close ends all clients, and their memberships.
+// Close ends the memberships and closes all clients.
 func (c *ClientGroup) Close(ctx context.Context) error {
 	var errs []error
 	for _, l := range c.Companions {
--- a/internal/standin/prober/doc.go
+++ b/internal/standin/prober/doc.go
@@ -1,18 +1,18 @@
-// Package prober measures slopes: what one more adapter, watcher, companion,
-// change, heartbeat, claim, load permit or stream costs a process in processor
-// time, memory and bytes on the wire.
+// Package prober measures marginal costs: the processor time, memory and bytes on the wire
+// that one more adapter, watcher, companion, change, heartbeat, claim, load permit or stream
+// costs a process.
 //
-// A ClientGroup is many light clients in one process, each with the code and the
-// connection of a real node, against control hosts that run as processes of
-// their own. A Probe puts them through a Phase at several sizes and reads what
-// the processes used from the kernel's accounts; Fit draws the line. Processor
-// time is measured and not the clock's, since the machine may be busy with other
-// work; a busy machine still makes the same work cost somewhat more, so that
-// each size is measured several times and the error of the slope is given.
+// A ClientGroup holds many lightweight clients in one process, each with the code and the
+// connection of a real node. They connect to control hosts that run as separate processes.
+// Run executes a Phase at one size and reads the resource usage of the processes from the
+// kernel; Fit computes the regression line over several sizes. Processor time is measured
+// instead of elapsed time because the machine may run other work. The same work still costs
+// somewhat more on a busy machine, so each size is measured several times and the standard
+// error of the slope is reported.
 //
-// The benchmarks of this package give the slopes of state. docs/CAPACITY.md
-// works out from all of them what the planned size costs each role.
+// The benchmarks of this package measure the marginal costs of state. docs/CAPACITY.md
+// derives from all of them the cost of the planned size for each role.
 //
-// Processes are read through /proc, as Linux has it. Bytes are those written to
+// The usage of processes is read from /proc, which requires Linux. Bytes are those written to
 // and read from connections, without the headers of TCP and IP.
 package prober
--- a/internal/standin/prober/line.go
+++ b/internal/standin/prober/line.go
@@ -5,21 +5,19 @@
 	"math"
 )
 
-// Point is one measurement: Y was seen at size X.
+// Point is one measurement Y at size X.
 type Point struct{ X, Y float64 }
 
-// Line is a straight line through points by least squares, with the standard
-// errors of its two coefficients.
+// Line is a least-squares regression line with the standard errors of its two coefficients.
 type Line struct {
 	Slope, SlopeError         float64
 	Intercept, InterceptError float64
-	// Points is the number of points. With two, or fewer, no error is known and
-	// both errors are NaN.
+	// Points is the number of points. With two or fewer, both errors are NaN.
 	Points int
 }
 
-// Fit returns the line through the points. It needs two different X; else the
-// slope is NaN.
+// Fit returns the least-squares line through the points. Without two distinct X, Slope and
+// Intercept are NaN.
 func Fit(points []Point) Line {
 	l := Line{Points: len(points), SlopeError: math.NaN(), InterceptError: math.NaN()}
 	n := float64(len(points))
@@ -54,16 +52,17 @@
 	return l
 }
 
-// coefficients is the number of a line's coefficients.
+// coefficients is the number of coefficients of a line.
 const coefficients = 2
 
-// rounding is the part of the sum of squares that sums of equal X leave.
+// rounding is the relative rounding error below which the X are considered equal: the part
+// of the sum of squares that remains for equal X.
 const rounding = 1e-24
 
 // At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// String returns the slope and the intercept with their errors.
+// String returns the slope and the intercept with their standard errors.
 func (l Line) String() string {
 	return fmt.Sprintf("slope %.4g ± %.2g, at zero %.4g ± %.2g (%d points)",
 		l.Slope, l.SlopeError, l.Intercept, l.InterceptError, l.Points)
--- a/internal/standin/prober/line_test.go
+++ b/internal/standin/prober/line_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("Fit", func() {
-	It("gives the errors that the textbook gives", func() {
+	It("returns the standard errors computed by hand", func() {
 		// By hand: squares 10, products 18, residue 0.8 over 3 degrees of freedom.
 		l := Fit([]Point{{1, 2}, {2, 4}, {3, 5}, {4, 8}, {5, 9}})
 		Expect(l.Slope).To(BeNumerically("~", 1.8, 1e-12))
@@ -20,7 +20,7 @@
 		Expect(l.InterceptError).To(BeNumerically("~", math.Sqrt(0.8/3*(1.0/5+9.0/10)), 1e-12))
 	})
 
-	It("claims no error that it can't know", func() {
+	It("returns NaN for what the points do not determine", func() {
 		two := Fit([]Point{{1, 2}, {2, 4}})
 		Expect(two.Slope).To(Equal(2.0))
 		Expect(math.IsNaN(two.SlopeError)).To(BeTrue())
@@ -43,7 +43,7 @@
 }
 
 var _ = Describe("UsageOf", func() {
-	It("reads what this process used", func() {
+	It("reads the usage of this process", func() {
 		before, err := UsageOf(os.Getpid())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(before.Private).To(BeNumerically(">", 1<<20))
--- a/internal/standin/prober/phase.go
+++ b/internal/standin/prober/phase.go
@@ -17,31 +17,31 @@
 
 //go:generate stringer -type=Phase -trimprefix=Phase
 
-// Phase is what a crowd does while it is measured.
+// Phase is the activity of a client group during a measurement.
 type Phase int
 
-// The phases. The size of a probe counts entries for the first two, companions
-// for the next three, and events a second for the others.
+// The phases. The size of a probe is the number of entries for the first two, the number of
+// companions for the next three, and the number of events per second for the others.
 const (
-	// PhaseIdle has connected entries do nothing.
+	// PhaseIdle has connected entries without activity.
 	PhaseIdle Phase = iota
-	// PhaseChanges has versions declared at a rate, which all entries follow.
+	// PhaseChanges declares versions at a fixed rate, which all entries replicate.
 	PhaseChanges
-	// PhaseRenewals has companions renew their leases, with nothing else to tell.
+	// PhaseRenewals renews the leases of companions without a change of their state.
 	PhaseRenewals
-	// PhaseLoads has companions renew their leases, each time with another load of
-	// the same level.
+	// PhaseLoads renews the leases of companions, each time with another load of the
+	// same load level.
 	PhaseLoads
-	// PhaseReports has companions renew their leases, each time with a load of
-	// another level, one version loaded and one evicted.
+	// PhaseReports renews the leases of companions, each time with another load level,
+	// one version loaded and one evicted.
 	PhaseReports
-	// PhaseClaims has entries claim calls and settle them.
+	// PhaseClaims has entries claim and settle calls.
 	PhaseClaims
-	// PhasePermits has companions ask for load permits and give them back.
+	// PhasePermits has companions request load permits and return them.
 	PhasePermits
 )
 
-// ParsePhase returns the phase of a name, in any case.
+// ParsePhase returns the phase with the name, ignoring case, or a NotValid error.
 func ParsePhase(name string) (Phase, error) {
 	for p := PhaseIdle; p <= PhasePermits; p++ {
 		if strings.EqualFold(name, p.String()) {
@@ -51,33 +51,33 @@
 	return 0, errors.NotValidf("phase %q", name)
 }
 
-// change is one accepted change.
+// change is an accepted change. Its revision is 0 for other events.
 type change struct {
 	revision uint64
 	accepted time.Time
 }
 
-// work is a phase under way.
+// work is the state of a phase in progress. Its methods are safe for concurrent use.
 type work struct {
-	crowd *ClientGroup
-	// run names this window, so that no key is used twice.
-	run string
+	group *ClientGroup
+	// runID identifies the window and is part of all keys, so that no key is used twice.
+	runID string
 
 	mu sync.Mutex
-	// changes and times are what came of the events; guarded by mu.
+	// changes are the accepted changes, times the durations of events; guarded by mu.
 	changes []change
 	times   []time.Duration
 	events  int
-	// failed is the first error; guarded by mu.
-	failed error
+	// firstErr is the first error; guarded by mu.
+	firstErr error
 }
 
-func (w *work) done(d time.Duration, c change, err error) {
+func (w *work) record(d time.Duration, c change, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		if w.failed == nil {
-			w.failed = err
+		if w.firstErr == nil {
+			w.firstErr = err
 		}
 		return
 	}
@@ -88,9 +88,9 @@
 	}
 }
 
-// steady calls f at a rate for a time, each in a goroutine of its own, and waits
-// for them.
-func steady(ctx context.Context, rate float64, d time.Duration, f func(i int)) {
+// callAtRate calls f at rate calls per second for d, each call in its own goroutine, and
+// waits for the calls. It stops early if ctx ends.
+func callAtRate(ctx context.Context, rate float64, d time.Duration, f func(i int)) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	began := time.Now()
@@ -108,32 +108,32 @@
 	}
 }
 
-// declare has entry i declare a version.
+// declare lets entry i, modulo the number of entries, declare a version.
 func (w *work) declare(ctx context.Context, i int) {
-	l := w.crowd.Entries[i%len(w.crowd.Entries)]
+	l := w.group.Entries[i%len(w.group.Entries)]
 	sent := time.Now()
 	r, err := l.Propose(ctx, storer.Envelope{
-		IdempotencyKey: fmt.Sprintf("%s-%d", w.run, i),
+		IdempotencyKey: fmt.Sprintf("%s-%d", w.runID, i),
 		Command: storer.PutResource{Resource: storer.Resource{
 			Kind:     storer.KindVersion,
-			Metadata: storer.Metadata{Workspace: workspaceName, Name: storer.VersionName(adapterName, fmt.Sprintf("%s-%d", w.run, i))},
+			Metadata: storer.Metadata{Workspace: workspaceName, Name: storer.VersionName(adapterName, fmt.Sprintf("%s-%d", w.runID, i))},
 			Spec:     storer.VersionSpec{Source: "weights/" + workspaceName + "/" + adapterName + "/v", SizeBytes: 1 << 24},
 		}},
 	})
 	if err == nil && r.Verdict != storer.VerdictAccepted {
-		err = errors.Errorf("a change was not accepted: %v %s", r.Verdict, r.Reason)
+		err = errors.Errorf("change not accepted: %v %s", r.Verdict, r.Reason)
 	}
 	accepted := time.Now()
-	w.done(accepted.Sub(sent), change{revision: r.Revision, accepted: accepted}, err)
+	w.record(accepted.Sub(sent), change{revision: r.Revision, accepted: accepted}, err)
 }
 
-// The names of what a probe declares.
+// Names of the resources that a probe declares.
 const (
 	workspaceName = "probe"
 	adapterName   = "contracts-review"
 )
 
-// Prepare declares what the phases need.
+// Prepare declares the workspace and the adapter that the phases use.
 func Prepare(ctx context.Context, l *LightClient) error {
 	for _, r := range []storer.Resource{
 		{Kind: storer.KindWorkspace, Metadata: storer.Metadata{Workspace: workspaceName, Name: workspaceName}, Spec: storer.WorkspaceSpec{Share: 1}},
@@ -141,19 +141,20 @@
 	} {
 		result, err := l.Propose(ctx, storer.Envelope{IdempotencyKey: "probe-" + r.Kind.String(), Command: storer.PutResource{Resource: r}})
 		if err != nil {
-			return errors.Annotate(err, "declare what the probe needs")
+			return errors.Annotate(err, "declare the resources of the probe")
 		}
 		if result.Verdict != storer.VerdictAccepted {
-			return errors.Errorf("what the probe needs was not accepted: %v %s", result.Verdict, result.Reason)
+			return errors.Errorf("resources of the probe not accepted: %v %s", result.Verdict, result.Reason)
 		}
 	}
 	return nil
 }
 
-// renew has every companion renew in turn, with what the phase has it tell.
+// renew renews the lease of companion i, modulo the number of companions, with the state
+// that the phase defines.
 func (w *work) renew(i int, p Phase) {
-	l := w.crowd.Companions[i%len(w.crowd.Companions)]
-	turn := i / len(w.crowd.Companions)
+	l := w.group.Companions[i%len(w.group.Companions)]
+	turn := i / len(w.group.Companions)
 	r := registrar.Renewal{Name: l.Name, Epoch: l.Lease.Epoch, Load: registrar.Load{MaxBatch: batch}}
 	switch p {
 	case PhaseReports:
@@ -169,16 +170,17 @@
 	l.Renew(r)
 }
 
-// claim has entry i claim a call and settle it.
+// claim lets entry i, modulo the number of entries, claim and settle a call. It records the
+// time of the claim.
 func (w *work) claim(ctx context.Context, i int) {
-	l := w.crowd.Entries[i%len(w.crowd.Entries)]
-	key := fmt.Sprintf("%s-%d", w.run, i)
+	l := w.group.Entries[i%len(w.group.Entries)]
+	key := fmt.Sprintf("%s-%d", w.runID, i)
 	digest := sha256.Sum256([]byte(key))
 	began := time.Now()
 	holder := l.Name + "/" + key
 	r, err := l.Propose(ctx, storer.Envelope{Command: storer.ClaimCall{Workspace: workspaceName, Key: key, Digest: digest[:], Holder: holder}})
 	if err == nil && r.Verdict != storer.VerdictAccepted {
-		err = errors.Errorf("a claim was not accepted: %v %s", r.Verdict, r.Reason)
+		err = errors.Errorf("claim not accepted: %v %s", r.Verdict, r.Reason)
 	}
 	claimed := time.Since(began)
 	if err == nil {
@@ -186,18 +188,19 @@
 			Workspace: workspaceName, Key: key, Holder: holder, State: storer.ClaimStateDone, Backend: "backend", Request: key,
 		}})
 	}
-	w.done(claimed, change{}, err)
+	w.record(claimed, change{}, err)
 }
 
-// permit has companion i ask for a load permit and give it back.
+// permit lets companion i, modulo the number of companions, request a load permit and return
+// it.
 func (w *work) permit(ctx context.Context, i int) {
-	l := w.crowd.Companions[i%len(w.crowd.Companions)]
+	l := w.group.Companions[i%len(w.group.Companions)]
 	began := time.Now()
 	g, err := l.RequestPermit(ctx, permitter.Request{
-		Companion: l.Name, Workspace: workspaceName, Version: fmt.Sprintf("%s/%s@%s-%d", workspaceName, adapterName, w.run, i), Waiters: 1, Share: 1,
+		Companion: l.Name, Workspace: workspaceName, Version: fmt.Sprintf("%s/%s@%s-%d", workspaceName, adapterName, w.runID, i), Waiters: 1, Share: 1,
 	})
 	if err == nil {
 		l.FinishPermit(g)
 	}
-	w.done(time.Since(began), change{}, err)
+	w.record(time.Since(began), change{}, err)
 }
--- a/internal/standin/prober/probe.go
+++ b/internal/standin/prober/probe.go
@@ -21,28 +21,27 @@
 	DefaultHeartbeatInterval = 500 * time.Millisecond
 )
 
-// callTimeout bounds one call of a phase.
+// callTimeout limits one call of a phase.
 const callTimeout = 30 * time.Second
 
-// Settings are the options of a probe.
+// Settings are the settings of a probe.
 type Settings struct {
-	// Hosts are the control hosts that run already, and Group their group.
+	// Hosts are the running control hosts, Group is the name of their group.
 	Hosts []configurer.ControlHost
 	Group string
-	// Processes are the control hosts' process ids, whose usage is read.
+	// Processes are the process ids of the control hosts whose usage is read.
 	Processes []int
 	Phase     Phase
-	// Entries and Companions are connected besides what the phase's size counts.
+	// Entries and Companions are the numbers of clients in addition to the phase's size.
 	Entries, Companions int
 	// Window is the length of a measurement; 0 means DefaultWindow.
 	Window time.Duration
-	// Rate is the number of changes a second of PhaseChanges; 0 means
-	// DefaultRate.
+	// Rate is the number of changes per second in PhaseChanges; 0 means DefaultRate.
 	Rate float64
-	// HeartbeatInterval is the time between two renewals of a companion; 0 means
+	// HeartbeatInterval is the time between two lease renewals of a companion; 0 means
 	// DefaultHeartbeatInterval.
 	HeartbeatInterval time.Duration
-	// Seed seeds what is drawn.
+	// Seed is the seed of the clients' random sources.
 	Seed uint64
 }
 
@@ -59,26 +58,28 @@
 	return s
 }
 
-// Cost is what one window used, in units per second where it names no other.
+// Cost is the resource usage of one window.
 type Cost struct {
-	// Window is the measured length.
+	// Window is the length of the window.
 	Window time.Duration
-	// Hosts is the processor time of all control hosts, Clients that of the client group, in
-	// microseconds a second.
+	// Hosts is the processor time of all control hosts, Clients that of the client
+	// group, in microseconds per second.
 	Hosts, Clients float64
-	// HostsWritten is what all control hosts write to connections and files, in
-	// bytes a second.
+	// HostsWritten is the number of bytes per second that all control hosts write to
+	// connections and files.
 	HostsWritten float64
-	// EntryRead to CompanionWritten are bytes a second, of all clients together.
+	// EntryRead to CompanionWritten are bytes per second on the connections of all
+	// clients of each kind.
 	EntryRead, EntryWritten, CompanionRead, CompanionWritten float64
-	// DigestEntries are the states of backend servers that reached entries.
+	// DigestEntries is the number of states of backend servers per second that entries
+	// received.
 	DigestEntries float64
-	// Private is the greatest private memory of a control host, in bytes.
+	// Private is the largest private memory of a control host, in bytes.
 	Private int64
 }
 
-// minus returns what c used above base.
-func (c Cost) minus(base Cost) Cost {
+// sub returns the cost of c above base. Window and Private are those of c.
+func (c Cost) sub(base Cost) Cost {
 	c.Hosts -= base.Hosts
 	c.Clients -= base.Clients
 	c.HostsWritten -= base.HostsWritten
@@ -93,20 +94,20 @@
 // Row is one measurement of a phase at a size.
 type Row struct {
 	Size int
-	// Idle is the window before the phase, with all clients connected. Work is
-	// what the phase used above it.
+	// Idle is the cost of the window before the phase, with all clients connected. Work
+	// is the cost of the phase above it.
 	Idle, Work Cost
-	// Events is the number of events a second of the phase.
+	// Events is the number of events per second of the phase.
 	Events float64
-	// Median and P99 are the median and the 99th percentile of the time that an
-	// event's caller waited; 0 for heartbeats.
+	// Median and P99 are the median and the 99th percentile of the response time of
+	// events; 0 for heartbeats.
 	Median, P99 time.Duration
-	// PropagationMedian and PropagationP99 are the same of the time from the acceptance of
-	// a change until every entry holds it.
+	// PropagationMedian and PropagationP99 are those of the time from the acceptance of
+	// a change until every entry has applied it.
 	PropagationMedian, PropagationP99 time.Duration
 }
 
-// Run measures the phase once at a size.
+// Run measures the phase once at a size, with a new client group.
 func Run(ctx context.Context, s Settings, size int) (Row, error) {
 	s = s.withDefaults()
 	cs := ClientGroupSettings{
@@ -141,34 +142,34 @@
 		}
 	}
 	var err error
-	if row.Idle, err = s.cost(c, func() { rest(ctx, s.Window) }); err != nil || s.Phase == PhaseIdle {
+	if row.Idle, err = s.cost(c, func() { sleep(ctx, s.Window) }); err != nil || s.Phase == PhaseIdle {
 		return row, err
 	}
-	// Companions join after the rest: without renewals their leases run out.
+	// Companions join after the idle window: without renewals their leases would expire.
 	if err := c.Join(ctx); err != nil {
 		return row, err
 	}
-	w := &work{crowd: c, run: fmt.Sprintf("r%d-%d-%d", size, s.Seed, time.Now().UnixNano())}
-	// A first short run has pools and buffers there before the measurement.
-	s.work(ctx, &work{crowd: c, run: w.run + "-first"}, size, s.Window/warmParts)
+	w := &work{group: c, runID: fmt.Sprintf("r%d-%d-%d", size, s.Seed, time.Now().UnixNano())}
+	// A short run before the measurement fills pools and buffers.
+	s.work(ctx, &work{group: c, runID: w.runID + "-first"}, size, s.Window/warmUpDivisor)
 	busy, err := s.cost(c, func() { s.work(ctx, w, size, s.Window) })
 	if err != nil {
 		return row, err
 	}
-	row.Work = busy.minus(row.Idle)
+	row.Work = busy.sub(row.Idle)
 	row.Events = float64(w.events) / busy.Window.Seconds()
 	row.Median, row.P99 = quantiles(w.times)
-	row.PropagationMedian, row.PropagationP99, err = inForce(ctx, c, w.changes)
-	if w.failed != nil {
-		err = w.failed
+	row.PropagationMedian, row.PropagationP99, err = propagation(ctx, c, w.changes)
+	if w.firstErr != nil {
+		err = w.firstErr
 	}
 	return row, err
 }
 
-// warmParts is the part of a window, as its divisor, of the run before it.
-const warmParts = 5
+// warmUpDivisor is the ratio of a window to the warm-up run before it.
+const warmUpDivisor = 5
 
-func rest(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -177,46 +178,46 @@
 	}
 }
 
-// work runs the phase for a time.
+// work runs the phase for d.
 func (s Settings) work(ctx context.Context, w *work, size int, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d+callTimeout)
 	defer cancel()
-	beats := float64(len(w.crowd.Companions)) / s.HeartbeatInterval.Seconds()
+	beats := float64(len(w.group.Companions)) / s.HeartbeatInterval.Seconds()
 	switch s.Phase {
 	case PhaseChanges:
-		steady(ctx, s.Rate, d, func(i int) { w.declare(ctx, i) })
+		callAtRate(ctx, s.Rate, d, func(i int) { w.declare(ctx, i) })
 	case PhaseRenewals, PhaseLoads, PhaseReports:
-		steady(ctx, beats, d, func(i int) {
+		callAtRate(ctx, beats, d, func(i int) {
 			w.renew(i, s.Phase)
-			w.done(0, change{}, nil)
+			w.record(0, change{}, nil)
 		})
 	case PhaseClaims:
-		steady(ctx, float64(size), d, func(i int) { w.claim(ctx, i) })
+		callAtRate(ctx, float64(size), d, func(i int) { w.claim(ctx, i) })
 	case PhasePermits:
-		// Only members get permits, so that the companions' leases must live.
+		// Only members get permits, so the companions must renew their leases.
 		var renewals sync.WaitGroup
 		defer renewals.Wait()
-		renewals.Go(func() { steady(ctx, beats, d, func(i int) { w.renew(i, PhaseRenewals) }) })
-		steady(ctx, float64(size), d, func(i int) { w.permit(ctx, i) })
+		renewals.Go(func() { callAtRate(ctx, beats, d, func(i int) { w.renew(i, PhaseRenewals) }) })
+		callAtRate(ctx, float64(size), d, func(i int) { w.permit(ctx, i) })
 	case PhaseIdle:
-		rest(ctx, d)
+		sleep(ctx, d)
 	}
 }
 
-// cost measures what a window uses.
+// cost measures the cost of the window function.
 func (s Settings) cost(c *ClientGroup, window func()) (Cost, error) {
-	before, err := s.take(c)
+	before, err := s.totals(c)
 	if err != nil {
 		return Cost{}, err
 	}
 	began := time.Now()
 	window()
 	took := time.Since(began)
-	after, err := s.take(c)
+	after, err := s.totals(c)
 	if err != nil {
 		return Cost{}, err
 	}
-	cost := after.minus(before)
+	cost := after.sub(before)
 	cost.Window = took
 	for _, v := range []*float64{
 		&cost.Hosts, &cost.Clients, &cost.HostsWritten, &cost.EntryRead, &cost.EntryWritten, &cost.CompanionRead, &cost.CompanionWritten, &cost.DigestEntries,
@@ -226,8 +227,8 @@
 	return cost, nil
 }
 
-// take returns the sums since the beginning.
-func (s Settings) take(c *ClientGroup) (Cost, error) {
+// totals returns the cumulative usage of the control hosts and the clients.
+func (s Settings) totals(c *ClientGroup) (Cost, error) {
 	own, err := UsageOf(os.Getpid())
 	if err != nil {
 		return Cost{}, err
@@ -252,8 +253,8 @@
 
 func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// quantiles returns the median and the 99th percentile.
-func quantiles(times []time.Duration) (half, worst time.Duration) {
+// quantiles returns the median and the 99th percentile. It sorts times.
+func quantiles(times []time.Duration) (median, p99 time.Duration) {
 	if len(times) == 0 {
 		return 0, 0
 	}
@@ -261,9 +262,9 @@
 	return times[len(times)/2], times[len(times)*99/100]
 }
 
-// inForce returns the quantiles of the time from the acceptance of a change
-// until every entry holds it.
-func inForce(ctx context.Context, c *ClientGroup, changes []change) (half, worst time.Duration, err error) {
+// propagation returns the quantiles of the time from the acceptance of a change until every
+// entry has applied it. It waits up to callTimeout for the entries.
+func propagation(ctx context.Context, c *ClientGroup, changes []change) (median, p99 time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var times []time.Duration
@@ -272,8 +273,8 @@
 		for _, l := range c.Entries {
 			at, ok := l.Index.ReachedAt(ch.revision)
 			for !ok {
-				if rest(ctx, settlePoll); ctx.Err() != nil {
-					return 0, 0, errors.Annotatef(ctx.Err(), "%s lacks revision %d", l.Name, ch.revision)
+				if sleep(ctx, pollInterval); ctx.Err() != nil {
+					return 0, 0, errors.Annotatef(ctx.Err(), "%s did not reach revision %d", l.Name, ch.revision)
 				}
 				at, ok = l.Index.ReachedAt(ch.revision)
 			}
@@ -283,6 +284,6 @@
 		}
 		times = append(times, last.Sub(ch.accepted))
 	}
-	half, worst = quantiles(times)
-	return half, worst, nil
+	median, p99 = quantiles(times)
+	return median, p99, nil
 }
--- a/internal/standin/prober/recovery_test.go
+++ b/internal/standin/prober/recovery_test.go
@@ -11,48 +11,48 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// nowhere is the transport of a group of one.
-type nowhere struct{}
+// discardTransport is the transport of a group of one host; it discards all messages.
+type discardTransport struct{}
 
-func (nowhere) Send(replicator.HostID, []replicator.Message) {}
+func (discardTransport) Send(replicator.HostID, []replicator.Message) {}
 
-// alone opens a control group of one host over a folder.
-func alone(b *testing.B, folder string, store *storer.Store) *replicator.Replicator {
+// openSingleHost opens a control group of one host with its data in folder.
+func openSingleHost(b *testing.B, folder string, store *storer.Store) *replicator.Replicator {
 	b.Helper()
 	self := replicator.Member{ID: 1, Address: "127.0.0.1:1", Voter: true}
 	r, err := replicator.NewReplicator(replicator.Settings{
 		Group: "probe", Self: self, Bootstrap: []replicator.Member{self}, DataFolder: folder,
-		// No snapshot is taken, so that the whole log is what is recovered.
+		// No snapshot is taken, so that the complete log is recovered.
 		SnapshotEvery: 1 << 40, SnapshotBytes: 1 << 40, JournalBytes: 1 << 40,
-	}, store, nowhere{})
+	}, store, discardTransport{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	return r
 }
 
-// BenchmarkRecovery gives the time and the processor time in which a control host
-// that restarts has applied its log again, by the length of the log behind the
-// last snapshot, and the log's bytes on the disk.
+// BenchmarkRecovery measures the time and the processor time that a restarted control host
+// needs to replay its log, by the length of the log since the last snapshot, and the log's
+// bytes on the disk.
 func BenchmarkRecovery(b *testing.B) {
-	slopes(b, "Entries", []int{10000, 50000, 200000}, func(b *testing.B, n int) costs {
+	measureSlopes(b, "Entries", []int{10000, 50000, 200000}, func(b *testing.B, n int) costs {
 		b.Helper()
 		folder := b.TempDir()
-		first := alone(b, folder, storer.NewStore(storer.Settings{}))
-		write(b, first, n)
+		first := openSingleHost(b, folder, storer.NewStore(storer.Settings{}))
+		proposeClaims(b, first, n)
 		bytes := first.Status().JournalBytes
 		if err := first.Close(); err != nil {
 			b.Fatal(err)
 		}
 		store := storer.NewStore(storer.Settings{})
-		began, before := time.Now(), used()
-		second := alone(b, folder, store)
-		if err := second.ReadBarrier(leading(b, second)); err != nil {
+		began, before := time.Now(), processorTime()
+		second := openSingleHost(b, folder, store)
+		if err := second.ReadBarrier(waitLeader(b, second)); err != nil {
 			b.Fatal(err)
 		}
-		took, cpu := time.Since(began), used()-before
+		took, cpu := time.Since(began), processorTime()-before
 		if store.Applied() < uint64(n) {
-			b.Fatalf("%d entries of %d came back", store.Applied(), n)
+			b.Fatalf("recovered %d of %d entries", store.Applied(), n)
 		}
 		if err := second.Close(); err != nil {
 			b.Fatal(err)
@@ -61,8 +61,8 @@
 	})
 }
 
-// leading returns a context once the host leads.
-func leading(b *testing.B, r *replicator.Replicator) context.Context {
+// waitLeader waits until the host is the leader, and returns the benchmark's context.
+func waitLeader(b *testing.B, r *replicator.Replicator) context.Context {
 	b.Helper()
 	for !r.LeaseValid() {
 		select {
@@ -74,10 +74,10 @@
 	return b.Context()
 }
 
-// write has many callers propose n changes, so that they share syncs.
-func write(b *testing.B, r *replicator.Replicator, n int) {
+// proposeClaims proposes n claims from many concurrent callers, which share disk syncs.
+func proposeClaims(b *testing.B, r *replicator.Replicator, n int) {
 	b.Helper()
-	ctx := leading(b, r)
+	ctx := waitLeader(b, r)
 	const callers = 256
 	var done sync.WaitGroup
 	for c := range callers {
--- a/internal/standin/prober/size_test.go
+++ b/internal/standin/prober/size_test.go
@@ -10,29 +10,29 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// sizes are the adapters of the three deployments that the pages speak of.
+// sizes are the numbers of adapters of the three deployments in the documentation.
 var sizes = []int{3000, 15000, 61000}
 
-// mix is a make-up of a configuration.
+// mix is the composition of a configuration.
 type mix struct {
-	// versions is the number of each adapter, rules the number of rules for each
-	// hundred adapters.
+	// versions is the number of versions per adapter, rules the number of priority rules
+	// per hundred adapters.
 	versions, rules int
 }
 
-// The mixes whose differences tell what a version and a rule cost, and the one
-// that stands for a deployment.
+// The mixes. The differences between the first three give the cost of a version and of a
+// rule; typical is the mix of a deployment.
 var (
 	plain     = mix{versions: 1}
 	versioned = mix{versions: 2}
 	ruled     = mix{versions: 1, rules: 100}
-	usual     = mix{versions: 2, rules: 10}
+	typical   = mix{versions: 2, rules: 10}
 )
 
 func (m mix) String() string { return fmt.Sprintf("Versions=%d/Rules=%d%%", m.versions, m.rules) }
 
-// configuration makes n adapters in n/60 workspaces, with names and digests as
-// long as real ones.
+// configuration returns n adapters in n/60 workspaces, with names and digests of realistic
+// length.
 func configuration(n int, m mix) []storer.Resource {
 	var rs []storer.Resource
 	add := func(kind storer.Kind, w, name string, spec storer.Spec) {
@@ -61,8 +61,8 @@
 
 func workspace(i int) string { return fmt.Sprintf("workspace-%04d", i) }
 
-// heap returns the bytes of live objects.
-func heap() float64 {
+// heapBytes returns the bytes of live objects on the heap.
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -70,8 +70,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// used returns the processor time of this process.
-func used() time.Duration {
+// processorTime returns the processor time that this process has used; 0 if it can't be read.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -79,7 +79,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// costs are figures of one size, by unit.
+// costs are the figures of one measurement.
 type costs []cost
 
 type cost struct {
@@ -87,9 +87,9 @@
 	value float64
 }
 
-// slopes measures each size in a benchmark of its own, repeats times, and reports
-// the slopes of the lines through all of them, with errors.
-func slopes(b *testing.B, over string, sizes []int, measure func(b *testing.B, n int) costs) {
+// measureSlopes measures each size in its own sub-benchmark, repeats times, and reports the
+// slopes of the lines fitted to all measurements, with standard errors.
+func measureSlopes(b *testing.B, over string, sizes []int, measure func(b *testing.B, n int) costs) {
 	b.Helper()
 	const repeats = 3
 	points := make(map[string][]Point)
--- a/internal/standin/prober/state_test.go
+++ b/internal/standin/prober/state_test.go
@@ -17,26 +17,27 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/streamer"
 )
 
-// BenchmarkReplica gives the heap of a node's replica.
+// BenchmarkReplica measures the heap of a node's replica.
 func BenchmarkReplica(b *testing.B) {
-	for _, m := range []mix{plain, versioned, ruled, usual} {
+	for _, m := range []mix{plain, versioned, ruled, typical} {
 		b.Run(m.String(), func(b *testing.B) {
-			slopes(b, "Adapters", sizes, func(b *testing.B, n int) costs {
+			measureSlopes(b, "Adapters", sizes, func(b *testing.B, n int) costs {
 				b.Helper()
-				before := heap()
+				before := heapBytes()
 				x := indexer.NewIndex(indexer.Settings{})
 				if err := x.Reset(configuration(n, m), uint64(10*n)); err != nil {
 					b.Fatal(err)
 				}
 				defer runtime.KeepAlive(x)
-				return costs{{"heap-B", heap() - before}}
+				return costs{{"heap-B", heapBytes() - before}}
 			})
 		})
 	}
 }
 
-// filled returns a store that holds a configuration, as the log brought it.
-func filled(b *testing.B, n int, m mix) (*storer.Store, uint64) {
+// newFilledStore returns a store to which a configuration was applied command by command,
+// and the index of the last command.
+func newFilledStore(b *testing.B, n int, m mix) (*storer.Store, uint64) {
 	b.Helper()
 	s := storer.NewStore(storer.Settings{})
 	index := uint64(0)
@@ -61,22 +62,22 @@
 	return index
 }
 
-// BenchmarkStore gives the heap of a control host's store, its snapshot, and the
-// processor time to write one and to restore from it.
+// BenchmarkStore measures the heap of a control host's store, the size of its snapshot, and
+// the processor time to write the snapshot and to restore from it.
 func BenchmarkStore(b *testing.B) {
-	for _, m := range []mix{plain, versioned, ruled, usual} {
+	for _, m := range []mix{plain, versioned, ruled, typical} {
 		b.Run(m.String(), func(b *testing.B) {
-			slopes(b, "Adapters", sizes, func(b *testing.B, n int) costs {
+			measureSlopes(b, "Adapters", sizes, func(b *testing.B, n int) costs {
 				b.Helper()
-				before := heap()
-				s, index := filled(b, n, m)
-				held := heap() - before
+				before := heapBytes()
+				s, index := newFilledStore(b, n, m)
+				held := heapBytes() - before
 				var snapshot bytes.Buffer
-				began := used()
+				began := processorTime()
 				if err := s.Snapshot(&snapshot); err != nil {
 					b.Fatal(err)
 				}
-				written := used()
+				written := processorTime()
 				size := snapshot.Len()
 				if err := storer.NewStore(storer.Settings{}).Restore(&snapshot, index); err != nil {
 					b.Fatal(err)
@@ -86,22 +87,22 @@
 					{"heap-B", held},
 					{"snapshot-B", float64(size)},
 					{"write-cpu-µs", microseconds(written - began)},
-					{"restore-cpu-µs", microseconds(used() - written)},
+					{"restore-cpu-µs", microseconds(processorTime() - written)},
 				}
 			})
 		})
 	}
 }
 
-// BenchmarkClaims gives the heap of a store by the claims that it remembers, and
-// by the records of changes with idempotency keys.
+// BenchmarkClaims measures the heap of a store by the number of settled claims that it
+// holds, and the processor time to apply them.
 func BenchmarkClaims(b *testing.B) {
-	slopes(b, "Claims", []int{10000, 50000, 200000}, func(b *testing.B, n int) costs {
+	measureSlopes(b, "Claims", []int{10000, 50000, 200000}, func(b *testing.B, n int) costs {
 		b.Helper()
-		before := heap()
+		before := heapBytes()
 		s := storer.NewStore(storer.Settings{})
 		index := uint64(0)
-		began := used()
+		began := processorTime()
 		for i := range n {
 			key := fmt.Sprintf("0f8fad5b-d9cb-469f-a165-%012d", i)
 			c := storer.ClaimCall{Workspace: workspace(i % 1000), Key: key, Digest: make([]byte, 32), Holder: "atl-a-entry-1/" + key}
@@ -110,23 +111,23 @@
 				Workspace: c.Workspace, Key: key, Holder: c.Holder, State: storer.ClaimStateDone, Backend: "atl-a-clearance-1", Request: key,
 			}})
 		}
-		took := used() - began
+		took := processorTime() - began
 		defer runtime.KeepAlive(s)
-		return costs{{"heap-B", heap() - before}, {"apply-cpu-µs", microseconds(took)}}
+		return costs{{"heap-B", heapBytes() - before}, {"apply-cpu-µs", microseconds(took)}}
 	})
 }
 
-// BenchmarkSnapshotToNode gives the bytes and the processor time at both ends of
-// the whole state on its way to a node that begins with nothing.
+// BenchmarkSnapshotToNode measures the transfer of the complete state to a node without
+// state: the bytes on the wire and the processor time of both ends.
 func BenchmarkSnapshotToNode(b *testing.B) {
-	slopes(b, "Adapters", sizes, func(b *testing.B, n int) costs {
+	measureSlopes(b, "Adapters", sizes, func(b *testing.B, n int) costs {
 		b.Helper()
-		rs := configuration(n, usual)
+		rs := configuration(n, typical)
 		total, encode, decode := 0, time.Duration(0), time.Duration(0)
 		var assembler distributor.Assembler
 		x := indexer.NewIndex(indexer.Settings{})
 		for page := range slices.Chunk(rs, distributor.DefaultBatchLimit) {
-			began := used()
+			began := processorTime()
 			packed, err := distributor.Pack(distributor.Delta{Reset: true, UpTo: uint64(len(rs)), Resources: page})
 			if err != nil {
 				b.Fatal(err)
@@ -135,9 +136,9 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			encode += used() - began
+			encode += processorTime() - began
 			total += len(data)
-			began = used()
+			began = processorTime()
 			if err := json.Unmarshal(data, &packed); err != nil {
 				b.Fatal(err)
 			}
@@ -148,18 +149,18 @@
 			if _, err := assembler.ApplyDelta(x, d); err != nil {
 				b.Fatal(err)
 			}
-			decode += used() - began
+			decode += processorTime() - began
 		}
-		began := used()
+		began := processorTime()
 		if _, err := assembler.ApplyDelta(x, distributor.Delta{Reset: true, UpTo: uint64(len(rs)), Last: true}); err != nil {
 			b.Fatal(err)
 		}
-		decode += used() - began
+		decode += processorTime() - began
 		return costs{{"wire-B", float64(total)}, {"host-cpu-µs", microseconds(encode)}, {"node-cpu-µs", microseconds(decode)}}
 	})
 }
 
-// servers are the numbers of backend servers: those of the users, and the planned
+// servers are the numbers of backend servers: those of existing deployments, and the planned
 // size.
 var servers = []int{630, 3000, 12000}
 
@@ -170,8 +171,8 @@
 	}}
 }
 
-// residency returns the versions on server i, each a string of its own, as they
-// come out of a message.
+// residency returns the resident versions of server i. Each is a separate string, as in a
+// decoded message.
 func residency(i int) []string {
 	versions := make([]string, slots)
 	for v := range versions {
@@ -182,14 +183,14 @@
 	return versions
 }
 
-// BenchmarkBackends gives the heap which an entry holds for the backend servers
-// with 16 resident versions each: members in the replica, the board that follows
-// the digests, the router; the bytes of the whole digest; and the processor time
-// of one change of the membership and of one choice.
+// BenchmarkBackends measures the heap of an entry for backend servers with 16 resident
+// versions each, in the members of the replica, the board that is updated by digests, and
+// the router; the bytes of the complete digest; and the processor time of one membership
+// change and of one routing choice.
 func BenchmarkBackends(b *testing.B) {
-	slopes(b, "Servers", servers, func(b *testing.B, n int) costs {
+	measureSlopes(b, "Servers", servers, func(b *testing.B, n int) costs {
 		b.Helper()
-		before := heap()
+		before := heapBytes()
 		x := indexer.NewIndex(indexer.Settings{})
 		var changes []storer.Change
 		for i := range n {
@@ -201,18 +202,18 @@
 		if err := x.Apply(changes, uint64(n)); err != nil {
 			b.Fatal(err)
 		}
-		replica := heap() - before
+		replica := heapBytes() - before
 		board := registrar.NewBoard()
 		for i := range n {
 			board.Apply(registrar.ServerState{Name: member(i).Name, Epoch: 1, Sequence: 1, Load: registrar.Load{MaxBatch: batch}, Resident: residency(i)}.Whole())
 		}
-		boardHeap := heap() - before - replica
+		boardHeap := heapBytes() - before - replica
 		board.Collect()
 		whole, err := json.Marshal(board.Whole())
 		if err != nil {
 			b.Fatal(err)
 		}
-		beside := heap()
+		beforeRouter := heapBytes()
 		r := router.NewRouter(router.Settings{Seed: 1})
 		if err := r.SetMembers(x.Members().Members); err != nil {
 			b.Fatal(err)
@@ -222,8 +223,8 @@
 			s, _ := board.State(m.Name)
 			r.Digest(start, m.Name, 1, s.Resident)
 		}
-		routed := heap() - beside
-		began := used()
+		routerHeap := heapBytes() - beforeRouter
+		began := processorTime()
 		const repeats = 20
 		for i := range repeats {
 			revision := uint64(n + i + 1)
@@ -237,23 +238,23 @@
 				b.Fatal(err)
 			}
 		}
-		moved := (used() - began) / repeats
+		memberChange := (processorTime() - began) / repeats
 		choice := choose(b, r, n)
 		runtime.KeepAlive(x)
 		runtime.KeepAlive(board)
 		return costs{
 			{"replica-B", replica},
 			{"board-B", boardHeap},
-			{"router-B", routed},
+			{"router-B", routerHeap},
 			{"whole-digest-B", float64(len(whole))},
-			{"member-change-cpu-µs", microseconds(moved)},
+			{"member-change-cpu-µs", microseconds(memberChange)},
 			{"choice-cpu-µs", choice},
 		}
 	})
 }
 
-// choose returns the processor time of one choice in µs, over the versions that
-// are resident somewhere.
+// choose returns the processor time in µs of one routing choice for versions that are
+// resident at a server.
 func choose(b *testing.B, r *router.Router, n int) float64 {
 	b.Helper()
 	const calls = 20000
@@ -263,7 +264,7 @@
 	}
 	var d router.Decision
 	c := router.Call{Pool: router.Pool{Kind: storer.MemberKindEngine, Name: "clearance-8b"}, PromptTokens: 100}
-	began, now := used(), start
+	began, now := processorTime(), start
 	for i := range calls {
 		now = now.Add(time.Millisecond)
 		c.Version = versions[i*7919%len(versions)]
@@ -272,17 +273,17 @@
 		}
 		r.Finish(now, &d, router.CallResult{Served: true, Ran: time.Second})
 	}
-	return microseconds(used()-began) / calls
+	return microseconds(processorTime()-began) / calls
 }
 
-// BenchmarkAnswers gives the heap of a companion's buffer by answers under way,
-// each with 4 KiB that no entry has acknowledged, and by those with none.
+// BenchmarkAnswers measures the heap of a companion's buffer by the number of answers in
+// flight, with no and with 4 KiB of unacknowledged data each.
 func BenchmarkAnswers(b *testing.B) {
 	for _, held := range []int{0, 4 << 10} {
 		b.Run(fmt.Sprintf("Held=%dB", held), func(b *testing.B) {
-			slopes(b, "Answers", []int{100, 1000, 4000}, func(b *testing.B, n int) costs {
+			measureSlopes(b, "Answers", []int{100, 1000, 4000}, func(b *testing.B, n int) costs {
 				b.Helper()
-				before := heap()
+				before := heapBytes()
 				buffer := streamer.NewBuffer(streamer.Settings{})
 				for i := range n {
 					a, err := buffer.Begin(streamer.ID{Request: fmt.Sprintf("request-%06d", i), Attempt: 1}, true)
@@ -294,7 +295,7 @@
 					}
 				}
 				defer runtime.KeepAlive(buffer)
-				return costs{{"heap-B", heap() - before}}
+				return costs{{"heap-B", heapBytes() - before}}
 			})
 		})
 	}
--- a/internal/standin/prober/streams.go
+++ b/internal/standin/prober/streams.go
@@ -22,42 +22,44 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// StreamSettings are the options of a probe of the request path: callers that
-// each have one streamed answer under way at any time.
+// StreamSettings are the settings of a probe of the request path, in which each caller always
+// has one streamed answer in flight.
 type StreamSettings struct {
+	// Hosts are the control hosts, Group is the name of their group.
 	Hosts []configurer.ControlHost
 	Group string
-	// Entry is the callers' address of an entry.
+	// Entry is the address of an entry's caller listener.
 	Entry string
-	// Processes are those whose usage is read, such as the entry's and the
-	// companion's.
+	// Processes are the ids of the processes whose usage is read, such as the entry and
+	// the companion.
 	Processes []int
-	// Callers is the number of streams open at once, Tokens the length of each
-	// answer.
+	// Callers is the number of concurrent streams, Tokens the length of each answer.
 	Callers, Tokens int
 	// Window is the length of the measurement; 0 means DefaultWindow.
 	Window time.Duration
 }
 
-// StreamRow is one measurement of the request path.
+// StreamRow is one measurement of the request path. The slices are indexed as
+// StreamSettings.Processes.
 type StreamRow struct {
 	Callers, Tokens int
-	// Answers and Pieces are counts a second.
+	// Answers and Pieces are counts per second.
 	Answers, Pieces float64
-	// Processor is the time of each process above rest in microseconds a second,
-	// and Idle that without callers.
+	// Processor is the processor time of each process above Idle, Idle that without
+	// callers, both in microseconds per second.
 	Processor, Idle []float64
-	// Private is the private memory of each process at the end, in bytes.
+	// Private is the private memory of each process at the end of the window, in bytes.
 	Private []float64
 }
 
-// bearer is the key of the probe's callers.
+// bearer is the bearer key of the probe's callers.
 const bearer = "probe-bearer-key-0123456789"
 
-// firstVersion names the version that the probe's callers ask for.
+// firstVersion is the version that the probe's callers request.
 const firstVersion = "v1"
 
-// PrepareStreams declares what callers need and waits until an entry serves it.
+// PrepareStreams declares the resources that the callers need and waits until the entry
+// serves a stream.
 func PrepareStreams(ctx context.Context, s StreamSettings) error {
 	c := NewClientGroup(ClientGroupSettings{Hosts: s.Hosts, Group: s.Group, Entries: 1, Prefix: "prepare-", Random: rand.New(rand.NewPCG(1, 1))}) //nolint:contextcheck // Clients outlive calls.
 	return stderrors.Join(s.prepare(ctx, c.Entries[0]), c.Close(ctx))
@@ -77,7 +79,7 @@
 		{Kind: storer.KindKey, Metadata: storer.Metadata{Workspace: workspaceName, Name: "callers"}, Spec: storer.KeySpec{Hash: hex.EncodeToString(hash[:])}},
 	} {
 		if _, err := l.Propose(ctx, storer.Envelope{IdempotencyKey: "streams-" + r.Kind.String(), Command: storer.PutResource{Resource: r}}); err != nil {
-			return errors.Annotate(err, "declare what streams need")
+			return errors.Annotate(err, "declare the resources of the streams")
 		}
 	}
 	for {
@@ -85,19 +87,19 @@
 		if err == nil {
 			return nil
 		}
-		if rest(ctx, settlePoll); ctx.Err() != nil {
-			return errors.Annotate(err, "the entry serves no stream")
+		if sleep(ctx, pollInterval); ctx.Err() != nil {
+			return errors.Annotate(err, "entry does not serve streams")
 		}
 	}
 }
 
-// RunStreams measures once.
+// RunStreams measures the request path once.
 func RunStreams(ctx context.Context, s StreamSettings) (StreamRow, error) {
 	row := StreamRow{Callers: s.Callers, Tokens: s.Tokens}
 	if s.Window <= 0 {
 		s.Window = DefaultWindow
 	}
-	idle, err := s.watch(func() { rest(ctx, s.Window) })
+	idle, err := s.measureUsage(func() { sleep(ctx, s.Window) })
 	if err != nil {
 		return row, err
 	}
@@ -111,7 +113,7 @@
 	for range s.Callers {
 		callers.Go(func() {
 			for ctx.Err() == nil {
-				whole, err := s.call(ctx, client, &pieces)
+				complete, err := s.call(ctx, client, &pieces)
 				if err != nil && ctx.Err() == nil {
 					select {
 					case failed <- err:
@@ -119,16 +121,16 @@
 					}
 					return
 				}
-				if whole {
+				if complete {
 					answers.Add(1)
 				}
 			}
 		})
 	}
-	// The first streams begin together; a window later they are spread out.
-	rest(ctx, s.Window/warmParts)
+	// The first streams start at the same time. The warm-up spreads them out.
+	sleep(ctx, s.Window/warmUpDivisor)
 	beforeAnswers, beforePieces, began := answers.Load(), pieces.Load(), time.Now()
-	busy, err := s.watch(func() { rest(ctx, s.Window) })
+	busy, err := s.measureUsage(func() { sleep(ctx, s.Window) })
 	took := time.Since(began).Seconds()
 	row.Answers = float64(answers.Load()-beforeAnswers) / took
 	row.Pieces = float64(pieces.Load()-beforePieces) / took
@@ -141,15 +143,15 @@
 	}
 	select {
 	case err := <-failed:
-		return row, errors.Annotate(err, "a stream")
+		return row, errors.Annotate(err, "read stream")
 	default:
 		return row, errors.Trace(err)
 	}
 }
 
-// watch returns the processor time that each process uses in a window, and its
-// memory at the end.
-func (s StreamSettings) watch(window func()) ([]Usage, error) {
+// measureUsage calls window and returns the processor time that each process used during
+// the call, and its memory at the end.
+func (s StreamSettings) measureUsage(window func()) ([]Usage, error) {
 	var before []Usage
 	for _, pid := range s.Processes {
 		u, err := UsageOf(pid)
@@ -171,7 +173,7 @@
 	return spent, nil
 }
 
-// completion is the part of OpenAI's request that the probe fills.
+// completion holds the fields of OpenAI's completion request that the probe sets.
 type completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -179,7 +181,8 @@
 	Stream    bool   `json:"stream"`
 }
 
-// call reads one streamed answer, and reports whether it came to its end.
+// call sends a request and reads its streamed answer. It counts the pieces, and reports
+// whether the answer ended with the end marker.
 func (s StreamSettings) call(ctx context.Context, client *http.Client, pieces *atomic.Int64) (bool, error) {
 	body, err := json.Marshal(completion{
 		Model: workspaceName + "/" + storer.VersionName(adapterName, firstVersion), Prompt: "A contract of twenty pages.", MaxTokens: max(s.Tokens, 1), Stream: true,
@@ -223,8 +226,9 @@
 	fmt.Fprintln(out)
 }
 
-// WriteStreamSlopes writes, for each process, the lines by answer and piece where
-// the length of answers varies, and by open stream where their number does.
+// WriteStreamSlopes writes two lines for each process: the processor time per answer by the
+// pieces per answer, and the private memory by the number of callers. The first is meaningful
+// if the rows vary Tokens, the second if they vary Callers.
 func WriteStreamSlopes(out io.Writer, rows []StreamRow) {
 	if len(rows) == 0 {
 		return
--- a/internal/standin/prober/usage.go
+++ b/internal/standin/prober/usage.go
@@ -10,37 +10,36 @@
 	"github.com/juju/errors"
 )
 
-// Usage is what a process has used, by the kernel's accounts.
+// Usage is the resource usage of a process as accounted by the kernel.
 type Usage struct {
-	// Processor is the time on all cores, in the kernel and out of it, since the
-	// process began.
+	// Processor is the user and system time on all cores since the start of the
+	// process.
 	Processor time.Duration
-	// Resident is the physical memory in use, in bytes. Private is the part of it
-	// that belongs to no file: heap, stacks and the runtime's own.
+	// Resident is the physical memory in use, in bytes. Private is its anonymous part,
+	// which is not backed by a file: heap, stacks and the runtime's own memory.
 	Resident, Private int64
-	// Written is what was written to connections and files, in bytes.
+	// Written is the number of bytes written to connections and files.
 	Written int64
 }
 
-// ticksPerSecond is the kernel's unit of processor time in /proc, the same on
-// all architectures of Linux that Go runs on.
+// ticksPerSecond is the unit of processor time in /proc, which is the same on all Linux
+// architectures that Go supports.
 const ticksPerSecond = 100
 
-// The places of the fields in /proc/PID/stat, counted from the one behind the
-// process's name.
+// Indices of the fields in /proc/PID/stat, counted from the field after the process's name.
 const (
 	fieldUser   = 11
 	fieldSystem = 12
 )
 
-// UsageOf returns what a process has used.
+// UsageOf returns the usage of a process since its start.
 func UsageOf(pid int) (Usage, error) {
 	folder := "/proc/" + strconv.Itoa(pid) + "/"
 	stat, err := os.ReadFile(folder + "stat")
 	if err != nil {
 		return Usage{}, errors.Annotatef(err, "read the usage of process %d", pid)
 	}
-	// The name stands in parentheses and can hold anything.
+	// The process's name is in parentheses and can contain any character.
 	fields := bytes.Fields(stat[bytes.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= fieldSystem {
 		return Usage{}, errors.NotValidf("/proc/%d/stat with %d fields", pid, len(fields))
@@ -59,19 +58,19 @@
 	}
 	io, err := os.ReadFile(folder + "io")
 	if err != nil {
-		return Usage{}, errors.Annotatef(err, "read what process %d wrote", pid)
+		return Usage{}, errors.Annotatef(err, "read the I/O counts of process %d", pid)
 	}
 	return Usage{
-		Written:   field(string(io), "wchar:"),
+		Written:   numberInLine(string(io), "wchar:"),
 		Processor: time.Duration(ticks) * time.Second / ticksPerSecond,
-		Resident:  field(string(status), "VmRSS:") << 10,
-		Private:   field(string(status), "RssAnon:") << 10,
+		Resident:  numberInLine(string(status), "VmRSS:") << 10,
+		Private:   numberInLine(string(status), "RssAnon:") << 10,
 	}, nil
 }
 
-// field returns the number in a line of one of the process's files, in the unit
-// that the line has; 0 where it is missing.
-func field(file, name string) int64 {
+// numberInLine returns the number that follows name in a file of /proc, in the unit of its
+// line; 0 if there is none.
+func numberInLine(file, name string) int64 {
 	_, rest, _ := strings.Cut(file, name)
 	line, _, _ := strings.Cut(rest, "\n")
 	n, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(line), " kB"), 10, 64)
--- a/internal/standin/prober/watched.go
+++ b/internal/standin/prober/watched.go
@@ -9,52 +9,54 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// TimedIndex is a node's replica that notes when it moved.
+// TimedIndex is a node's replica that records the time of each new revision. It is safe for
+// concurrent use.
 type TimedIndex struct {
 	*indexer.Index
 
 	mu sync.Mutex
-	// moves hold the revisions reached and when, in order; guarded by mu.
-	moves []move
+	// reached holds the revisions and the times at which they were reached, in order;
+	// guarded by mu.
+	reached []revisionTime
 }
 
-type move struct {
+type revisionTime struct {
 	revision uint64
 	at       time.Time
 }
 
-func (w *TimedIndex) note(revision uint64) {
+func (w *TimedIndex) recordRevision(revision uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.moves = append(w.moves, move{revision: revision, at: time.Now()})
+	w.reached = append(w.reached, revisionTime{revision: revision, at: time.Now()})
 }
 
-// Apply applies changes and notes the time.
+// Apply applies changes and records the time.
 func (w *TimedIndex) Apply(changes []storer.Change, upTo uint64) error {
 	if err := w.Index.Apply(changes, upTo); err != nil {
 		return err
 	}
-	w.note(upTo)
+	w.recordRevision(upTo)
 	return nil
 }
 
-// Reset takes a whole state in and notes the time.
+// Reset replaces the complete state and records the time.
 func (w *TimedIndex) Reset(rs []storer.Resource, revision uint64) error {
 	if err := w.Index.Reset(rs, revision); err != nil {
 		return err
 	}
-	w.note(revision)
+	w.recordRevision(revision)
 	return nil
 }
 
-// ReachedAt returns when the replica first held a revision, and false where it does
-// not yet.
+// ReachedAt returns the time at which the replica first reached the revision, and false if
+// it has not reached it yet.
 func (w *TimedIndex) ReachedAt(revision uint64) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	i := sort.Search(len(w.moves), func(i int) bool { return w.moves[i].revision >= revision })
-	if i == len(w.moves) {
+	i := sort.Search(len(w.reached), func(i int) bool { return w.reached[i].revision >= revision })
+	if i == len(w.reached) {
 		return time.Time{}, false
 	}
-	return w.moves[i].at, true
+	return w.reached[i].at, true
 }
