--- a/internal/standin/guarder/doc.go
+++ b/internal/standin/guarder/doc.go
@@ -1,6 +1,6 @@
-// Package guarder holds a check of the whole source: a field whose comment names the lock
-// that guards it is used under that lock only.
+// Package guarder checks the source of the module: a field whose comment names the lock that
+// guards it must be used only while that lock is held.
 //
-// A race detector finds such a use where two goroutines meet in a run. This finds it in
-// the text, as far as the text tells: by names, without types.
+// A race detector reports such a use only if two goroutines conflict during a run. This check
+// finds it in the source, by names only and without type information.
 package guarder
--- a/internal/standin/guarder/guarder_test.go
+++ b/internal/standin/guarder/guarder_test.go
@@ -13,38 +13,40 @@
 	"testing"
 )
 
-// root is the module's folder.
-const root = "../../.."
+// moduleRoot is the root folder of the module.
+const moduleRoot = "../../.."
 
-// guarded finds the lock in the comment of a field. A lock of another struct is passed
-// over: names alone don't tell whether it is held.
-var guarded = regexp.MustCompile(`(?i)guarded\s+by\s+(\w+)\s*([.,;]|$)`)
+// guardedBy matches the lock in the comment of a field. A lock of another struct does not
+// match, because names alone do not show whether it is held.
+var guardedBy = regexp.MustCompile(`(?i)guarded\s+by\s+(\w+)\s*([.,;]|$)`)
 
-// held finds in the comment of a function that its caller holds a lock, or why it needs
-// none; unshared that nobody else has its receiver yet.
+// held matches the lock in the comment of a method whose caller holds it or which does not
+// need it; notShared matches the comment of a method whose receiver is not yet accessible to
+// other goroutines.
 var (
-	held     = regexp.MustCompile(`(?i)\b(holds|needs|under|without)\s+(\w+)`)
-	unshared = regexp.MustCompile(`(?i)\bnot\s+shared\b`)
+	held      = regexp.MustCompile(`(?i)\b(holds|needs|under|without)\s+(\w+)`)
+	notShared = regexp.MustCompile(`(?i)\bnot\s+shared\b`)
 )
 
-// function is a function with the locks that its text takes and gives back.
-type function struct {
+// method is a method with the locks that its comment names.
+type method struct {
 	body *ast.BlockStmt
-	// receiver is the name of the receiver and of its type.
-	receiver, of string
-	held         map[string]bool
+	// receiver and receiverType are the names of the receiver and of its type.
+	receiver, receiverType string
+	// held holds the locks that the comment names.
+	held map[string]bool
 }
 
-// TestGuardedFieldsAreUsedUnderTheirLock: symptom: the race detector stops one run in a
-// hundred, and a companion's connection is read while another is put in its place.
-// Sequence: a method takes the lock, copies a pointer, gives the lock back, and reads a
-// field through the pointer. Cause: that the field was guarded stood nowhere, and nobody
-// compared the comments that do say so with the code. It sees uses through a method's own
-// receiver; what is handed out from under a lock is handed out by value.
+// TestGuardedFieldsAreUsedUnderTheirLock guards against a data race that the race detector
+// found in only one of a hundred runs: a method locked, copied a pointer, unlocked, and read a
+// field through the pointer, so that a companion's connection was read while it was being
+// replaced. The guard of the field was not documented, and documented guards were not checked
+// against the code. The test checks uses through a method's own receiver only; values that
+// leave a locked section must therefore be copied.
 func TestGuardedFieldsAreUsedUnderTheirLock(t *testing.T) {
 	packages := make(map[string][]*ast.File)
 	files := token.NewFileSet()
-	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(moduleRoot, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -56,22 +58,22 @@
 		t.Fatal(err)
 	}
 	fields := 0
-	for _, of := range packages {
-		locks := fieldsOf(of)
+	for _, parsed := range packages {
+		locks := guardedFields(parsed)
 		fields += len(locks)
-		for _, f := range of {
-			for _, use := range outside(files, f, locks) {
+		for _, f := range parsed {
+			for _, use := range unguardedUses(files, f, locks) {
 				t.Error(use)
 			}
 		}
 	}
 	if fields < 100 {
-		t.Errorf("only %d guarded fields were found: the comments are not read", fields)
+		t.Errorf("found only %d guarded fields: the comments are not parsed", fields)
 	}
 }
 
-// fieldsOf returns the lock of each guarded field, by TYPE.FIELD.
-func fieldsOf(of []*ast.File) map[string]string {
+// guardedFields returns the lock of each guarded field, by TYPE.FIELD.
+func guardedFields(of []*ast.File) map[string]string {
 	locks := make(map[string]string)
 	for _, f := range of {
 		ast.Inspect(f, func(n ast.Node) bool {
@@ -84,7 +86,7 @@
 				return true
 			}
 			for _, field := range s.Fields.List {
-				m := guarded.FindStringSubmatch(field.Doc.Text())
+				m := guardedBy.FindStringSubmatch(field.Doc.Text())
 				for _, name := range field.Names {
 					if m != nil {
 						locks[spec.Name.Name+"."+name.Name] = m[1]
@@ -97,15 +99,15 @@
 	return locks
 }
 
-// outside returns the uses of guarded fields of a receiver outside their lock.
-func outside(files *token.FileSet, f *ast.File, locks map[string]string) []string {
+// unguardedUses returns the uses of a receiver's guarded fields without their lock.
+func unguardedUses(files *token.FileSet, f *ast.File, locks map[string]string) []string {
 	var found []string
 	for _, d := range f.Decls {
 		m, ok := d.(*ast.FuncDecl)
-		if !ok || m.Recv == nil || m.Body == nil || len(m.Recv.List[0].Names) == 0 || unshared.MatchString(m.Doc.Text()) {
+		if !ok || m.Recv == nil || m.Body == nil || len(m.Recv.List[0].Names) == 0 || notShared.MatchString(m.Doc.Text()) {
 			continue
 		}
-		fn := function{body: m.Body, receiver: m.Recv.List[0].Names[0].Name, of: typeName(m.Recv.List[0].Type), held: make(map[string]bool)}
+		fn := method{body: m.Body, receiver: m.Recv.List[0].Names[0].Name, receiverType: typeName(m.Recv.List[0].Type), held: make(map[string]bool)}
 		for _, h := range held.FindAllStringSubmatch(m.Doc.Text(), -1) {
 			fn.held[h[2]] = true
 		}
@@ -118,9 +120,9 @@
 			if !ok || x.Name != fn.receiver {
 				return true
 			}
-			lock, is := locks[fn.of+"."+s.Sel.Name]
-			if is && !fn.held[lock] && !fn.under(lock, s.Pos()) {
-				found = append(found, fmt.Sprintf("%s: %s.%s is used without %s", files.Position(s.Pos()), fn.of, s.Sel.Name, lock))
+			lock, is := locks[fn.receiverType+"."+s.Sel.Name]
+			if is && !fn.held[lock] && !fn.lockedAt(lock, s.Pos()) {
+				found = append(found, fmt.Sprintf("%s: %s.%s is used without %s", files.Position(s.Pos()), fn.receiverType, s.Sel.Name, lock))
 			}
 			return true
 		})
@@ -141,8 +143,9 @@
 	}
 }
 
-// under reports whether the last word on a lock before a place, on a way to it, took it.
-func (f *function) under(lock string, at token.Pos) bool {
+// lockedAt reports whether the last call on the lock that precedes the position at on a path
+// to it locks it.
+func (f *method) lockedAt(lock string, at token.Pos) bool {
 	taken := false
 	var walk func(block []ast.Stmt)
 	walk = func(block []ast.Stmt) {
@@ -152,7 +155,7 @@
 			}
 			inside := s.Pos() <= at && at < s.End()
 			if e, ok := s.(*ast.ExprStmt); ok {
-				switch f.call(e.X, lock) {
+				switch f.lockMethod(e.X, lock) {
 				case "Lock", "RLock":
 					taken = true
 				case "Unlock", "RUnlock":
@@ -160,7 +163,7 @@
 				}
 				continue
 			}
-			if !inside && leaves(s) {
+			if !inside && exits(s) {
 				continue
 			}
 			for _, b := range blocksOf(s) {
@@ -170,11 +173,11 @@
 			}
 		}
 	}
-	// A function literal that holds the place runs at another time: what stands before
-	// it says nothing.
+	// A function literal that contains the position runs at another time, so the code before
+	// it does not show whether the lock is held.
 	body := f.body.List
 	ast.Inspect(f.body, func(n ast.Node) bool {
-		if l, ok := n.(*ast.FuncLit); ok && l.Pos() <= at && at < l.End() && takes(f, l.Body, lock) {
+		if l, ok := n.(*ast.FuncLit); ok && l.Pos() <= at && at < l.End() && locksItself(f, l.Body, lock) {
 			body = l.Body.List
 		}
 		return true
@@ -183,20 +186,21 @@
 	return taken
 }
 
-// takes reports whether a function literal takes the lock itself.
-func takes(f *function, b *ast.BlockStmt, lock string) bool {
+// locksItself reports whether the body of a function literal acquires the lock.
+func locksItself(f *method, b *ast.BlockStmt, lock string) bool {
 	found := false
 	ast.Inspect(b, func(n ast.Node) bool {
 		if e, ok := n.(ast.Expr); ok {
-			found = found || strings.HasSuffix(f.call(e, lock), "Lock")
+			found = found || strings.HasSuffix(f.lockMethod(e, lock), "Lock")
 		}
 		return true
 	})
 	return found
 }
 
-// call returns which method of a lock of the receiver is called, or nothing.
-func (f *function) call(e ast.Expr, lock string) string {
+// lockMethod returns the name of the method if e calls a method of a field named lock, and
+// an empty string otherwise.
+func (f *method) lockMethod(e ast.Expr, lock string) string {
 	c, ok := e.(*ast.CallExpr)
 	if !ok {
 		return ""
@@ -212,7 +216,7 @@
 	return s.Sel.Name
 }
 
-// blocksOf returns the blocks of a statement.
+// blocksOf returns the outermost blocks of a statement, without those of function literals.
 func blocksOf(s ast.Stmt) []*ast.BlockStmt {
 	var blocks []*ast.BlockStmt
 	ast.Inspect(s, func(n ast.Node) bool {
@@ -234,8 +238,8 @@
 	return blocks
 }
 
-// leaves reports whether a statement's only block leaves the function or the loop.
-func leaves(s ast.Stmt) bool {
+// exits reports whether every block of a statement ends by leaving the function or the loop.
+func exits(s ast.Stmt) bool {
 	return !slices.ContainsFunc(blocksOf(s), func(b *ast.BlockStmt) bool {
 		if len(b.List) == 0 {
 			return true
