--- a/internal/standin/demonstrator/access.go
+++ b/internal/standin/demonstrator/access.go
@@ -20,8 +20,9 @@
 // Services returns the plain services.
 func (d *Deployment) Services() []*responder.Service { return d.services }
 
-// CallerAddresses returns the entries' listeners for callers.
-// The list of processes does not change once it is handed out, without mu therefore.
+// CallerAddresses returns the addresses of the entries' listeners for callers.
+// The list of processes is fixed once NewDeployment has returned, so it is read
+// without mu.
 func (d *Deployment) CallerAddresses() []string {
 	var addresses []string
 	for _, n := range d.nodes {
@@ -32,9 +33,10 @@
 	return addresses
 }
 
-// OperatorAddresses returns the operators' listeners of all processes, those of
-// the entries first.
-// The list of processes does not change once it is handed out, without mu therefore.
+// OperatorAddresses returns the addresses of all processes' listeners for
+// operators, those of the entries first.
+// The list of processes is fixed once NewDeployment has returned, so it is read
+// without mu.
 func (d *Deployment) OperatorAddresses() []string {
 	addresses := make([]string, 0, len(d.nodes))
 	for _, n := range d.nodes {
@@ -44,7 +46,8 @@
 }
 
 // Names returns the names of all processes, the entries first.
-// The list of processes does not change once it is handed out, without mu therefore.
+// The list of processes is fixed once NewDeployment has returned, so it is read
+// without mu.
 func (d *Deployment) Names() []string {
 	names := make([]string, 0, len(d.nodes))
 	for _, n := range d.nodes {
@@ -53,7 +56,7 @@
 	return names
 }
 
-// Process returns a process by name, or nil while it is down.
+// Process returns the running process of a name, or nil while it is down.
 func (d *Deployment) Process(name string) *starter.Process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,7 +66,8 @@
 	return nil
 }
 
-// Leader returns the name of the process that leads, or "" while none does.
+// Leader returns the name of the process that is the control leader, or "" if
+// there is none.
 func (d *Deployment) Leader() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,7 +79,7 @@
 	return ""
 }
 
-// node returns a node by name; mu is held.
+// node returns the node of a name, or nil if there is none.
 // The caller holds mu.
 func (d *Deployment) node(name string) *node {
 	for _, n := range d.nodes {
@@ -86,8 +90,9 @@
 	return nil
 }
 
-// take removes a process from the deployment and returns it.
-func (d *Deployment) take(name string) (*starter.Process, error) {
+// removeProcess marks a process as down and returns it. It returns a NotFound
+// error if the process is not running.
+func (d *Deployment) removeProcess(name string) (*starter.Process, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := d.node(name)
@@ -100,8 +105,8 @@
 	return p, nil
 }
 
-// Timeline returns the events of all processes, those that ended since the last
-// call too, in one time line.
+// Timeline returns the events of all running processes, and of those that ended
+// since the last call, merged into one time line.
 func (d *Deployment) Timeline() inspector.Timeline {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,25 +123,25 @@
 	return inspector.Timeline{Events: recorder.Merge(pages)}
 }
 
-// Stop ends a process as planned.
+// Stop performs a planned stop of a process.
 func (d *Deployment) Stop(ctx context.Context, name string) error {
-	p, err := d.take(name)
+	p, err := d.removeProcess(name)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	return stderrors.Join(p.Stop(ctx), p.Close())
 }
 
-// Kill ends a process at once, as a crash would.
+// Kill ends a process without a planned stop, as a crash does.
 func (d *Deployment) Kill(name string) error {
-	p, err := d.take(name)
+	p, err := d.removeProcess(name)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	return errors.Trace(p.Close())
 }
 
-// Restart starts a process that is down, with its former settings and disk.
+// Restart starts a process that is down, with its previous settings and data.
 func (d *Deployment) Restart(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,8 +152,10 @@
 	return errors.Trace(d.startNode(n))
 }
 
-// EngineAddresses returns the model engines' own addresses.
-// The list of processes does not change once it is handed out, without mu therefore.
+// EngineAddresses returns the addresses at which companions reach the model
+// engines.
+// The list of processes is fixed once NewDeployment has returned, so it is read
+// without mu.
 func (d *Deployment) EngineAddresses() []string {
 	var addresses []string
 	for _, n := range d.nodes {
@@ -159,7 +166,8 @@
 	return addresses
 }
 
-// revisions returns the lowest and the highest revision that entries hold.
+// revisions returns the lowest and the highest revision that running entries have
+// applied.
 func (d *Deployment) revisions() (lowest, highest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/demonstrator/deployment.go
+++ b/internal/standin/demonstrator/deployment.go
@@ -18,21 +18,20 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/starter"
 )
 
-// region is the one region of a deployment.
+// region is the only region of a deployment.
 const region = "loopback"
 
-// Names of what is no process, for the relays.
+// Names of relay endpoints that are not nodes of the deployment.
 const (
 	enginesName   = "engines"
 	storeName     = "store"
 	backendSuffix = " backend"
 )
 
-// backendName returns the name of the backend server beside a companion.
+// backendName returns the relay endpoint name of a companion's backend server.
 func backendName(companion string) string { return companion + backendSuffix }
 
-// Deployment is a running small deployment. It may be used by several
-// goroutines.
+// Deployment is a running small deployment. It is safe for concurrent use.
 type Deployment struct {
 	settings Settings
 	ports    *ports
@@ -40,10 +39,11 @@
 	engines  []*generator.Engine
 	services []*responder.Service
 	hosts    []configurer.ControlHost
-	// authority signs the processes' certificates; nil means that they have none.
+	// authority signs the processes' certificates; nil if the deployment is not
+	// sealed.
 	authority *authority
-	// network carries the connections between the processes; nil means that
-	// nothing stands between them.
+	// network relays the connections between the processes; nil if they connect
+	// directly.
 	network *network
 
 	mu sync.Mutex
@@ -51,18 +51,19 @@
 	nodes []*node
 }
 
-// node is one process of the deployment and the settings to start it again.
+// node is one process of the deployment with the settings for restarting it.
 type node struct {
 	configuration configurer.Settings
 	// process is nil while the node is down.
 	process *starter.Process
-	// lives counts the starts.
-	lives uint64
-	// ended holds the processes that ended since the last Timeline.
+	// incarnations counts the starts of the process.
+	incarnations uint64
+	// ended holds the processes that ended since the last call of Timeline.
 	ended []*starter.Process
 }
 
-// NewDeployment starts a deployment. Ready tells when it serves.
+// NewDeployment starts a deployment and returns without waiting until it serves;
+// use Ready for that. On an error it closes all that was started.
 func NewDeployment(s Settings) (*Deployment, error) {
 	s = s.withDefaults()
 	d := &Deployment{settings: s, ports: newPorts(s.FirstPort)}
@@ -75,7 +76,8 @@
 	return d, nil
 }
 
-// start has no lock of its own. Nobody else has it yet: it is not shared.
+// start starts the stand-ins and all processes. It runs before NewDeployment
+// returns d, so d is not shared.
 func (d *Deployment) start() error {
 	if err := d.startStandins(); err != nil {
 		return errors.Annotate(err, "starting the stand-ins")
@@ -98,7 +100,7 @@
 		return errors.Trace(err)
 	}
 	if d.network != nil {
-		if address, err = d.network.front(enginesName, storeName, address); err != nil {
+		if address, err = d.network.openRelay(enginesName, storeName, address); err != nil {
 			return errors.Trace(err)
 		}
 	}
@@ -114,9 +116,10 @@
 	return nil
 }
 
-// configure makes the settings of all processes and opens the stand-ins.
+// configure builds the settings of all processes and opens the listeners of the
+// engines and services.
 func (d *Deployment) configure() error {
-	if err := d.startAuthority(); err != nil {
+	if err := d.createAuthority(); err != nil {
 		return errors.Trace(err)
 	}
 	for i := range d.settings.Entries {
@@ -129,11 +132,11 @@
 		})
 	}
 	for i := range d.settings.Entries {
-		c := d.common(fmt.Sprintf("entry-%d", i+1), i, configurer.RoleEntry, configurer.RoleControl)
+		c := d.commonSettings(fmt.Sprintf("entry-%d", i+1), i, configurer.RoleEntry, configurer.RoleControl)
 		c.Entry, c.Control = d.settings.Entry, d.settings.Control
 		c.DataFolder = filepath.Join(d.settings.Folder, c.Node)
 		c.Control.Listen, c.Control.Bootstrap = d.hosts[i].Address, true
-		if err := d.add(&c, &c.Entry.Listen); err != nil {
+		if err := d.addNode(&c, &c.Entry.Listen); err != nil {
 			return errors.Trace(err)
 		}
 	}
@@ -150,7 +153,7 @@
 	return nil
 }
 
-func (d *Deployment) common(name string, i int, roles ...configurer.Role) configurer.Settings {
+func (d *Deployment) commonSettings(name string, i int, roles ...configurer.Role) configurer.Settings {
 	return configurer.Settings{
 		Node:          name,
 		Region:        region,
@@ -168,11 +171,11 @@
 		return errors.Trace(err)
 	}
 	if d.network != nil {
-		if backend, err = d.network.front(name, backendName(name), backend); err != nil {
+		if backend, err = d.network.openRelay(name, backendName(name), backend); err != nil {
 			return errors.Trace(err)
 		}
 	}
-	c := d.common(name, i, configurer.RoleCompanion)
+	c := d.commonSettings(name, i, configurer.RoleCompanion)
 	c.Companion = d.settings.Companion
 	c.Companion.Kind = kind
 	switch kind {
@@ -182,12 +185,13 @@
 		c.Companion.EngineAddress = backend
 		c.Companion.ChecksFencing = d.settings.Engine.ChecksFencing
 	}
-	return d.add(&c, &c.Companion.Listen)
+	return d.addNode(&c, &c.Companion.Listen)
 }
 
-// add fills in the addresses of one process; listen points into c.
-// Nobody else has it yet: it is not shared.
-func (d *Deployment) add(c *configurer.Settings, listen *string) error {
+// addNode fills in the addresses and the certificate of one process and appends
+// it to the nodes; listen points into c. It runs before NewDeployment returns d,
+// so d is not shared.
+func (d *Deployment) addNode(c *configurer.Settings, listen *string) error {
 	var err error
 	if *listen, err = d.ports.reserve(); err != nil {
 		return errors.Trace(err)
@@ -196,8 +200,8 @@
 		return errors.Trace(err)
 	}
 	if d.network != nil {
-		d.network.own(*listen, c.Node)
-		d.network.own(c.Control.Listen, c.Node)
+		d.network.setOwner(*listen, c.Node)
+		d.network.setOwner(c.Control.Listen, c.Node)
 	}
 	if err = d.certify(c); err != nil {
 		return errors.Trace(err)
@@ -208,14 +212,15 @@
 
 func failureDomain(i int) string { return fmt.Sprintf("domain-%d", i+1) }
 
+// startNode starts the process of n, which must be down.
 func (d *Deployment) startNode(n *node) error {
-	n.lives++
+	n.incarnations++
 	s := starter.Settings{
 		Configuration: n.configuration,
 		Eviction:      d.settings.Eviction,
 		Log:           d.settings.Log.With().Str("Node", n.configuration.Node).Logger(),
 		Listen:        d.ports.listen,
-		Seed:          d.settings.Seed*1000003 + n.lives*1009 + uint64(len(n.configuration.Node))*31 + hash(n.configuration.Node),
+		Seed:          d.settings.Seed*1000003 + n.incarnations*1009 + uint64(len(n.configuration.Node))*31 + nameHash(n.configuration.Node),
 	}
 	if d.network != nil {
 		s.Dial = d.network.dialFrom(n.configuration.Node)
@@ -228,19 +233,21 @@
 	return nil
 }
 
-// hash sets the seeds of processes apart by their names.
-func hash(name string) uint64 {
+// nameHash returns a hash of a process name, so that processes get different
+// seeds.
+func nameHash(name string) uint64 {
 	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(name)) // A hash's Write returns no error.
+	_, _ = sum.Write([]byte(name)) // hash.Hash.Write never returns an error.
 	return sum.Sum64()
 }
 
-// Ready waits until every process takes work.
+// Ready waits until every running process is ready for requests. It returns an
+// error that names a process which is not ready when ctx ends.
 func (d *Deployment) Ready(ctx context.Context) error {
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		waiting := d.unready()
+		waiting := d.unreadyProcess()
 		if waiting == "" {
 			return nil
 		}
@@ -252,8 +259,9 @@
 	}
 }
 
-// unready names a process that runs and is not ready.
-func (d *Deployment) unready() string {
+// unreadyProcess returns the name of a running process that is not ready, or ""
+// if there is none.
+func (d *Deployment) unreadyProcess() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, n := range d.nodes {
@@ -264,7 +272,8 @@
 	return ""
 }
 
-// Close ends everything at once and waits.
+// Close ends all processes, stand-ins and relays without a planned stop, and
+// waits for them. It returns their joined errors.
 func (d *Deployment) Close() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/demonstrator/doc.go
+++ b/internal/standin/demonstrator/doc.go
@@ -1,5 +1,5 @@
-// Package demonstrator runs a whole small deployment on loopback within one
-// process: entries with control, companions, and the stand-ins that they serve.
-// The processes run the same code as separate ones and talk over TCP; only
-// their listeners share an operating system process.
+// Package demonstrator runs a complete small deployment on loopback within one
+// operating system process: entries with the control role, companions, and
+// stand-ins for the backend servers and the weight store. The nodes run the same
+// code as in separate processes and communicate over TCP.
 package demonstrator
--- a/internal/standin/demonstrator/faultactions.go
+++ b/internal/standin/demonstrator/faultactions.go
@@ -15,37 +15,39 @@
 )
 
 const (
-	// downTime is the time for which a killed process stays down, cutTime that of
-	// a cut: longer than a leader's lease, an election and the silence limit of
-	// connections together.
+	// downTime is the time for which a killed process stays down. cutTime is the
+	// duration of a cut: longer than a leader's lease, an election and the time
+	// after which a silent connection is closed together.
 	downTime = 1500 * time.Millisecond
 	cutTime  = 5 * time.Second
-	// slowDelay is the delay of a slow weight store, unwellTime the time for which
-	// loads fail or are slow.
-	slowDelay  = time.Second
-	unwellTime = 3 * time.Second
+	// slowStoreDelay is the delay of data from a slow weight store, degradedTime the
+	// time for which loads fail or are slow.
+	slowStoreDelay = time.Second
+	degradedTime   = 3 * time.Second
 	// leavingLimit is the time from the start of a planned stop after which the
-	// backend server must get nothing new.
+	// backend server must not get a new request.
 	leavingLimit = 2 * time.Second
-	// stopLimit bounds a planned stop.
-	stopLimit = 40 * time.Second
-	// loadFailure is the part of loads that fail in FailingLoads.
-	loadFailure = 0.5
+	// stopTimeout bounds a planned stop.
+	stopTimeout = 40 * time.Second
+	// loadFailureShare is the probability that a load fails in FailingLoads.
+	loadFailureShare = 0.5
 )
 
-// outcome is what a fault did.
-type outcome struct {
+// faultOutcome is the result of injecting a fault.
+type faultOutcome struct {
+	// detail names what the fault affected, for the report.
 	detail string
-	// promise is what the long streams in progress prove.
+	// promise is the promise that the long streams in progress check.
 	promise FaultPromise
-	// victims names the processes and backend servers that were hit: streams
-	// through them prove nothing.
-	victims []string
+	// affected names the processes and backend servers that the fault hit. Streams
+	// through them are not checked.
+	affected []string
 }
 
-// spared returns whether no part of the stream's way was hit.
-func (o *outcome) spared(s *stream) bool {
-	for _, v := range o.victims {
+// unaffected reports whether the fault hit neither the entry nor the backend server
+// of the stream.
+func (o *faultOutcome) unaffected(s *stream) bool {
+	for _, v := range o.affected {
 		if v == s.entry || v == s.backend {
 			return false
 		}
@@ -53,13 +55,13 @@
 	return true
 }
 
-// carryOut produces one fault and mends it.
-func (f *faultRun) carryOut(ctx context.Context, fault Fault, s *streams) (outcome, error) {
+// injectFault injects one fault and ends it.
+func (f *faultRun) injectFault(ctx context.Context, fault Fault, s *streams) (faultOutcome, error) {
 	switch fault {
 	case EngineRestart:
 		name := s.busiest()
 		f.engine(name).Restart()
-		return outcome{name, OthersGoOn, []string{name}}, nil
+		return faultOutcome{name, OthersGoOn, []string{name}}, nil
 	case CompanionKill:
 		return f.kill(ctx, s.busiest())
 	case CompanionStop:
@@ -71,13 +73,13 @@
 	case LeaderStop:
 		return f.stopLeader(ctx)
 	case EntryKill:
-		return f.kill(ctx, f.follower())
+		return f.kill(ctx, f.nextFollower())
 	case EntryStop:
-		return f.stop(ctx, 0, f.follower())
+		return f.stop(ctx, 0, f.nextFollower())
 	case SilentEntry, SilentEngine, SilentControl:
-		return f.silence(fault), nil
+		return f.blackholeConnections(fault), nil
 	case FailingLoads, SlowStore:
-		return f.hamperLoads(ctx, fault), nil
+		return f.degradeLoads(ctx, fault), nil
 	case LeaderCut:
 		return f.cutLeader(ctx, cut{outbound: true, inbound: true})
 	case LeaderCutOutbound:
@@ -88,11 +90,11 @@
 		o, _, err := f.loseDisk(ctx)
 		return o, err
 	case SecondLoss:
-		return f.loseSecond(ctx)
+		return f.loseSecondHost(ctx)
 	case LeaderAndCompanion:
 		leader, err := f.leader(ctx)
 		if err != nil {
-			return outcome{}, err
+			return faultOutcome{}, err
 		}
 		return f.kill(ctx, leader, s.busiest())
 	default:
@@ -102,84 +104,85 @@
 
 const firstService = "service-1"
 
-// engine returns the engine beside a companion.
+// engine returns the engine of a companion.
 func (f *faultRun) engine(companion string) *generator.Engine {
-	return f.deployment.Engines()[numberOf(companion)-1]
+	return f.deployment.Engines()[companionNumber(companion)-1]
 }
 
-// service returns the plain service beside a companion.
+// service returns the plain service of a companion.
 func (f *faultRun) service(companion string) *responder.Service {
-	return f.deployment.Services()[numberOf(companion)-1]
+	return f.deployment.Services()[companionNumber(companion)-1]
 }
 
-// numberOf returns the number at the end of a companion's name.
-func numberOf(companion string) int {
+// companionNumber returns the number at the end of a companion's name, and panics
+// if there is none.
+func companionNumber(companion string) int {
 	_, digits, _ := strings.Cut(companion, "-")
 	i, err := strconv.Atoi(digits)
 	if err != nil {
-		panic("demonstrator: name of a companion without its number")
+		panic("demonstrator: companion name without a number")
 	}
 	return i
 }
 
-// leader waits for a leader and returns its name.
+// leader waits for a control leader and returns the name of its process.
 func (f *faultRun) leader(ctx context.Context) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, recoveryLimit)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for {
 		if name := f.deployment.Leader(); name != "" {
 			return name, nil
 		}
-		if !wait(ctx, watchPause) {
+		if !sleep(ctx, pollInterval) {
 			return "", errors.New("no control host leads")
 		}
 	}
 }
 
-// follower returns an entry that does not lead, another one each time.
-func (f *faultRun) follower() string {
+// nextFollower returns the next entry, in turn, that is not the control leader.
+func (f *faultRun) nextFollower() string {
 	leader := f.deployment.Leader()
 	names := f.deployment.Names()[:len(f.deployment.CallerAddresses())]
 	for {
-		f.turn++
-		if name := names[f.turn%len(names)]; name != leader {
+		f.followerTurn++
+		if name := names[f.followerTurn%len(names)]; name != leader {
 			return name
 		}
 	}
 }
 
-// kill ends processes at once and starts them again after a while.
-func (f *faultRun) kill(ctx context.Context, names ...string) (outcome, error) {
-	o := outcome{strings.Join(names, " and ") + " killed", OthersGoOn, names}
+// kill ends processes without a planned stop and restarts them after downTime.
+func (f *faultRun) kill(ctx context.Context, names ...string) (faultOutcome, error) {
+	o := faultOutcome{strings.Join(names, " and ") + " killed", OthersGoOn, names}
 	for _, name := range names {
 		if err := f.deployment.Kill(name); err != nil {
 			return o, errors.Trace(err)
 		}
 	}
-	wait(ctx, downTime)
+	sleep(ctx, downTime)
 	return o, f.restart(ctx, names...)
 }
 
-func (f *faultRun) killLeader(ctx context.Context) (outcome, error) {
+func (f *faultRun) killLeader(ctx context.Context) (faultOutcome, error) {
 	leader, err := f.leader(ctx)
 	if err != nil {
-		return outcome{}, err
+		return faultOutcome{}, err
 	}
 	return f.kill(ctx, leader)
 }
 
-func (f *faultRun) stopLeader(ctx context.Context) (outcome, error) {
+func (f *faultRun) stopLeader(ctx context.Context) (faultOutcome, error) {
 	leader, err := f.leader(ctx)
 	if err != nil {
-		return outcome{}, err
+		return faultOutcome{}, err
 	}
 	return f.stop(ctx, downTime, leader)
 }
 
-// restart starts processes that are down. Another socket may have got the
-// address for a moment.
+// restart starts processes that are down. It retries errors until recoveryTimeout,
+// since another socket may temporarily use the address.
 func (f *faultRun) restart(ctx context.Context, names ...string) error {
-	ctx, cancel := context.WithTimeout(ctx, recoveryLimit)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for _, name := range names {
 		for {
@@ -187,7 +190,7 @@
 			if err == nil {
 				break
 			}
-			if !wait(ctx, groupPause) {
+			if !sleep(ctx, groupRetryDelay) {
 				return errors.Trace(err)
 			}
 		}
@@ -195,30 +198,32 @@
 	return nil
 }
 
-// stop ends processes as planned, and starts them again after a while.
-func (f *faultRun) stop(ctx context.Context, away time.Duration, names ...string) (outcome, error) {
-	o := outcome{strings.Join(names, " and ") + " stopped as planned", StopCutsNothing, nil}
+// stop performs planned stops of processes at the same time, and restarts the
+// processes after the time away.
+func (f *faultRun) stop(ctx context.Context, away time.Duration, names ...string) (faultOutcome, error) {
+	o := faultOutcome{strings.Join(names, " and ") + " stopped as planned", StopCutsNothing, nil}
 	began := time.Now()
 	var stopping sync.WaitGroup
 	for _, name := range names {
 		stopping.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, stopLimit)
+			limited, cancel := context.WithTimeout(ctx, stopTimeout)
 			defer cancel()
 			err := f.deployment.Stop(limited, name)
-			f.ledger.check(StopCutsNothing, err == nil, "%s: %v", name, err)
+			f.findings.check(StopCutsNothing, err == nil, "%s: %v", name, err)
 		})
 	}
 	stopping.Wait()
 	o.detail += fmt.Sprintf(" in %.1f s", time.Since(began).Seconds())
-	wait(ctx, away)
+	sleep(ctx, away)
 	for _, name := range names {
-		f.checkLeft(name, began)
+		f.checkLateRequests(name, began)
 	}
 	return o, f.restart(ctx, names...)
 }
 
-// checkLeft looks for what a backend server got long after its leaving began.
-func (f *faultRun) checkLeft(name string, began time.Time) {
+// checkLateRequests checks that a backend server got no request later than
+// leavingLimit after its planned stop began.
+func (f *faultRun) checkLateRequests(name string, began time.Time) {
 	late := 0
 	switch {
 	case strings.HasPrefix(name, "engine-"):
@@ -236,12 +241,12 @@
 	default:
 		return
 	}
-	f.ledger.check(LeavingGetsNothing, late == 0, "%s got %d requests later than %v after it began to leave", name, late, leavingLimit)
+	f.findings.check(LeavingGetsNothing, late == 0, "%s got %d requests later than %v after it began to leave", name, late, leavingLimit)
 }
 
-// silence has connections that are open now deliver nothing more.
-func (f *faultRun) silence(fault Fault) outcome {
-	count := f.deployment.network.forget(func(from, to string) bool {
+// blackholeConnections blackholes the open connections that the fault concerns.
+func (f *faultRun) blackholeConnections(fault Fault) faultOutcome {
+	count := f.deployment.network.blackhole(func(from, to string) bool {
 		switch fault {
 		case SilentEntry:
 			return isEntry(from) && !isEntry(to) && !strings.HasSuffix(to, backendSuffix) && to != storeName
@@ -251,66 +256,68 @@
 			return isEntry(to)
 		}
 	})
-	return outcome{fmt.Sprintf("%d connections", count), SilenceKeepsStreams, nil}
+	return faultOutcome{fmt.Sprintf("%d connections", count), SilenceKeepsStreams, nil}
 }
 
 func isEntry(name string) bool { return strings.HasPrefix(name, "entry-") }
 
-// hamperLoads has loads fail or take long for a while.
-func (f *faultRun) hamperLoads(ctx context.Context, fault Fault) outcome {
-	o := outcome{"all engines", OthersGoOn, nil}
+// degradeLoads makes loads fail or take long for degradedTime.
+func (f *faultRun) degradeLoads(ctx context.Context, fault Fault) faultOutcome {
+	o := faultOutcome{"all engines", OthersGoOn, nil}
 	if fault == SlowStore {
-		f.deployment.network.setDelay(enginesName, slowDelay)
+		f.deployment.network.setDelay(enginesName, slowStoreDelay)
 		defer f.deployment.network.setDelay(enginesName, 0)
-		wait(ctx, unwellTime)
+		sleep(ctx, degradedTime)
 		return o
 	}
-	f.inject(generator.Faults{LoadFailure: loadFailure})
-	defer f.inject(generator.Faults{})
-	wait(ctx, unwellTime)
+	f.setEngineFaults(generator.Faults{LoadFailure: loadFailureShare})
+	defer f.setEngineFaults(generator.Faults{})
+	sleep(ctx, degradedTime)
 	return o
 }
 
-func (f *faultRun) inject(faults generator.Faults) {
+// setEngineFaults sets the faults that all engines inject.
+func (f *faultRun) setEngineFaults(faults generator.Faults) {
 	for _, e := range f.deployment.Engines() {
 		e.Inject(faults)
 	}
 }
 
-// cutLeader cuts the leader's host off for a while.
-func (f *faultRun) cutLeader(ctx context.Context, c cut) (outcome, error) {
+// cutLeader holds back traffic of the leader's host for cutTime.
+func (f *faultRun) cutLeader(ctx context.Context, c cut) (faultOutcome, error) {
 	leader, err := f.leader(ctx)
 	if err != nil {
-		return outcome{}, err
+		return faultOutcome{}, err
 	}
 	f.deployment.network.setCut(leader, c)
-	wait(ctx, cutTime)
+	sleep(ctx, cutTime)
 	f.deployment.network.setCut(leader, cut{})
-	return outcome{leader + " cut off", OthersGoOn, []string{leader}}, nil
+	return faultOutcome{leader + " cut off", OthersGoOn, []string{leader}}, nil
 }
 
-// loseDisk replaces a control host under a new identity.
-func (f *faultRun) loseDisk(ctx context.Context) (outcome, string, error) {
-	name := f.follower()
-	o := outcome{name + " replaced", OthersGoOn, []string{name}}
+// loseDisk kills a control host that is not the leader and replaces it under a new
+// identity. It also returns the name of the host.
+func (f *faultRun) loseDisk(ctx context.Context) (faultOutcome, string, error) {
+	name := f.nextFollower()
+	o := faultOutcome{name + " replaced", OthersGoOn, []string{name}}
 	if err := f.deployment.Kill(name); err != nil {
 		return o, name, errors.Trace(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, recoveryLimit)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	return o, name, errors.Trace(f.deployment.ReplaceControl(ctx, name))
 }
 
-// loseSecond kills another control host right after a repair.
-func (f *faultRun) loseSecond(ctx context.Context) (outcome, error) {
+// loseSecondHost kills another control host right after a replacement.
+func (f *faultRun) loseSecondHost(ctx context.Context) (faultOutcome, error) {
 	o, first, err := f.loseDisk(ctx)
 	if err != nil {
 		return o, err
 	}
-	second := f.follower()
+	second := f.nextFollower()
 	for second == first {
-		second = f.follower()
+		second = f.nextFollower()
 	}
 	killed, err := f.kill(ctx, second)
-	return outcome{o.detail + ", then " + killed.detail, OthersGoOn, append(o.victims, second)}, err
+	return faultOutcome{o.detail + ", then " + killed.detail, OthersGoOn, append(o.affected, second)}, err
 }
--- a/internal/standin/demonstrator/faultcheck_test.go
+++ b/internal/standin/demonstrator/faultcheck_test.go
@@ -18,9 +18,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/operator"
 )
 
-// A check that can't fail proves nothing: each is shown to find what it is for.
+// These specs show that each check of a promise fails when the promise is broken.
 
-func broken(l *ledger, p FaultPromise) int64 {
+// broken returns how often a promise was broken.
+func broken(l *findings, p FaultPromise) int64 {
 	for _, f := range l.tried() {
 		if f.Promise == p {
 			return f.Broken
@@ -38,14 +39,14 @@
 			}
 		}))
 		defer server.Close()
-		s := &stream{prompt: "prompt", tokens: streamTokens, first: make(chan struct{})}
+		s := &stream{prompt: "prompt", tokens: streamTokens, firstToken: make(chan struct{})}
 		if err := s.read(ctx, server.Client(), server.Listener.Addr().String(), "w/a@v1", "key"); err != nil {
-			s.failure = err.Error()
+			s.connectionError = err.Error()
 		}
 		return s
 	}
 	event := func(text string) string {
-		data, err := json.Marshal(piece{Choices: []pieceChoice{{Text: text}}})
+		data, err := json.Marshal(eventPart{Choices: []eventChoice{{Text: text}}})
 		Expect(err).NotTo(HaveOccurred())
 		return dataPrefix + string(data)
 	}
@@ -55,24 +56,24 @@
 		for _, t := range change(append([]string(nil), tokens...)) {
 			lines = append(lines, event(" "+strings.TrimSpace(t)))
 		}
-		return append(lines, dataPrefix+doneMark)
+		return append(lines, dataPrefix+doneMarker)
 	}
 
-	It("is whole with every token and the mark", func(ctx SpecContext) {
-		Expect(answerWith(ctx, all(func(t []string) []string { return t })...).whole()).To(BeTrue())
+	It("is complete with every token and the end marker", func(ctx SpecContext) {
+		Expect(answerWith(ctx, all(func(t []string) []string { return t })...).complete()).To(BeTrue())
 	}, NodeTimeout(testLimit))
 
-	DescribeTable("is not whole",
+	DescribeTable("is not complete",
 		func(ctx SpecContext, lines func() []string) {
-			Expect(answerWith(ctx, lines()...).whole()).To(BeFalse())
+			Expect(answerWith(ctx, lines()...).complete()).To(BeFalse())
 		},
-		Entry("with a token lost", NodeTimeout(testLimit), func() []string {
+		Entry("with a missing token", NodeTimeout(testLimit), func() []string {
 			return all(func(t []string) []string { return append(t[:7], t[8:]...) })
 		}),
-		Entry("with two tokens exchanged", NodeTimeout(testLimit), func() []string {
+		Entry("with two tokens swapped", NodeTimeout(testLimit), func() []string {
 			return all(func(t []string) []string { t[3], t[4] = t[4], t[3]; return t })
 		}),
-		Entry("without the mark", NodeTimeout(testLimit), func() []string {
+		Entry("without the end marker", NodeTimeout(testLimit), func() []string {
 			lines := all(func(t []string) []string { return t })
 			return lines[:len(lines)-1]
 		}),
@@ -86,74 +87,75 @@
 	var f *faultRun
 	var w *watcher
 	BeforeEach(func() {
-		f = &faultRun{ledger: newLedger(), changes: &changes{}}
-		w = &watcher{name: "entry-1", run: f, steady: time.Now().Add(-time.Minute)}
+		f = &faultRun{findings: newFindings(), changes: &changes{}}
+		w = &watcher{name: "entry-1", run: f, readySince: time.Now().Add(-time.Minute)}
 	})
 
-	It("finds a change that is not in force in time, once", func() {
-		f.changes.accept(change{revision: 5, at: time.Now().Add(-inForceLimit - time.Second)}, true)
+	It("reports a change that is not in force in time, once", func() {
+		f.changes.addAccepted(change{revision: 5, at: time.Now().Add(-inForceLimit - time.Second)}, true)
 		w.checkInForce(4)
 		w.checkInForce(4)
-		Expect(broken(f.ledger, InForceSoon)).To(BeEquivalentTo(1))
+		Expect(broken(f.findings, InForceSoon)).To(BeEquivalentTo(1))
 		w.checkInForce(5)
-		f.changes.accept(change{revision: 6, at: time.Now()}, true)
+		f.changes.addAccepted(change{revision: 6, at: time.Now()}, true)
 		w.checkInForce(5)
-		Expect(broken(f.ledger, InForceSoon)).To(BeEquivalentTo(1))
+		Expect(broken(f.findings, InForceSoon)).To(BeEquivalentTo(1))
 	})
 
-	It("finds what is not in force at the end, on an unready entry too", func() {
-		f.changes.accept(change{revision: 5, at: time.Now()}, true)
-		f.changes.accept(change{revision: 6, at: time.Now()}, true)
+	It("reports changes that are not in force at the end, also on an unready entry", func() {
+		f.changes.addAccepted(change{revision: 5, at: time.Now()}, true)
+		f.changes.addAccepted(change{revision: 6, at: time.Now()}, true)
 		w.checkInForce(5)
 		w.checkEnd()
-		Expect(broken(f.ledger, InForceSoon)).To(BeEquivalentTo(1))
+		Expect(broken(f.findings, InForceSoon)).To(BeEquivalentTo(1))
 	})
 
-	It("finds an entry that goes back", func() {
+	It("reports an entry that returns to an earlier state", func() {
 		w.checkMonotone(7)
 		w.checkMonotone(7)
 		w.checkMonotone(6)
-		Expect(broken(f.ledger, NeverReverts)).To(BeEquivalentTo(1))
-		w.compareShown(listing{Data: []listed{{ID: "w/" + markerName + "@v1"}, {ID: "w/a"}}})
-		w.compareShown(listing{Data: []listed{{ID: "w/" + markerName + "@v1"}, {ID: "w/" + markerName + "@v2"}}})
-		w.compareShown(listing{Data: []listed{{ID: "w/" + markerName + "@v2"}}})
-		Expect(broken(f.ledger, NeverReverts)).To(BeEquivalentTo(2))
+		Expect(broken(f.findings, NeverReverts)).To(BeEquivalentTo(1))
+		w.compareListing(modelList{Data: []modelEntry{{ID: "w/" + markerName + "@v1"}, {ID: "w/a"}}})
+		w.compareListing(modelList{Data: []modelEntry{{ID: "w/" + markerName + "@v1"}, {ID: "w/" + markerName + "@v2"}}})
+		w.compareListing(modelList{Data: []modelEntry{{ID: "w/" + markerName + "@v2"}}})
+		Expect(broken(f.findings, NeverReverts)).To(BeEquivalentTo(2))
 	})
 
-	It("notes how long a change took to be in force", func() {
-		f.changes.accept(change{revision: 5, at: time.Now().Add(-time.Second)}, true)
+	It("records how long a change took to come into force", func() {
+		f.changes.addAccepted(change{revision: 5, at: time.Now().Add(-time.Second)}, true)
 		w.checkInForce(7)
-		Expect(broken(f.ledger, InForceSoon)).To(BeZero())
+		Expect(broken(f.findings, InForceSoon)).To(BeZero())
 		Expect(f.changes.figures.InForceMaxMillis).To(BeNumerically(">=", 1000))
 	})
 })
 
-var _ = Describe("a planned stop's check", func() {
-	// Symptom: a backend server that leaves gets a request long after it began to
-	// leave, while the run counts nothing broken.
-	It("finds what a leaving engine got late", func(ctx SpecContext) {
+var _ = Describe("the check of a planned stop", func() {
+	// Guards against a check that misses requests which a leaving backend server got
+	// long after it began to leave.
+	It("reports late requests to a leaving engine", func(ctx SpecContext) {
 		f, _ := deploy(ctx)
 		s := f.openStreams(ctx)
-		defer s.reading.Wait()
+		defer s.readers.Wait()
 		serving := s.busiest()
 		Expect(f.engine(serving).Record().Runs).NotTo(BeEmpty())
-		f.checkLeft(serving, time.Now().Add(-time.Hour))
-		Expect(broken(f.ledger, LeavingGetsNothing)).To(BeEquivalentTo(1))
+		f.checkLateRequests(serving, time.Now().Add(-time.Hour))
+		Expect(broken(f.findings, LeavingGetsNothing)).To(BeEquivalentTo(1))
 	}, NodeTimeout(testLimit))
 })
 
-// counter is an operator API whose count takes effect doubled times.
-type counter struct {
+// countServer is an operator API that adds increase to the count for each change.
+type countServer struct {
 	value    int64
 	revision uint64
-	doubled  int64
-	// lost is the number of next answers that are lost after the change.
-	lost int
+	increase int64
+	// lostAnswers is the number of further answers that are lost after their
+	// change took effect.
+	lostAnswers int
 	// keys holds the answers by idempotency key.
 	keys map[string]storer.Resource
 }
 
-func (c *counter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *countServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.Contains(r.URL.Path, ruleName) {
 		w.WriteHeader(http.StatusCreated)
 		_ = json.NewEncoder(w).Encode(storer.Resource{Kind: storer.KindVersion, Spec: storer.VersionSpec{}})
@@ -162,7 +164,7 @@
 	key := r.Header.Get(translator.HeaderIdempotencyKey)
 	answer, known := c.keys[key]
 	if r.Method == http.MethodPut && !known {
-		c.value += c.doubled
+		c.value += c.increase
 		c.revision++
 	}
 	if !known {
@@ -172,7 +174,7 @@
 	}
 	if r.Method == http.MethodPut {
 		c.keys[key] = answer
-		if c.lost--; c.lost >= 0 {
+		if c.lostAnswers--; c.lostAnswers >= 0 {
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -181,32 +183,33 @@
 }
 
 var _ = Describe("an operator", func() {
-	count := func(ctx context.Context, c *counter) *faultRun {
+	increment := func(ctx context.Context, c *countServer) *faultRun {
 		c.keys = make(map[string]storer.Resource)
 		server := httptest.NewServer(c)
 		DeferCleanup(server.Close)
-		f := &faultRun{ledger: newLedger(), changes: &changes{}}
-		o := &racer{name: "operator", addresses: []string{server.Listener.Addr().String()}, client: server.Client(), workspace: "w", changes: f.changes}
-		f.racers = []*racer{o}
+		f := &faultRun{findings: newFindings(), changes: &changes{}}
+		o := &operatorClient{name: "operator", addresses: []string{server.Listener.Addr().String()}, client: server.Client(), workspace: "w", changes: f.changes}
+		f.operatorClients = []*operatorClient{o}
 		before, _, err := o.read(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(o.count(ctx)).To(Succeed())
+		Expect(o.increment(ctx)).To(Succeed())
 		f.checkCount(ctx, before)
 		return f
 	}
 
-	// Symptom: a change sent again after a lost answer takes effect twice.
-	It("finds a change that took effect twice", func(ctx SpecContext) {
-		Expect(broken(count(ctx, &counter{doubled: 2}).ledger, ChangeTakenOnce)).To(BeEquivalentTo(1))
+	// Guards against a check that misses a change which took effect twice, as one
+	// sent again after a lost answer could.
+	It("reports a change that took effect twice", func(ctx SpecContext) {
+		Expect(broken(increment(ctx, &countServer{increase: 2}).findings, ChangeTakenOnce)).To(BeEquivalentTo(1))
 	}, NodeTimeout(testLimit))
 
-	It("finds an accepted change that was lost", func(ctx SpecContext) {
-		Expect(broken(count(ctx, &counter{doubled: 0}).ledger, ChangeTakenOnce)).To(BeEquivalentTo(1))
+	It("reports an accepted change that was lost", func(ctx SpecContext) {
+		Expect(broken(increment(ctx, &countServer{increase: 0}).findings, ChangeTakenOnce)).To(BeEquivalentTo(1))
 	}, NodeTimeout(testLimit))
 
-	It("sends a change again after a lost answer, under its key", func(ctx SpecContext) {
-		f := count(ctx, &counter{doubled: 1, lost: 2})
-		Expect(broken(f.ledger, ChangeTakenOnce)).To(BeZero())
+	It("sends a change again with the same key after a lost answer", func(ctx SpecContext) {
+		f := increment(ctx, &countServer{increase: 1, lostAnswers: 2})
+		Expect(broken(f.findings, ChangeTakenOnce)).To(BeZero())
 		Expect(f.changes.figures.Resent).To(Equal(2))
 		Expect(f.changes.figures.Accepted).To(Equal(2))
 	}, NodeTimeout(testLimit))
--- a/internal/standin/demonstrator/faultgroup.go
+++ b/internal/standin/demonstrator/faultgroup.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	groupPause   = 200 * time.Millisecond
-	groupAttempt = 5 * time.Second
+	groupRetryDelay  = 200 * time.Millisecond
+	groupCallTimeout = 5 * time.Second
 )
 
-// ReplaceControl gives a control host that is down an empty disk and a new
-// identity, takes the old identity out of the group and the new one in, starts
-// the host, and waits until it votes.
+// ReplaceControl replaces a control host that is down: it deletes the host's data,
+// removes the old identity from the group, starts the host with a new identity,
+// adds that to the group, and waits until it is a voter.
 func (d *Deployment) ReplaceControl(ctx context.Context, name string) error {
-	before, after, err := d.renew(name)
+	before, after, err := d.resetHost(name)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -39,11 +39,12 @@
 	if err := d.changeGroup(ctx, distributor.GroupChange{Action: distributor.GroupAdd, Host: host}); err != nil {
 		return errors.Annotate(err, "take the new identity in")
 	}
-	return errors.Annotate(d.awaitVoter(ctx, after.ID), "wait for the new identity's vote")
+	return errors.Annotate(d.waitVoter(ctx, after.ID), "wait for the new identity's vote")
 }
 
-// renew empties the disk of a host that is down and gives it a new identity.
-func (d *Deployment) renew(name string) (before, after configurer.ControlHost, err error) {
+// resetHost deletes the data of a host that is down and gives it a new identity.
+// It returns the host before and after.
+func (d *Deployment) resetHost(name string) (before, after configurer.ControlHost, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := d.node(name)
@@ -67,26 +68,28 @@
 	return before, hosts[i], errors.Trace(os.RemoveAll(n.configuration.DataFolder))
 }
 
-// changeGroup asks one control host after the other until the change is made.
+// changeGroup sends the change to one control host after the other until one
+// accepts it or ctx ends.
 func (d *Deployment) changeGroup(ctx context.Context, g distributor.GroupChange) error {
 	for {
 		err := errors.New("no control host is up")
 		for _, address := range d.controlAddresses() {
-			if _, err = askGroup(ctx, address, g); err == nil {
+			if _, err = callGroup(ctx, address, g); err == nil {
 				return nil
 			}
 		}
-		if !wait(ctx, groupPause) {
+		if !sleep(ctx, groupRetryDelay) {
 			return errors.Trace(err)
 		}
 	}
 }
 
-// awaitVoter waits until a majority's view of the group has the identity vote.
-func (d *Deployment) awaitVoter(ctx context.Context, id uint64) error {
+// waitVoter waits until a control host that has a leader reports the identity as a
+// voter of the group.
+func (d *Deployment) waitVoter(ctx context.Context, id uint64) error {
 	for {
 		for _, address := range d.controlAddresses() {
-			g, err := askGroup(ctx, address, distributor.GroupChange{Action: distributor.GroupShow})
+			g, err := callGroup(ctx, address, distributor.GroupChange{Action: distributor.GroupShow})
 			if err != nil || g.Leader == 0 {
 				continue
 			}
@@ -94,13 +97,13 @@
 				return nil
 			}
 		}
-		if !wait(ctx, groupPause) {
+		if !sleep(ctx, groupRetryDelay) {
 			return errors.Trace(ctx.Err())
 		}
 	}
 }
 
-// controlAddresses returns the control listeners of the hosts that are up.
+// controlAddresses returns the addresses of the running control hosts.
 func (d *Deployment) controlAddresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,8 +116,9 @@
 	return addresses
 }
 
-func askGroup(ctx context.Context, address string, g distributor.GroupChange) (answer distributor.Group, err error) {
-	ctx, cancel := context.WithTimeout(ctx, groupAttempt)
+// callGroup sends one group change or query to a control host.
+func callGroup(ctx context.Context, address string, g distributor.GroupChange) (answer distributor.Group, err error) {
+	ctx, cancel := context.WithTimeout(ctx, groupCallTimeout)
 	defer cancel()
 	network, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -122,7 +126,7 @@
 	}
 	c := messenger.NewConn(network, messenger.Settings{}) //nolint:contextcheck // Close ends it.
 	defer c.Close()
-	g.TimeoutMillis = groupAttempt.Milliseconds()
+	g.TimeoutMillis = groupCallTimeout.Milliseconds()
 	err = c.Call(ctx, messenger.MethodGroup, g, &answer)
 	return answer, errors.Trace(err)
 }
--- a/internal/standin/demonstrator/faultoperator.go
+++ b/internal/standin/demonstrator/faultoperator.go
@@ -19,20 +19,21 @@
 )
 
 const (
-	// operators is the number of operators that race each other.
-	operators = 2
-	// operatorPause is the time between two changes of one operator.
-	operatorPause = 50 * time.Millisecond
-	// changeLimit bounds one change with all its repetitions, attemptLimit one
+	// operatorCount is the number of operators that change the same resource
+	// concurrently.
+	operatorCount = 2
+	// operatorInterval is the time between two changes of one operator.
+	operatorInterval = 50 * time.Millisecond
+	// changeTimeout bounds one change with all its attempts, attemptTimeout one
 	// attempt.
-	changeLimit  = 30 * time.Second
-	attemptLimit = 3 * time.Second
-	resendPause  = 100 * time.Millisecond
-	// ruleName names the priority rule in whose deadline operators count, and
-	// markerName the adapter that gets a version at each count.
+	changeTimeout  = 30 * time.Second
+	attemptTimeout = 3 * time.Second
+	resendDelay    = 100 * time.Millisecond
+	// ruleName is the name of the priority rule whose deadline holds the operators'
+	// count, markerName that of the adapter that gets a version at each increment.
 	ruleName   = "fault-count"
 	markerName = "fault-marker"
-	// ruleKey is a key that no caller has: the rule concerns nobody.
+	// ruleKey is a key that no caller uses, so that the rule affects no call.
 	ruleKey        = "fault-nobody"
 	workspacesPath = operator.Prefix + "workspaces/"
 	headerIfMatch  = "If-Match"
@@ -41,20 +42,22 @@
 	anyRevision    = "*"
 )
 
-// racer is one operator, who counts up a priority rule in races with the others
-// and declares a version at each count. A change whose answer was lost is sent
-// again under its key, through another entry, until the answer is definite.
-type racer struct {
+// operatorClient is one operator, which increments the count in a priority rule
+// concurrently with the others and declares a version at each increment. It sends
+// a change whose answer was lost again with the same idempotency key through
+// another entry, until the answer is definite.
+type operatorClient struct {
 	name      string
 	addresses []string
 	client    *http.Client
 	workspace string
 	baseModel string
-	// next is the entry asked next.
-	next    int
-	changes *changes
-	// number makes idempotency keys.
-	number int
+	// lastAddress is the index of the address used last; the next attempt uses the
+	// following one.
+	lastAddress int
+	changes     *changes
+	// keyCount numbers the idempotency keys.
+	keyCount int
 }
 
 // reply is the answer of the operator API to one change.
@@ -64,19 +67,20 @@
 	problem  operator.Problem
 }
 
-// race changes until stop ends, finishing the change in progress.
-func (o *racer) race(ctx, stop context.Context) {
+// runChanges makes changes until stop ends, and completes the change in progress.
+func (o *operatorClient) runChanges(ctx, stop context.Context) {
 	for stop.Err() == nil {
-		if err := o.count(ctx); err != nil {
-			o.changes.fail(errors.Annotate(err, o.name))
+		if err := o.increment(ctx); err != nil {
+			o.changes.addError(errors.Annotate(err, o.name))
 		}
-		wait(stop, operatorPause)
+		sleep(stop, operatorInterval)
 	}
 }
 
-// count adds one to the rule, unless another operator comes first.
-func (o *racer) count(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, changeLimit)
+// increment adds one to the count in the rule, unless another operator's change
+// comes first, and declares a marker version.
+func (o *operatorClient) increment(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	value, tag, err := o.read(ctx)
 	if err != nil {
@@ -91,21 +95,22 @@
 	r, err := o.put(ctx, &rule, headerIfMatch, tag)
 	switch {
 	case err != nil:
-		o.changes.unresolvedOne()
+		o.changes.addUnresolved()
 		return errors.Trace(err)
 	case r.status == http.StatusPreconditionFailed:
-		o.changes.conflict()
+		o.changes.addConflict()
 		return nil
 	case r.status != http.StatusOK:
-		o.changes.unresolvedOne()
+		o.changes.addUnresolved()
 		return errors.Errorf("count to %d: status %d, %s", value, r.status, r.problem.Detail)
 	}
-	o.changes.accept(change{revision: r.document.Metadata.Revision, at: time.Now()}, true)
-	return o.mark(ctx, value)
+	o.changes.addAccepted(change{revision: r.document.Metadata.Revision, at: time.Now()}, true)
+	return o.declareMarker(ctx, value)
 }
 
-// mark declares a version, which every entry must list from then on.
-func (o *racer) mark(ctx context.Context, value int64) error {
+// declareMarker declares a version, which every entry must list once it has
+// applied the change.
+func (o *operatorClient) declareMarker(ctx context.Context, value int64) error {
 	name := fmt.Sprintf("v%06d", value)
 	version := storer.Resource{
 		Kind:     storer.KindVersion,
@@ -119,17 +124,17 @@
 	if r.status != http.StatusCreated {
 		return errors.Errorf("declare %s: status %d, %s", name, r.status, r.problem.Detail)
 	}
-	o.changes.accept(change{
+	o.changes.addAccepted(change{
 		revision: r.document.Metadata.Revision, at: time.Now(),
 		marker: translator.Name{Workspace: o.workspace, Adapter: markerName, Version: name}.String(),
 	}, false)
 	return nil
 }
 
-// read returns the count and the entity tag to change it by.
-func (o *racer) read(ctx context.Context) (value int64, tag string, err error) {
+// read returns the count and the entity tag for changing it.
+func (o *operatorClient) read(ctx context.Context) (value int64, tag string, err error) {
 	rule := storer.Resource{Kind: storer.KindPriorityRule, Metadata: storer.Metadata{Workspace: o.workspace, Name: ruleName}}
-	r, header, err := o.untilAnswered(ctx, func(ctx context.Context, address string) (*http.Request, error) {
+	r, header, err := o.sendUntilDefinite(ctx, func(ctx context.Context, address string) (*http.Request, error) {
 		return http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+pathOf(&rule), http.NoBody)
 	})
 	if err != nil {
@@ -142,15 +147,16 @@
 	return spec.DeadlineMillis, header.Get(headerETag), nil
 }
 
-// put sends one change under one key until the answer is definite.
-func (o *racer) put(ctx context.Context, resource *storer.Resource, condition, value string) (reply, error) {
+// put sends one change with one idempotency key until the answer is definite.
+// condition is the name of a precondition header, or empty, and value its value.
+func (o *operatorClient) put(ctx context.Context, resource *storer.Resource, condition, value string) (reply, error) {
 	body, err := json.Marshal(resource)
 	if err != nil {
 		return reply{}, errors.Trace(err)
 	}
-	o.number++
-	key := o.name + "-" + strconv.Itoa(o.number)
-	r, _, err := o.untilAnswered(ctx, func(ctx context.Context, address string) (*http.Request, error) {
+	o.keyCount++
+	key := o.name + "-" + strconv.Itoa(o.keyCount)
+	r, _, err := o.sendUntilDefinite(ctx, func(ctx context.Context, address string) (*http.Request, error) {
 		r, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+address+pathOf(resource), bytes.NewReader(body))
 		if err != nil {
 			return nil, errors.Trace(err)
@@ -165,33 +171,34 @@
 	return r, errors.Trace(err)
 }
 
-// untilAnswered sends a request until its answer is definite, through one entry
-// after the other.
-func (o *racer) untilAnswered(ctx context.Context, request func(context.Context, string) (*http.Request, error)) (reply, http.Header, error) {
+// sendUntilDefinite sends a request through one entry after the other until the
+// answer is not a server error or ctx ends.
+func (o *operatorClient) sendUntilDefinite(ctx context.Context, request func(context.Context, string) (*http.Request, error)) (reply, http.Header, error) {
 	for {
-		r, header, err := o.once(ctx, request)
+		r, header, err := o.attempt(ctx, request)
 		if err == nil && r.status < http.StatusInternalServerError {
 			return r, header, nil
 		}
-		o.changes.resend()
+		o.changes.addResend()
 		if err == nil {
 			err = errors.Errorf("status %d, %s", r.status, r.problem.Detail)
 		}
-		if !wait(ctx, resendPause) {
+		if !sleep(ctx, resendDelay) {
 			return reply{}, nil, errors.Annotate(err, "no definite answer")
 		}
 	}
 }
 
-func (o *racer) once(ctx context.Context, request func(context.Context, string) (*http.Request, error)) (reply, http.Header, error) {
-	ctx, cancel := context.WithTimeout(ctx, attemptLimit)
+// attempt sends a request once.
+func (o *operatorClient) attempt(ctx context.Context, request func(context.Context, string) (*http.Request, error)) (reply, http.Header, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	o.next = (o.next + 1) % len(o.addresses)
-	q, err := request(ctx, o.addresses[o.next])
+	o.lastAddress = (o.lastAddress + 1) % len(o.addresses)
+	q, err := request(ctx, o.addresses[o.lastAddress])
 	if err != nil {
 		return reply{}, nil, errors.Trace(err)
 	}
-	q.GetBody = nil // Or net/http sends a change again by itself.
+	q.GetBody = nil // Otherwise net/http may repeat the request itself.
 	answer, err := o.client.Do(q)
 	if err != nil {
 		return reply{}, nil, errors.Trace(err)
@@ -214,8 +221,8 @@
 	return workspacesPath + r.Metadata.Workspace + "/" + r.Kind.PathSegment() + "/" + r.Metadata.Name
 }
 
-// declare makes the rule and the marker that operators change.
-func (o *racer) declare(ctx context.Context) error {
+// declare declares the priority rule and the marker adapter that operators change.
+func (o *operatorClient) declare(ctx context.Context) error {
 	for _, r := range []storer.Resource{
 		{Kind: storer.KindPriorityRule, Spec: storer.PriorityRuleSpec{Key: ruleKey, DeadlineMillis: 1}},
 		{Kind: storer.KindAdapter, Spec: storer.AdapterSpec{BaseModel: o.baseModel}},
--- a/internal/standin/demonstrator/faultpromise.go
+++ b/internal/standin/demonstrator/faultpromise.go
@@ -7,28 +7,28 @@
 	"github.com/juju/errors"
 )
 
-// FaultPromise is a promise that only shows where processes come and go. Those
-// that the driver checks come on top.
+// FaultPromise is a promise that can only be checked while processes or
+// connections fail. The driver checks further promises for each call.
 type FaultPromise int
 
 // The promises, in the order of reports.
 const (
-	// StopCutsNothing: a planned stop cuts off no request in progress.
+	// StopCutsNothing: a planned stop interrupts no request in progress.
 	StopCutsNothing FaultPromise = iota
-	// LeavingGetsNothing: a leaving backend server gets nothing new after
+	// LeavingGetsNothing: a leaving backend server gets no new request after
 	// leavingLimit.
 	LeavingGetsNothing
-	// OthersGoOn: a stream goes on to its end whose entry, companion and engine
-	// live, whatever happens to others.
+	// OthersGoOn: a stream completes if its own entry, companion and engine keep
+	// running, whatever happens to other processes.
 	OthersGoOn
-	// SilenceKeepsStreams: a stream goes on to its end over connections that went
-	// silent.
+	// SilenceKeepsStreams: a stream completes although the connections that carried
+	// it were blackholed.
 	SilenceKeepsStreams
-	// ChangeTakenOnce: a change that operators sent again after a lost answer took
-	// effect exactly once, and none was lost.
+	// ChangeTakenOnce: a change that an operator sent again after a lost answer took
+	// effect exactly once, and no accepted change was lost.
 	ChangeTakenOnce
-	// NeverReverts: an entry never goes back behind what it showed, over restarts
-	// too.
+	// NeverReverts: an entry never returns to an earlier state than it showed before,
+	// not even after a restart.
 	NeverReverts
 	// InForceSoon: an accepted change is in force on every ready entry within
 	// inForceLimit.
@@ -36,17 +36,17 @@
 	// Recovers: after the fault every process is ready again, a change is accepted
 	// and an adapter that was not resident answers, within recoveryLimit.
 	Recovers
-	// OrdersRise: no engine obeys an order with an older fencing number than one
-	// before it. An engine that ignores fencing numbers obeys whatever it gets.
+	// OrdersRise: no engine obeys an order with an older fencing number than an
+	// earlier order had. An engine that ignores fencing numbers obeys every order.
 	OrdersRise
 
 	faultPromises = iota
 )
 
-// MarshalText writes the promise by its name.
+// MarshalText returns the name of the promise.
 func (p FaultPromise) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads a promise by its name.
+// UnmarshalText sets the promise from its name.
 func (p *FaultPromise) UnmarshalText(text []byte) error {
 	for v := range FaultPromise(faultPromises) {
 		if v.String() == string(text) {
@@ -57,10 +57,11 @@
 	return errors.NotValidf("promise %q", text)
 }
 
-// maxExamples bounds the details kept of each broken promise.
+// maxExamples is the largest number of examples retained for a broken promise, and
+// of errors retained for a fault.
 const maxExamples = 5
 
-// FaultPromiseFigures tell how often a promise was tried and broken.
+// FaultPromiseFigures counts how often a promise was checked and broken.
 type FaultPromiseFigures struct {
 	Promise  FaultPromise
 	Tried    int64
@@ -68,23 +69,24 @@
 	Examples []string `json:",omitempty"`
 }
 
-// ledger counts the findings of one fault. It may be used by several goroutines.
-type ledger struct {
+// findings counts the checks of promises during one fault. It is safe for
+// concurrent use.
+type findings struct {
 	mu sync.Mutex
 	// figures are guarded by mu.
 	figures [faultPromises]FaultPromiseFigures
 }
 
-func newLedger() *ledger {
-	l := &ledger{}
+func newFindings() *findings {
+	l := &findings{}
 	for p := range l.figures {
 		l.figures[p].Promise = FaultPromise(p)
 	}
 	return l
 }
 
-// check notes that a promise was tried and whether it held.
-func (l *ledger) check(p FaultPromise, held bool, format string, args ...any) {
+// check records one check of a promise and, if it failed, the formatted example.
+func (l *findings) check(p FaultPromise, held bool, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := &l.figures[p]
@@ -98,8 +100,8 @@
 	}
 }
 
-// checks notes many findings of one promise at once.
-func (l *ledger) checks(p FaultPromise, tried, broken int64, format string, args ...any) {
+// checkMany records several checks of one promise with one example.
+func (l *findings) checkMany(p FaultPromise, tried, broken int64, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := &l.figures[p]
@@ -110,8 +112,8 @@
 	}
 }
 
-// tried returns the figures of the promises that were tried.
-func (l *ledger) tried() []FaultPromiseFigures {
+// tried returns the figures of the promises that were checked.
+func (l *findings) tried() []FaultPromiseFigures {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []FaultPromiseFigures
--- a/internal/standin/demonstrator/faultreport.go
+++ b/internal/standin/demonstrator/faultreport.go
@@ -12,10 +12,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/driver"
 )
 
-// FaultReportFormat is the number of the format that a FaultReport has today.
+// FaultReportFormat is the version number of the format of FaultReport.
 const FaultReportFormat = 1
 
-// FaultReport is what a run of faults leaves.
+// FaultReport is the result of a FaultRun.
 type FaultReport struct {
 	Format   int
 	Workload string
@@ -25,28 +25,29 @@
 	Faults   []FaultFigures
 }
 
-// FaultFigures are the figures of one fault of one round.
+// FaultFigures is the result of one fault in one round.
 type FaultFigures struct {
 	Fault Fault
 	Round int
-	// Detail tells what the fault was done to.
+	// Detail names the processes or connections that the fault affected.
 	Detail  string
 	Seconds float64
-	// RecoverySeconds is the time from the fault's end until every process was
-	// ready again.
+	// RecoverySeconds is the time from the end of the fault until the deployment
+	// had recovered, as defined at Recovers.
 	RecoverySeconds float64
-	// Streams and StreamsWhole count the long streams in progress when the fault
-	// came, and those of them that came whole.
+	// Streams counts the long streams in progress at the start of the fault,
+	// StreamsWhole those whose callers received the complete answer.
 	Streams      int
 	StreamsWhole int
-	// FirstTokenMaxMillis is the longest wait of one of them for its first token.
+	// FirstTokenMaxMillis is the longest time to the first token of these streams.
 	FirstTokenMaxMillis int64
 	Operators           OperatorFigures
 	Endings             driver.EndingCounts
-	// Promises are those of this package, CallPromises those of the load.
+	// Promises holds the promises that this package checks, CallPromises those that
+	// the load driver checks.
 	Promises     []FaultPromiseFigures
 	CallPromises []driver.PromiseFigures
-	// Notes are errors that break no promise by themselves.
+	// Notes holds errors that do not by themselves break a promise.
 	Notes []string `json:",omitempty"`
 }
 
@@ -72,7 +73,7 @@
 	return count
 }
 
-// WriteJSON writes the report.
+// WriteJSON writes the report as indented JSON.
 func (r *FaultReport) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
@@ -80,8 +81,8 @@
 	return errors.Annotate(e.Encode(r), "report")
 }
 
-// WriteText writes what was tried and how often it broke, promise by promise, for
-// one fault.
+// WriteText writes the figures of one fault as text, with the numbers of checks
+// and failures of each promise.
 func (g *FaultFigures) WriteText(w io.Writer) error {
 	verdict := "held"
 	if n := g.broken(); n > 0 {
@@ -116,7 +117,8 @@
 	}
 }
 
-// WriteSummary writes the sums over all faults.
+// WriteSummary writes the sums of each promise over all faults, and the faults
+// that broke one.
 func (r *FaultReport) WriteSummary(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%d faults in %.1f s, seed %d\n", len(r.Faults), r.Seconds, r.Seed)
--- a/internal/standin/demonstrator/faultreport_test.go
+++ b/internal/standin/demonstrator/faultreport_test.go
@@ -11,7 +11,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/driver"
 )
 
-// expectGolden compares with a file under testdata, or writes it with -update.
+// expectGolden compares got with a file under testdata. With -update it first
+// writes got to the file.
 func expectGolden(name string, got []byte) {
 	GinkgoHelper()
 	path := filepath.Join("testdata", name)
@@ -51,9 +52,9 @@
 		},
 	}
 
-	It("counts what broke", func() { Expect(report.Broken()).To(BeEquivalentTo(2)) })
+	It("counts the broken promises", func() { Expect(report.Broken()).To(BeEquivalentTo(2)) })
 
-	It("has its format", func() {
+	It("has the text and JSON format of the golden files", func() {
 		var text, data bytes.Buffer
 		for i := range report.Faults {
 			Expect(report.Faults[i].WriteText(&text)).To(Succeed())
@@ -64,7 +65,7 @@
 		expectGolden("faults.json", data.Bytes())
 	})
 
-	It("has faults that are named, described and found by their names", func() {
+	It("has faults that have names and descriptions and are found by name", func() {
 		for _, f := range AllFaults() {
 			Expect(f.description()).NotTo(BeEmpty(), f.String())
 			found, err := ParseFaults(f.String())
--- a/internal/standin/demonstrator/faultrun.go
+++ b/internal/standin/demonstrator/faultrun.go
@@ -20,55 +20,58 @@
 )
 
 const (
-	// faultLease is the configuration lease of fault runs, short so that an entry
-	// that is cut off shows within them that it knows.
-	faultLease = 4 * time.Second
-	// faultBalancerDelay exceeds the interval of the driver's balancer.
-	faultBalancerDelay = 600 * time.Millisecond
-	// faultServices leaves one plain service when the other leaves.
-	faultServices = 2
-	// recoveryLimit bounds the time until all is well again after a fault.
-	recoveryLimit = 20 * time.Second
-	// faultLoad is the length of the load's schedule for one fault, which ends
-	// with the fault.
-	faultLoad = 12 * time.Second
+	// configurationLease is short, so that an entry that is cut off becomes unready
+	// within the time of a cut.
+	configurationLease = 4 * time.Second
+	// balancerDelay exceeds the interval at which the driver's balancer polls
+	// readiness.
+	balancerDelay = 600 * time.Millisecond
+	// minServices is the least number of plain services, so that one remains when
+	// another leaves.
+	minServices = 2
+	// recoveryTimeout bounds the time until the deployment has recovered from a
+	// fault.
+	recoveryTimeout = 20 * time.Second
+	// faultLoadDuration is the length of the load's schedule for one fault. The load
+	// ends early when the fault is done.
+	faultLoadDuration = 12 * time.Second
 )
 
-// FaultRun is a run of faults.
+// FaultRun describes a run that injects faults into a deployment under load.
 type FaultRun struct {
 	Run    Run
 	Faults []Fault
-	// Rounds is how often each fault is produced; 0 means once.
+	// Rounds is the number of times that the list of faults is run; 0 means once.
 	Rounds int
-	// Out takes what each fault gave, as text.
+	// Out receives the figures of each fault as text.
 	Out io.Writer
-	// IgnoreFencing has engines obey orders whatever their fencing number.
+	// IgnoreFencing makes engines obey orders regardless of their fencing number.
 	IgnoreFencing bool
-	// Timelines is a folder for the time line of each fault that broke a promise;
-	// empty for none.
+	// Timelines is the folder to which the time line of each fault that broke a
+	// promise is written; empty means that none is written.
 	Timelines string
 }
 
-// faultRun is a FaultRun on a deployment.
+// faultRun is the state of a FaultRun on a running deployment.
 type faultRun struct {
-	run        Run
-	deployment *Deployment
-	keys       []driver.WorkspaceKey
-	client     *http.Client
-	watchers   []*watcher
-	racers     []*racer
-	// ledger and changes are those of the fault in progress.
-	ledger  *ledger
-	changes *changes
-	// streamCount numbers the long streams, turn chooses followers, cold the cold
-	// adapters.
-	streamCount int
-	turn        int
-	cold        int
+	run             Run
+	deployment      *Deployment
+	keys            []driver.WorkspaceKey
+	client          *http.Client
+	watchers        []*watcher
+	operatorClients []*operatorClient
+	// findings and changes are those of the fault in progress.
+	findings *findings
+	changes  *changes
+	// streamCount numbers the streams; followerTurn and coldCount choose the next
+	// follower and the next adapter that is probably not resident.
+	streamCount  int
+	followerTurn int
+	coldCount    int
 }
 
-// Do starts a deployment and produces the faults one after the other under load.
-// It returns the report as far as it got.
+// Do starts a deployment and injects the faults one after the other under load.
+// On an error it also returns the report of the faults so far.
 func (r FaultRun) Do(ctx context.Context) (*FaultReport, error) {
 	report := &FaultReport{Format: FaultReportFormat, Workload: r.Run.Workload.Name, Seed: r.Run.Seed, Rounds: max(1, r.Rounds)}
 	began := time.Now()
@@ -83,18 +86,18 @@
 	}
 	f := newFaultRun(r.Run, d, keys)
 	defer f.client.CloseIdleConnections()
-	if err := f.racers[0].declare(ctx); err != nil {
+	if err := f.operatorClients[0].declare(ctx); err != nil {
 		return report, errors.Trace(err)
 	}
 	for round := range report.Rounds {
 		for _, fault := range r.Faults {
-			figures, err := f.produce(ctx, fault, round+1)
+			figures, err := f.runFault(ctx, fault, round+1)
 			report.Faults = append(report.Faults, figures)
 			report.Seconds = seconds(time.Since(began))
 			if err := figures.WriteText(r.Out); err != nil {
 				return report, errors.Trace(err)
 			}
-			if err := r.keepTimeline(d, &figures); err != nil {
+			if err := r.writeTimeline(d, &figures); err != nil {
 				return report, errors.Trace(err)
 			}
 			if err != nil {
@@ -105,8 +108,9 @@
 	return report, nil
 }
 
-// keepTimeline writes the time line of a fault that broke a promise.
-func (r FaultRun) keepTimeline(d *Deployment, g *FaultFigures) error {
+// writeTimeline writes the time line of a fault to a file if the fault broke a
+// promise.
+func (r FaultRun) writeTimeline(d *Deployment, g *FaultFigures) error {
 	t := d.Timeline()
 	if r.Timelines == "" || g.broken() == 0 {
 		return nil
@@ -118,28 +122,28 @@
 	return errors.Trace(stderrors.Join(t.WriteText(f), f.Close()))
 }
 
-// settings returns those of the deployment.
+// settings returns the settings of the deployment for this run.
 func (r FaultRun) settings() Settings {
-	s := r.Run.deployment()
+	s := r.Run.deploymentSettings()
 	s.Relays = true
 	s.Engine.ChecksFencing = !r.IgnoreFencing
-	s.Services = max(s.Services, faultServices)
-	s.Control.ConfigurationLease = configurer.Duration(faultLease)
-	s.Stop.BalancerDelay = configurer.Duration(faultBalancerDelay)
+	s.Services = max(s.Services, minServices)
+	s.Control.ConfigurationLease = configurer.Duration(configurationLease)
+	s.Stop.BalancerDelay = configurer.Duration(balancerDelay)
 	return s
 }
 
 func newFaultRun(r Run, d *Deployment, keys []driver.WorkspaceKey) *faultRun {
 	f := &faultRun{run: r, deployment: d, keys: keys, client: &http.Client{Transport: &http.Transport{
-		DialContext: (&net.Dialer{Timeout: attemptLimit}).DialContext, MaxIdleConnsPerHost: streamsPerEntry,
+		DialContext: (&net.Dialer{Timeout: attemptTimeout}).DialContext, MaxIdleConnsPerHost: streamsPerEntry,
 	}}}
-	f.changes, f.ledger = &changes{}, newLedger()
+	f.changes, f.findings = &changes{}, newFindings()
 	workspace := r.Workload.Workspaces[0].Name
 	entries := d.CallerAddresses()
-	for i := range operators {
-		f.racers = append(f.racers, &racer{
+	for i := range operatorCount {
+		f.operatorClients = append(f.operatorClients, &operatorClient{
 			name: fmt.Sprintf("operator-%d", i+1), addresses: d.OperatorAddresses()[:len(entries)], client: f.client,
-			workspace: workspace, baseModel: r.Workload.BaseModel, next: i, changes: f.changes,
+			workspace: workspace, baseModel: r.Workload.BaseModel, lastAddress: i, changes: f.changes,
 		})
 	}
 	for i, address := range entries {
@@ -148,13 +152,14 @@
 	return f
 }
 
-// produce runs load, operators and watchers, produces one fault among them, and
-// judges. Its error means that the deployment is not fit for a further fault.
-func (f *faultRun) produce(ctx context.Context, fault Fault, round int) (FaultFigures, error) {
+// runFault runs load, operators and watchers, injects one fault meanwhile, and
+// checks the promises. An error means that the deployment cannot be used for a
+// further fault.
+func (f *faultRun) runFault(ctx context.Context, fault Fault, round int) (FaultFigures, error) {
 	figures := FaultFigures{Fault: fault, Round: round}
-	began := time.Now()
-	f.ledger, f.changes = newLedger(), &changes{}
-	before, _, err := f.racers[0].read(ctx)
+	start := time.Now()
+	f.findings, f.changes = newFindings(), &changes{}
+	before, _, err := f.operatorClients[0].read(ctx)
 	if err != nil {
 		return figures, errors.Trace(err)
 	}
@@ -165,32 +170,32 @@
 	defer stopChanging()
 	watching, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
-	var driving, operating, looking sync.WaitGroup
+	var loadDone, operatorsDone, watchersDone sync.WaitGroup
 	var report *driver.Report
 	var loadErr error
-	// Each fault has its own calls.
+	// The seed differs between faults, so that each has different calls.
 	seed := f.run.Seed*1000 + uint64(f.streamCount)
-	driving.Go(func() { report, loadErr = f.drive(load, seed) })
-	for _, o := range f.racers {
+	loadDone.Go(func() { report, loadErr = f.drive(load, seed) })
+	for _, o := range f.operatorClients {
 		o.changes = f.changes
-		operating.Go(func() { o.race(ctx, changing) })
+		operatorsDone.Go(func() { o.runChanges(ctx, changing) })
 	}
 	for _, w := range f.watchers {
-		w.next, w.late = 0, 0
-		looking.Go(func() { w.watch(ctx, watching) })
+		w.inForceCount, w.lateCount = 0, 0
+		watchersDone.Go(func() { w.watch(ctx, watching) })
 	}
 	s := f.openStreams(ctx)
-	o, err := f.carryOut(ctx, fault, s)
-	mended := time.Now()
+	o, err := f.injectFault(ctx, fault, s)
+	faultEnd := time.Now()
 	f.recover(ctx, err)
-	figures.RecoverySeconds = seconds(time.Since(mended))
-	s.judge(f.ledger, o.promise, o.spared)
+	figures.RecoverySeconds = seconds(time.Since(faultEnd))
+	s.checkComplete(f.findings, o.promise, o.unaffected)
 	stopChanging()
-	operating.Wait()
+	operatorsDone.Wait()
 	f.checkCount(ctx, before)
-	f.awaitForce(ctx)
+	f.waitInForce(ctx)
 	stopWatching()
-	looking.Wait()
+	watchersDone.Wait()
 	for _, w := range f.watchers {
 		if p := f.deployment.Process(w.name); p != nil {
 			w.checkInForce(p.Revision())
@@ -198,10 +203,10 @@
 		w.checkEnd()
 	}
 	stopLoad()
-	driving.Wait()
+	loadDone.Wait()
 	now := f.orders()
-	f.ledger.checks(OrdersRise, now.all-orders.all, now.stale-orders.stale, "engines obeyed older fencing numbers")
-	figures.Detail, figures.Seconds = o.detail, seconds(time.Since(began))
+	f.findings.checkMany(OrdersRise, now.all-orders.all, now.stale-orders.stale, "engines obeyed older fencing numbers")
+	figures.Detail, figures.Seconds = o.detail, seconds(time.Since(start))
 	figures.fill(f, s, report)
 	return figures, errors.Trace(firstError(ctx.Err(), loadErr))
 }
@@ -215,17 +220,18 @@
 	return nil
 }
 
-// fill takes in what was counted.
+// fill sets the figures from the counts of the run, the streams and the load's
+// report; report may be nil.
 func (g *FaultFigures) fill(f *faultRun, s *streams, report *driver.Report) {
 	g.Streams = len(s.all)
 	for _, c := range s.all {
-		g.FirstTokenMaxMillis = max(g.FirstTokenMaxMillis, c.waited.Milliseconds())
-		if c.whole() {
+		g.FirstTokenMaxMillis = max(g.FirstTokenMaxMillis, c.firstTokenDelay.Milliseconds())
+		if c.complete() {
 			g.StreamsWhole++
 		}
 	}
-	g.Operators, g.Notes = f.changes.figures, f.changes.faults
-	g.Promises = f.ledger.tried()
+	g.Operators, g.Notes = f.changes.figures, f.changes.errorTexts
+	g.Promises = f.findings.tried()
 	if report != nil {
 		g.Endings, g.CallPromises = report.All.Endings, report.Promises
 		g.Notes = append(g.Notes, report.Faults...)
@@ -235,51 +241,52 @@
 // drive runs the load until ctx ends.
 func (f *faultRun) drive(ctx context.Context, seed uint64) (*driver.Report, error) {
 	r := f.run
-	r.Duration, r.Seed, r.Progress = faultLoad, seed, nil
+	r.Duration, r.Seed, r.Progress = faultLoadDuration, seed, nil
 	return r.Drive(ctx, f.deployment, f.keys)
 }
 
-// recover waits until every process is ready, a change is accepted and a cold
-// adapter answers.
+// recover waits until every process is ready, a change is accepted and an
+// adapter that is probably not resident answers, and checks Recovers. A non-nil
+// cause is a failure to inject or end the fault, and breaks the promise at once.
 func (f *faultRun) recover(ctx context.Context, cause error) {
-	ctx, cancel := context.WithTimeout(ctx, recoveryLimit)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	accepted := len(f.changes.after(0))
 	if cause == nil {
 		cause = f.deployment.Ready(ctx)
 	}
 	for cause == nil && len(f.changes.after(accepted)) == 0 {
-		if !wait(ctx, watchPause) {
+		if !sleep(ctx, pollInterval) {
 			cause = errors.New("no change is accepted")
 		}
 	}
 	if cause == nil {
-		cause = f.askCold(ctx)
+		cause = f.callColdAdapter(ctx)
 	}
-	f.ledger.check(Recovers, cause == nil, "%v", cause)
+	f.findings.check(Recovers, cause == nil, "%v", cause)
 }
 
-// checkCount compares the count with the changes that operators were told are
-// accepted: each adds one. Where some were left without an answer, they may have
-// added one each.
+// checkCount compares the rise of the count since before with the increments that
+// were reported to operators as accepted. Each change without a definite answer
+// may have added one more.
 func (f *faultRun) checkCount(ctx context.Context, before int64) {
-	now, _, err := f.racers[0].read(ctx)
+	now, _, err := f.operatorClients[0].read(ctx)
 	if err != nil {
-		f.changes.fail(errors.Annotate(err, "read the count"))
+		f.changes.addError(errors.Annotate(err, "read the count"))
 		return
 	}
 	f.changes.mu.Lock()
-	counts, unresolved := f.changes.counts, int64(f.changes.figures.Unresolved)
+	increments, unresolved := f.changes.increments, int64(f.changes.figures.Unresolved)
 	f.changes.mu.Unlock()
 	added := now - before
-	wrong := max(0, counts-added) + max(0, added-counts-unresolved)
-	f.ledger.checks(ChangeTakenOnce, counts, wrong, "%d counts were accepted, %d left unresolved, and the count rose by %d", counts, unresolved, added)
+	wrong := max(0, increments-added) + max(0, added-increments-unresolved)
+	f.findings.checkMany(ChangeTakenOnce, increments, wrong, "%d counts were accepted, %d left unresolved, and the count rose by %d", increments, unresolved, added)
 }
 
-// awaitForce waits until every entry holds all accepted changes, or would be too
-// late.
-func (f *faultRun) awaitForce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, inForceLimit+2*watchPause)
+// waitInForce waits until every running entry has applied all accepted changes,
+// but not longer than they may take to come into force.
+func (f *faultRun) waitInForce(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, inForceLimit+2*pollInterval)
 	defer cancel()
 	highest := uint64(0)
 	for _, c := range f.changes.after(0) {
@@ -287,18 +294,20 @@
 	}
 	for {
 		lowest, _ := f.deployment.revisions()
-		if lowest >= highest || !wait(ctx, watchPause) {
+		if lowest >= highest || !sleep(ctx, pollInterval) {
 			return
 		}
 	}
 }
 
-// orderCounts count the orders to all engines.
+// orderCounts holds the numbers of orders to all engines: all of them, and those
+// obeyed with a fencing number older than an earlier one.
 type orderCounts struct {
 	all   int64
 	stale int64
 }
 
+// orders returns the sums over all engines.
 func (f *faultRun) orders() (c orderCounts) {
 	for _, e := range f.deployment.Engines() {
 		r := e.Record()
@@ -308,4 +317,5 @@
 	return c
 }
 
+// seconds returns d in seconds, rounded to milliseconds.
 func seconds(d time.Duration) float64 { return math.Round(d.Seconds()*1000) / 1000 }
--- a/internal/standin/demonstrator/faults.go
+++ b/internal/standin/demonstrator/faults.go
@@ -8,49 +8,52 @@
 
 //go:generate stringer -type=Fault,FaultPromise -output=faults_string.go
 
-// Fault is something that goes wrong while a deployment serves.
+// Fault is a fault injected into a deployment under load.
 type Fault int
 
-// The faults, in the order of runs.
+// The faults, in the order in which AllFaults runs them.
 const (
-	// EngineRestart: an engine restarts empty in mid-stream.
+	// EngineRestart: an engine restarts without resident adapters while it serves
+	// streams.
 	EngineRestart Fault = iota
-	// CompanionKill: a companion is killed beside a living engine, and returns.
+	// CompanionKill: a companion is killed while its engine runs, and restarts.
 	CompanionKill
-	// CompanionStop: a companion stops as planned beside a living engine, and
-	// returns.
+	// CompanionStop: a companion performs a planned stop while its engine runs, and
+	// restarts.
 	CompanionStop
-	// BackendLeaves: an engine and a plain service leave, and return later.
+	// BackendLeaves: an engine and a plain service leave, and join again later.
 	BackendLeaves
-	// LeaderKill: the host that leads control is killed, and returns.
+	// LeaderKill: the host of the control leader is killed, and restarts.
 	LeaderKill
-	// LeaderStop: the host that leads control stops as planned, and returns.
+	// LeaderStop: the host of the control leader performs a planned stop, and
+	// restarts.
 	LeaderStop
-	// EntryKill: an entry that does not lead is killed, and returns.
+	// EntryKill: an entry that is not the control leader is killed, and restarts.
 	EntryKill
-	// EntryStop: an entry that does not lead stops as planned, and returns.
+	// EntryStop: an entry that is not the control leader performs a planned stop,
+	// and restarts.
 	EntryStop
-	// SilentEntry: the connections between entries and companions go silent for
-	// good, while new ones work.
+	// SilentEntry: the open connections between entries and companions are
+	// blackholed, while new ones work.
 	SilentEntry
-	// SilentEngine: those between companions and backend servers do.
+	// SilentEngine: the same for connections between companions and backend servers.
 	SilentEngine
-	// SilentControl: those between nodes and control hosts do.
+	// SilentControl: the same for connections from nodes to control hosts.
 	SilentControl
-	// FailingLoads: loads of adapters fail, every other one.
+	// FailingLoads: each load of an adapter fails with the probability
+	// loadFailureShare.
 	FailingLoads
-	// SlowStore: the weight store answers late.
+	// SlowStore: the weight store answers with a delay.
 	SlowStore
-	// LeaderCut: the leader is silently cut off for seconds, both ways.
+	// LeaderCut: the leader's traffic is held back for cutTime in both directions.
 	LeaderCut
-	// LeaderCutOutbound: what the leader sends is held back for seconds.
+	// LeaderCutOutbound: what the leader sends is held back for cutTime.
 	LeaderCutOutbound
-	// LeaderCutInbound: what the leader is sent is held back for seconds.
+	// LeaderCutInbound: what others send to the leader is held back for cutTime.
 	LeaderCutInbound
-	// LostDisk: a control host loses its disk and is replaced under a new
-	// identity.
+	// LostDisk: a control host loses its disk and is replaced under a new identity.
 	LostDisk
-	// SecondLoss: another control host is lost right after such a repair.
+	// SecondLoss: another control host is killed right after such a replacement.
 	SecondLoss
 	// LeaderAndCompanion: the leader and a companion are killed at once.
 	LeaderAndCompanion
@@ -58,7 +61,7 @@
 	faults = iota
 )
 
-// description returns a line about the fault.
+// description returns a one-line description of the fault.
 func (f Fault) description() string {
 	return [faults]string{
 		EngineRestart:      "an engine restarts empty in mid-stream",
@@ -83,7 +86,7 @@
 	}[f]
 }
 
-// FaultList returns a line for each fault.
+// FaultList returns the names and descriptions of all faults, one per line.
 func FaultList() string {
 	var text strings.Builder
 	for f := range Fault(faults) {
@@ -101,14 +104,14 @@
 	return all
 }
 
-// ShortFaults returns the faults of the short run.
+// ShortFaults returns the faults that are run unless others are named.
 func ShortFaults() []Fault {
 	return []Fault{
 		EngineRestart, CompanionKill, BackendLeaves, LeaderKill, EntryStop, SilentEntry, SilentEngine, FailingLoads, LeaderCut,
 	}
 }
 
-// allName stands for all faults.
+// allName is the name that ParseFaults takes for all faults.
 const allName = "All"
 
 // ParseFaults returns the faults of a list of names, such as "EntryKill,EntryStop"
@@ -128,10 +131,10 @@
 	return found, nil
 }
 
-// MarshalText writes the fault by its name.
+// MarshalText returns the name of the fault.
 func (f Fault) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// UnmarshalText reads a fault by its name.
+// UnmarshalText sets the fault from its name.
 func (f *Fault) UnmarshalText(text []byte) error {
 	for v := range Fault(faults) {
 		if v.String() == string(text) {
--- a/internal/standin/demonstrator/faultstream.go
+++ b/internal/standin/demonstrator/faultstream.go
@@ -22,18 +22,18 @@
 	// streamsPerEntry is the number of long streams in progress through each entry
 	// while a fault happens.
 	streamsPerEntry = 4
-	// streamTokens makes a stream last for seconds with the demonstration's time
-	// scale.
+	// streamTokens is the number of tokens of a long stream, which makes it last
+	// for seconds at the demo's time scale.
 	streamTokens = 1200
-	// streamLimit bounds one stream.
-	streamLimit = 45 * time.Second
-	// streamStart bounds the wait for the first tokens.
-	streamStart = 15 * time.Second
-	dataPrefix  = "data: "
-	doneMark    = "[DONE]"
+	// streamTimeout bounds one stream.
+	streamTimeout = 45 * time.Second
+	// firstTokenTimeout bounds the wait for the first tokens.
+	firstTokenTimeout = 15 * time.Second
+	dataPrefix        = "data: "
+	doneMarker        = "[DONE]"
 )
 
-// stream is one long answer, read by its caller while a fault happens.
+// stream is one streamed completion that a caller reads while a fault happens.
 type stream struct {
 	// entry is the name of the process that the caller reads from.
 	entry   string
@@ -41,33 +41,35 @@
 	backend string
 	version string
 	prompt  string
-	// text came so far.
+	// text is the text received so far.
 	text strings.Builder
-	// status is 0 where no answer came.
+	// status is the HTTP status, or 0 if there was no answer.
 	status int
-	// outcome, failure and problem tell how it ended: the outcome header, an
-	// error of the connection, the text of an error event.
-	outcome string
-	failure string
-	problem string
+	// outcome is the outcome header or trailer, connectionError the text of an error
+	// of the connection, errorEvent that of an error event or refusal.
+	outcome         string
+	connectionError string
+	errorEvent      string
+	// done reports whether the end marker was received.
 	done    bool
-	ended   time.Time
-	// tokens is the number of tokens asked for, waited the time to the first.
-	tokens int
-	began  time.Time
-	waited time.Duration
-	// first is closed at the first token or the end.
-	first chan struct{}
-	once  sync.Once
+	endTime time.Time
+	// tokens is the number of requested tokens, firstTokenDelay the time from
+	// startTime to the first.
+	tokens          int
+	startTime       time.Time
+	firstTokenDelay time.Duration
+	// firstToken is closed at the first token or at the end.
+	firstToken chan struct{}
+	firstOnce  sync.Once
 }
 
-// whole reports whether the caller got the whole answer.
-func (s *stream) whole() bool {
+// complete reports whether the caller received the complete expected answer.
+func (s *stream) complete() bool {
 	return s.done && s.text.String() == generator.Expected(s.version, s.prompt, s.tokens)
 }
 
-// refused reports whether the stream never began.
-func (s *stream) refused() bool {
+// notRun reports whether the call was refused and did not run.
+func (s *stream) notRun() bool {
 	return s.status != 0 && s.status != http.StatusOK && s.outcome == notRunOutcome
 }
 
@@ -75,17 +77,17 @@
 
 func (s *stream) String() string {
 	return fmt.Sprintf("stream %s through %s on %s: status %d, outcome %q, %d bytes, done %t, error event %q, connection %q, ended %s",
-		s.request, s.entry, s.backend, s.status, s.outcome, s.text.Len(), s.done, s.problem, s.failure, s.ended.Format(time.TimeOnly+".000"))
+		s.request, s.entry, s.backend, s.status, s.outcome, s.text.Len(), s.done, s.errorEvent, s.connectionError, s.endTime.Format(time.TimeOnly+".000"))
 }
 
-// streams are the long answers in progress while one fault happens.
+// streams holds the long streams in progress while one fault happens.
 type streams struct {
 	all     []*stream
-	reading sync.WaitGroup
+	readers sync.WaitGroup
 }
 
-// openStreams begins streams through all entries and waits for their first
-// tokens.
+// openStreams opens long streams through all entries and waits up to
+// firstTokenTimeout for their first tokens.
 func (f *faultRun) openStreams(ctx context.Context) *streams {
 	s := &streams{}
 	addresses := f.deployment.CallerAddresses()
@@ -93,24 +95,24 @@
 		for j := range streamsPerEntry {
 			f.streamCount++
 			c := &stream{
-				entry: f.deployment.Names()[i], tokens: streamTokens, first: make(chan struct{}),
+				entry: f.deployment.Names()[i], tokens: streamTokens, firstToken: make(chan struct{}),
 				prompt: fmt.Sprintf("the long review number %d", f.streamCount),
 			}
 			s.all = append(s.all, c)
 			w := &f.run.Workload.Workspaces[(i+j)%len(f.keys)]
 			model := fmt.Sprintf("%s/%s-%04d", w.Name, w.AdapterPrefix, j%2)
 			key := f.keyOf(w.Name)
-			s.reading.Go(func() {
-				c.begin(ctx, f.client, address, model, key)
-				c.ended = time.Now()
-				c.once.Do(func() { close(c.first) })
+			s.readers.Go(func() {
+				c.open(ctx, f.client, address, model, key)
+				c.endTime = time.Now()
+				c.firstOnce.Do(func() { close(c.firstToken) })
 			})
 		}
 	}
-	limit := time.After(streamStart)
+	limit := time.After(firstTokenTimeout)
 	for _, c := range s.all {
 		select {
-		case <-c.first:
+		case <-c.firstToken:
 		case <-limit:
 			return s
 		}
@@ -118,25 +120,27 @@
 	return s
 }
 
-// askCold has an adapter answer that is hardly resident anywhere.
-func (f *faultRun) askCold(ctx context.Context) error {
-	f.cold++
-	w := &f.run.Workload.Workspaces[f.cold%len(f.keys)]
-	model := fmt.Sprintf("%s/%s-%04d", w.Name, w.AdapterPrefix, w.Adapters-1-f.cold%(w.Adapters/2+1))
+// callColdAdapter calls an adapter that is probably not resident on any engine,
+// repeatedly until it answers completely or ctx ends.
+func (f *faultRun) callColdAdapter(ctx context.Context) error {
+	f.coldCount++
+	w := &f.run.Workload.Workspaces[f.coldCount%len(f.keys)]
+	model := fmt.Sprintf("%s/%s-%04d", w.Name, w.AdapterPrefix, w.Adapters-1-f.coldCount%(w.Adapters/2+1))
 	addresses := f.deployment.CallerAddresses()
 	for {
 		f.streamCount++
-		s := &stream{prompt: fmt.Sprintf("a quick lookup, number %d", f.streamCount), tokens: 1, first: make(chan struct{})}
+		s := &stream{prompt: fmt.Sprintf("a quick lookup, number %d", f.streamCount), tokens: 1, firstToken: make(chan struct{})}
 		err := s.read(ctx, f.client, addresses[f.streamCount%len(addresses)], model, f.keyOf(w.Name))
-		if s.whole() {
+		if s.complete() {
 			return nil
 		}
-		if !wait(ctx, resendPause) {
+		if !sleep(ctx, resendDelay) {
 			return errors.Errorf("%s does not answer: %s, %v", model, s, err)
 		}
 	}
 }
 
+// keyOf returns the caller's key of a workspace, or "" if there is none.
 func (f *faultRun) keyOf(workspace string) string {
 	for _, k := range f.keys {
 		if k.Workspace == workspace {
@@ -146,25 +150,26 @@
 	return ""
 }
 
-// begin sends the call until it isn't refused any more, as an entry may not know
-// yet of backend servers that have just joined, and reads its answer.
-func (s *stream) begin(ctx context.Context, client *http.Client, address, model, key string) {
-	s.began = time.Now()
-	limit := s.began.Add(streamStart)
+// open sends the call and reads its answer. It repeats a refused call until
+// firstTokenTimeout, since the entry may not have learned yet of backend servers
+// that recently joined.
+func (s *stream) open(ctx context.Context, client *http.Client, address, model, key string) {
+	s.startTime = time.Now()
+	limit := s.startTime.Add(firstTokenTimeout)
 	for {
-		s.problem = ""
+		s.errorEvent = ""
 		if err := s.read(ctx, client, address, model, key); err != nil {
-			s.failure = errors.Cause(err).Error()
+			s.connectionError = errors.Cause(err).Error()
 		}
-		if !s.refused() || time.Now().After(limit) || !wait(ctx, resendPause) {
+		if !s.notRun() || time.Now().After(limit) || !sleep(ctx, resendDelay) {
 			return
 		}
 	}
 }
 
-// read sends the call and reads its answer to the end.
+// read sends the call once and reads its answer to the end.
 func (s *stream) read(ctx context.Context, client *http.Client, address, model, key string) error {
-	ctx, cancel := context.WithTimeout(ctx, streamLimit)
+	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
 	body, err := json.Marshal(orderer.CompletionRequest{Model: model, Prompt: s.prompt, MaxTokens: s.tokens, Stream: true})
 	if err != nil {
@@ -176,7 +181,7 @@
 	}
 	r.Header.Set(translator.HeaderContentType, "application/json")
 	r.Header.Set(translator.HeaderAuthorization, "Bearer "+key)
-	r.Header.Set(translator.HeaderDeadline, streamLimit.String())
+	r.Header.Set(translator.HeaderDeadline, streamTimeout.String())
 	answer, err := client.Do(r)
 	if err != nil {
 		return errors.Trace(err)
@@ -187,7 +192,7 @@
 	s.version, s.outcome = answer.Header.Get(translator.HeaderAdapter), answer.Header.Get(translator.HeaderOutcome)
 	lines := bufio.NewScanner(answer.Body)
 	for lines.Scan() {
-		if err := s.take(lines.Text()); err != nil {
+		if err := s.parseLine(lines.Text()); err != nil {
 			return err
 		}
 	}
@@ -197,55 +202,56 @@
 	return errors.Trace(lines.Err())
 }
 
-// piece is the part of an event that is read.
-type piece struct {
-	Choices []pieceChoice   `json:"choices"`
+// eventPart is the part of an event that the caller reads.
+type eventPart struct {
+	Choices []eventChoice   `json:"choices"`
 	Error   json.RawMessage `json:"error"`
 }
 
-type pieceChoice struct {
+type eventChoice struct {
 	Text string `json:"text"`
 }
 
-// take reads one line of the answer.
-func (s *stream) take(line string) error {
+// parseLine processes one line of the answer.
+func (s *stream) parseLine(line string) error {
 	data, ok := strings.CutPrefix(line, dataPrefix)
 	if !ok {
 		if s.status != http.StatusOK {
-			s.problem += line
+			s.errorEvent += line
 		}
 		return nil
 	}
-	if data == doneMark {
+	if data == doneMarker {
 		s.done = true
 		return nil
 	}
-	var p piece
+	var p eventPart
 	if err := json.Unmarshal([]byte(data), &p); err != nil {
 		return errors.Annotatef(err, "event %.80q", data)
 	}
 	if len(p.Error) > 0 {
-		s.problem = string(p.Error)
+		s.errorEvent = string(p.Error)
 	}
 	for _, c := range p.Choices {
 		s.text.WriteString(c.Text)
 	}
-	s.once.Do(func() {
-		s.waited = time.Since(s.began)
-		close(s.first)
+	s.firstOnce.Do(func() {
+		s.firstTokenDelay = time.Since(s.startTime)
+		close(s.firstToken)
 	})
 	return nil
 }
 
-// busiest returns the companion that serves the most of the streams in progress.
+// busiest returns the companion that serves the most streams, firstEngine if there
+// are none.
 func (s *streams) busiest() string {
 	counts := make(map[string]int)
 	best := firstEngine
 	for _, c := range s.all {
 		select {
-		case <-c.first:
+		case <-c.firstToken:
 		default:
-			continue // Its fields are still being written.
+			continue // Its reader may still write its fields.
 		}
 		if counts[c.backend]++; c.backend != "" && counts[c.backend] > counts[best] {
 			best = c.backend
@@ -256,14 +262,14 @@
 
 const firstEngine = "engine-1"
 
-// judge waits for the streams' ends and checks the promise for those which
-// concerned tells.
-func (s *streams) judge(l *ledger, p FaultPromise, concerned func(*stream) bool) {
-	s.reading.Wait()
+// checkComplete waits for the ends of the streams and checks the promise for those that
+// ran and for which concerned returns true.
+func (s *streams) checkComplete(l *findings, p FaultPromise, concerned func(*stream) bool) {
+	s.readers.Wait()
 	for _, c := range s.all {
-		if c.refused() || !concerned(c) {
+		if c.notRun() || !concerned(c) {
 			continue
 		}
-		l.check(p, c.whole(), "%s", c)
+		l.check(p, c.complete(), "%s", c)
 	}
 }
--- a/internal/standin/demonstrator/faultwatcher.go
+++ b/internal/standin/demonstrator/faultwatcher.go
@@ -14,89 +14,95 @@
 )
 
 const (
-	watchPause = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 	// inForceLimit bounds the time until an accepted change is in force on a ready
-	// entry. An entry that lost contact stays ready for faultLease; it must be
-	// unready before the limit, so the limit exceeds it.
-	inForceLimit = faultLease + 2*time.Second
+	// entry. It exceeds configurationLease, the time for which an entry without
+	// contact stays ready.
+	inForceLimit = configurationLease + 2*time.Second
 )
 
-// watcher watches one entry over all its lives.
+// watcher checks one entry periodically, across its restarts.
 type watcher struct {
 	name    string
 	address string
 	key     string
 	run     *faultRun
-	// process is the life watched, revision the newest that it applied.
+	// process is the current incarnation, revision the newest that it was seen to
+	// have applied.
 	process  *starter.Process
 	revision uint64
-	// steady is since when the process has been ready without a break.
-	steady time.Time
-	// next is the number of accepted changes that are in force here; lacking
-	// those before it which were found late once, so as to count them once.
-	next int
-	late int
-	// shown holds the markers that callers of a ready entry were shown.
-	shown map[string]struct{}
+	// readySince is the start of the uninterrupted time for which the process has
+	// been ready; zero if it is not ready.
+	readySince time.Time
+	// inForceCount is the number of accepted changes that are in force on the
+	// entry; lateCount the number of changes up to the last one that was reported
+	// as late, so that each is reported once.
+	inForceCount int
+	lateCount    int
+	// lastListed holds the marker versions in the last list of models that the
+	// entry returned while ready.
+	lastListed map[string]struct{}
 }
 
-// watch looks again and again until stop ends.
+// watch polls the entry every pollInterval until stop ends.
 func (w *watcher) watch(ctx, stop context.Context) {
 	for stop.Err() == nil {
-		w.look(ctx)
-		wait(stop, watchPause)
+		w.poll(ctx)
+		sleep(stop, pollInterval)
 	}
 }
 
-func (w *watcher) look(ctx context.Context) {
+// poll performs all checks once. It does nothing while the entry is down.
+func (w *watcher) poll(ctx context.Context) {
 	p := w.run.deployment.Process(w.name)
 	if p == nil {
-		w.steady = time.Time{}
+		w.readySince = time.Time{}
 		return
 	}
 	if p != w.process {
-		w.process, w.revision, w.steady = p, 0, time.Time{}
+		w.process, w.revision, w.readySince = p, 0, time.Time{}
 	}
 	ready := p.Ready()
 	revision := p.Revision()
 	w.checkMonotone(revision)
 	if !ready {
-		w.steady = time.Time{}
+		w.readySince = time.Time{}
 		return
 	}
-	if w.steady.IsZero() {
-		w.steady = time.Now()
+	if w.readySince.IsZero() {
+		w.readySince = time.Now()
 	}
 	w.checkInForce(revision)
-	if err := w.checkShown(ctx, p); err != nil {
-		w.run.changes.fail(errors.Annotate(err, "list of "+w.name))
+	if err := w.checkListing(ctx, p); err != nil {
+		w.run.changes.addError(errors.Annotate(err, "list of "+w.name))
 	}
 }
 
-// checkMonotone compares the revision with the one before, of the same life.
+// checkMonotone checks that the revision is not lower than the last one of the
+// same incarnation.
 func (w *watcher) checkMonotone(revision uint64) {
-	w.run.ledger.check(NeverReverts, revision >= w.revision, "%s went from revision %d back to %d", w.name, w.revision, revision)
+	w.run.findings.check(NeverReverts, revision >= w.revision, "%s went from revision %d back to %d", w.name, w.revision, revision)
 	w.revision = revision
 }
 
-// checkInForce compares the accepted changes with the revision applied by the
-// ready entry.
+// checkInForce checks that the revision applied by the ready entry includes every
+// change that was accepted more than inForceLimit ago.
 func (w *watcher) checkInForce(revision uint64) {
 	now := time.Now()
-	for _, c := range w.run.changes.after(w.next) {
+	for _, c := range w.run.changes.after(w.inForceCount) {
 		switch {
 		case revision >= c.revision:
-			w.run.ledger.check(InForceSoon, true, "")
-			if w.steady.Before(c.at) {
+			w.run.findings.check(InForceSoon, true, "")
+			if w.readySince.Before(c.at) {
 				w.run.changes.update(func() {
 					f := &w.run.changes.figures
 					f.InForceMaxMillis = max(f.InForceMaxMillis, now.Sub(c.at).Milliseconds())
 				})
 			}
-			w.next++
-		case now.Sub(c.at) > inForceLimit && w.late <= w.next:
-			w.late = w.next + 1
-			w.run.ledger.check(InForceSoon, false, "%s is ready and holds revision %d, %v after %d was accepted",
+			w.inForceCount++
+		case now.Sub(c.at) > inForceLimit && w.lateCount <= w.inForceCount:
+			w.lateCount = w.inForceCount + 1
+			w.run.findings.check(InForceSoon, false, "%s is ready and holds revision %d, %v after %d was accepted",
 				w.name, revision, now.Sub(c.at).Round(time.Millisecond), c.revision)
 			return
 		default:
@@ -105,27 +111,29 @@
 	}
 }
 
-// checkEnd finds what is not in force at the end, when every entry is up and has
-// had the time: an entry that knows of its lag is not ready, and would never be.
+// checkEnd reports the changes that are not in force at the end, after every entry
+// had the time to apply them. checkInForce misses those of an entry that detects
+// its lag, since such an entry is not ready.
 func (w *watcher) checkEnd() {
-	if lacking := w.run.changes.after(w.next); len(lacking) > 0 {
-		w.run.ledger.checks(InForceSoon, int64(len(lacking)), int64(len(lacking)),
-			"%s holds revision %d at the end and lacks %d accepted changes", w.name, w.revision, len(lacking))
+	if missing := w.run.changes.after(w.inForceCount); len(missing) > 0 {
+		w.run.findings.checkMany(InForceSoon, int64(len(missing)), int64(len(missing)),
+			"%s holds revision %d at the end and lacks %d accepted changes", w.name, w.revision, len(missing))
 	}
 }
 
-// listing is the part of OpenAI's list of models that is read.
-type listing struct {
-	Data []listed `json:"data"`
+// modelList is the part of OpenAI's list of models that the watcher reads.
+type modelList struct {
+	Data []modelEntry `json:"data"`
 }
 
-type listed struct {
+type modelEntry struct {
 	ID string `json:"id"`
 }
 
-// checkShown compares what callers are shown with what they were shown before.
-func (w *watcher) checkShown(ctx context.Context, p *starter.Process) error {
-	ctx, cancel := context.WithTimeout(ctx, attemptLimit)
+// checkListing fetches the entry's list of models and compares it with the last
+// one. Failed requests are ignored.
+func (w *watcher) checkListing(ctx context.Context, p *starter.Process) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.address+orderer.PathModels, http.NoBody)
 	if err != nil {
@@ -134,34 +142,35 @@
 	r.Header.Set(translator.HeaderAuthorization, "Bearer "+w.key)
 	answer, err := w.run.client.Do(r)
 	if err != nil {
-		return nil // An entry that was ended answers nothing.
+		return nil // An entry that has ended does not answer.
 	}
 	defer answer.Body.Close()
-	var l listing
+	var l modelList
 	if answer.StatusCode != http.StatusOK || json.NewDecoder(answer.Body).Decode(&l) != nil {
 		return nil
 	}
 	if w.run.deployment.Process(w.name) != p || !p.Ready() {
-		return nil // Another life answered, or one that is not to be asked.
+		return nil // The entry restarted meanwhile, or is no longer ready.
 	}
-	w.compareShown(l)
+	w.compareListing(l)
 	return nil
 }
 
-// compareShown looks for what callers were shown before and aren't now.
-func (w *watcher) compareShown(l listing) {
-	now := make(map[string]struct{}, len(l.Data))
+// compareListing checks that every marker version of the last list is still
+// listed.
+func (w *watcher) compareListing(l modelList) {
+	current := make(map[string]struct{}, len(l.Data))
 	for _, m := range l.Data {
 		if isMarker(m.ID) {
-			now[m.ID] = struct{}{}
+			current[m.ID] = struct{}{}
 		}
 	}
-	lacking := ""
-	for marker := range w.shown {
-		if _, ok := now[marker]; !ok {
-			lacking = marker
+	missing := ""
+	for marker := range w.lastListed {
+		if _, ok := current[marker]; !ok {
+			missing = marker
 		}
 	}
-	w.run.ledger.check(NeverReverts, lacking == "", "%s showed %s before, and lists %d without it", w.name, lacking, len(now))
-	w.shown = now
+	w.run.findings.check(NeverReverts, missing == "", "%s showed %s before, and lists %d without it", w.name, missing, len(current))
+	w.lastListed = current
 }
--- a/internal/standin/demonstrator/network.go
+++ b/internal/standin/demonstrator/network.go
@@ -10,43 +10,45 @@
 )
 
 // network carries the connections of a deployment through relays, one for each
-// pair of processes, so that what happens between hosts can be produced: it may
-// hold back what a host sends or is sent, slow it down, and forget connections
-// as a middle box does that lost track of them.
+// pair of a dialling process and an address, and injects network faults: it can
+// hold back or delay what a process sends or receives, and blackhole connections
+// as a middlebox does that drops connection state.
 //
-// What is held back is delivered late, as TCP does once packets pass again.
+// Data that is held back is delivered after the cut ends, as TCP does by
+// retransmission. network is safe for concurrent use.
 type network struct {
 	// done is closed by close.
-	done  chan struct{}
+	done chan struct{}
+	// pumps counts the goroutines of the relays.
 	pumps sync.WaitGroup
 
 	mu sync.Mutex
-	// owners names the process at each address; guarded by mu.
+	// owners maps each listening address to its process; guarded by mu.
 	owners map[string]string
-	// relays holds the open relays; guarded by mu.
+	// relays holds the open relays by route; guarded by mu.
 	relays map[route]*relay
-	// cuts holds the processes that are cut off; guarded by mu.
+	// cuts holds the directions cut for each process; guarded by mu.
 	cuts map[string]cut
-	// delays slow down what is sent to a process; guarded by mu.
+	// delays holds the delay of data sent to each process; guarded by mu.
 	delays map[string]time.Duration
 	// changed is closed and replaced when cuts or delays change; guarded by mu.
 	changed chan struct{}
 	closed  bool // guarded by mu
-	// dialling, if set, is called with the processes before each dial, so that a
-	// process can be ended at that very moment; guarded by mu.
-	dialling func(from, to string)
+	// beforeDial, if not nil, is called with the dialling and the dialled process
+	// before each dial, so that a test can act at that point; guarded by mu.
+	beforeDial func(from, to string)
 }
 
-// route is one direction of connecting.
+// route identifies a relay by the dialling process and the dialled address.
 type route struct {
 	from    string
 	address string
 }
 
-// cut says what is held back of one process. Both is a partition, one alone an
-// asymmetric link.
+// cut selects the directions in which the traffic of one process is held back:
+// both for a partition, one for an asymmetric link.
 type cut struct {
-	// outbound holds back what the process sends, inbound what it is sent.
+	// outbound holds back what the process sends, inbound what others send to it.
 	outbound bool
 	inbound  bool
 }
@@ -62,24 +64,24 @@
 	}
 }
 
-// own tells which process listens on an address.
-func (n *network) own(address, process string) {
+// setOwner records that process listens on an address.
+func (n *network) setOwner(address, process string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.owners[address] = process
 }
 
-// dialFrom returns the dialler of a process.
+// dialFrom returns the dial function of a process.
 func (n *network) dialFrom(process string) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		n.mu.Lock()
-		to, dialling := n.owners[address], n.dialling
+		to, beforeDial := n.owners[address], n.beforeDial
 		n.mu.Unlock()
-		if dialling != nil {
-			dialling(process, to)
+		if beforeDial != nil {
+			beforeDial(process, to)
 		}
-		// The packets that open a connection are lost in a cut of either way.
-		if err := n.await(ctx, process, to, true); err != nil {
+		// The handshake needs both directions, so a cut of either blocks it.
+		if err := n.waitUncut(ctx, process, to, true); err != nil {
 			return nil, errors.Trace(err)
 		}
 		r, err := n.relay(route{from: process, address: address}, to)
@@ -90,9 +92,10 @@
 	}
 }
 
-// front opens a relay for clients that dial by address, such as a companion's
-// to its engine, and returns the address for them.
-func (n *network) front(from, to, address string) (string, error) {
+// openRelay opens a relay to an address and returns the relay's own address. It
+// serves clients that dial by address and not through dialFrom, such as that of a
+// companion for its engine.
+func (n *network) openRelay(from, to, address string) (string, error) {
 	r, err := n.relay(route{from: from, address: address}, to)
 	if err != nil {
 		return "", errors.Trace(err)
@@ -100,7 +103,7 @@
 	return r.listener.Addr().String(), nil
 }
 
-// relay returns the relay of a route, opening it at its first use.
+// relay returns the relay of a route, and opens it on first use.
 func (n *network) relay(at route, to string) (*relay, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,65 +117,66 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	r := &relay{network: n, listener: l, from: at.from, to: to, target: at.address, dialled: make(chan net.Conn, 1)}
+	r := &relay{network: n, listener: l, from: at.from, to: to, target: at.address, pendingFar: make(chan net.Conn, 1)}
 	n.relays[at] = r
 	n.pumps.Go(r.accept)
 	return r, nil
 }
 
-// onDial has f called before each dial; nil ends that.
+// onDial sets the function that is called before each dial; nil removes it.
 func (n *network) onDial(f func(from, to string)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dialling = f
+	n.beforeDial = f
 }
 
-// setCut cuts a process off; the zero cut mends it.
+// setCut holds back traffic of a process; the zero cut ends this.
 func (n *network) setCut(process string, c cut) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[process] = c
-	n.change()
+	n.signalChange()
 }
 
-// setDelay slows down what is sent to a process; 0 ends it.
+// setDelay delays data sent to a process by d per read of a relay; 0 ends this.
 func (n *network) setDelay(process string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delays[process] = d
-	n.change()
+	n.signalChange()
 }
 
-// change wakes who waits for a cut to end. The caller holds mu.
-func (n *network) change() {
+// signalChange wakes the goroutines in waitUncut. The caller holds mu.
+func (n *network) signalChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// forget has all connections open now between the processes that match deliver
-// nothing more either way, not even their end. New ones work. It returns the
-// number of connections.
-func (n *network) forget(match func(from, to string) bool) int {
+// blackhole makes the open connections between matching processes discard all
+// data in both directions, including the end of the connection. New connections
+// are not affected. It returns the number of connections.
+func (n *network) blackhole(match func(from, to string) bool) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
 	for _, r := range n.relays {
 		if match(r.from, r.to) {
-			count += r.forget()
+			count += r.blackhole()
 		}
 	}
 	return count
 }
 
-// await waits until what sender sends receiver passes, with bothWays also the
-// opposite.
-func (n *network) await(ctx context.Context, sender, receiver string, bothWays bool) error {
+// waitUncut waits until no cut blocks traffic from sender to receiver and, with
+// bothWays, from receiver to sender. It returns an error when ctx ends or the
+// network is closed.
+func (n *network) waitUncut(ctx context.Context, sender, receiver string, bothWays bool) error {
 	for {
 		n.mu.Lock()
 		s, r, changed := n.cuts[sender], n.cuts[receiver], n.changed
 		n.mu.Unlock()
-		held := s.outbound || r.inbound || bothWays && (s.inbound || r.outbound)
-		if !held {
+		blocked := s.outbound || r.inbound || bothWays && (s.inbound || r.outbound)
+		if !blocked {
 			return nil
 		}
 		select {
@@ -185,8 +189,9 @@
 	}
 }
 
-// slow waits for the delay of what is sent to the receiver.
-func (n *network) slow(receiver string) {
+// delay sleeps for the delay of data sent to receiver, or until the network is
+// closed.
+func (n *network) delay(receiver string) {
 	n.mu.Lock()
 	d := n.delays[receiver]
 	n.mu.Unlock()
@@ -201,7 +206,8 @@
 	}
 }
 
-// close ends all connections and waits.
+// close closes all relays with their connections and waits for their goroutines.
+// Further calls do nothing.
 func (n *network) close() {
 	n.mu.Lock()
 	if n.closed {
--- a/internal/standin/demonstrator/operating_test.go
+++ b/internal/standin/demonstrator/operating_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// Symptom: an alarm names a metric of which no page tells what to do. Sequence: a
-// part gains a metric. Cause: nobody compares the page with the processes.
+// Guards against an alarm on a metric that the operating page does not explain,
+// because a metric was added without documentation.
 var _ = Describe("OPERATING.md", func() {
-	It("names every metric that the processes show", func() {
+	It("names every metric that the processes export", func() {
 		page, err := os.ReadFile("../../../docs/OPERATING.md")
 		Expect(err).NotTo(HaveOccurred())
 		d, err := NewDeployment(Settings{Entries: 1, Engines: 1, Services: 1, Folder: GinkgoT().TempDir()})
--- a/internal/standin/demonstrator/overhead_benchmark_test.go
+++ b/internal/standin/demonstrator/overhead_benchmark_test.go
@@ -17,9 +17,10 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/driver"
 )
 
-// overheadRun is a deployment of one entry and one engine whose work takes next
-// to no time, so that what is left is the path's own.
-func overheadRun(b *testing.B) (through, direct, key string) {
+// startOverheadDeployment starts a deployment of one entry and one engine whose work takes
+// almost no time, so that the measured time is that of the path. It returns the
+// addresses of the entry and the engine, and a caller's key.
+func startOverheadDeployment(b *testing.B) (through, direct, key string) {
 	b.Helper()
 	w := driver.Peachtree().WithAdapters(5)
 	r := demonstrator.Run{
@@ -59,12 +60,12 @@
 	return nil
 }
 
-// BenchmarkPathOverhead1Token compares a whole answer of one token from the
-// stand-in engine directly and through entry and companion. The difference of
-// the quantiles is what the path adds; time per operation, allocations and bytes
-// are those of all that runs in the process, client and stand-in included.
+// BenchmarkPathOverhead1Token compares a complete answer of one token from the
+// stand-in engine directly with one through entry and companion. The difference
+// of the quantiles is the overhead of the path. Time per operation, allocations
+// and bytes include the client and the stand-in, which run in the same process.
 func BenchmarkPathOverhead1Token(b *testing.B) {
-	through, direct, key := overheadRun(b)
+	through, direct, key := startOverheadDeployment(b)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	for range 50 {
 		if err := call(client, through, key); err != nil {
--- a/internal/standin/demonstrator/ports.go
+++ b/internal/standin/demonstrator/ports.go
@@ -8,22 +8,26 @@
 	"github.com/juju/errors"
 )
 
-// ports reserves loopback addresses before the processes start, since each
-// process's settings name the others' addresses.
+// ports reserves loopback addresses before the processes start, since the
+// settings of each process contain the addresses of others. It is safe for
+// concurrent use.
 type ports struct {
 	mu sync.Mutex
-	// reserved holds the open listeners not yet taken, by address; guarded by mu.
+	// reserved holds the open listeners that no process uses yet, by address;
+	// guarded by mu.
 	reserved map[string]net.Listener
-	// next is the next port, or 0 for any free ones; guarded by mu.
+	// next is the next port, or 0 for any free port; guarded by mu.
 	next int
 }
 
-// newPorts reserves ports from first on, or any free ones where first is 0.
+// newPorts returns a ports that reserves consecutive ports from first, or any
+// free ports if first is 0.
 func newPorts(first int) *ports {
 	return &ports{reserved: make(map[string]net.Listener), next: first}
 }
 
-// reserve returns a free address that stays taken until listen.
+// reserve opens a listener and returns its address. The listener stays open
+// until listen returns it or close closes it.
 func (p *ports) reserve() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,8 +42,8 @@
 	return l.Addr().String(), nil
 }
 
-// listen hands out the reserved listener, or opens the address anew for a
-// process that restarts.
+// listen returns the reserved listener of an address, or a new one if the
+// reserved one was already returned, as for a process that restarts.
 func (p *ports) listen(address string) (net.Listener, error) {
 	p.mu.Lock()
 	l, ok := p.reserved[address]
@@ -51,7 +55,7 @@
 	return net.Listen("tcp", address)
 }
 
-// close frees what was reserved and never taken.
+// close closes the reserved listeners that listen has not returned.
 func (p *ports) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/demonstrator/relay.go
+++ b/internal/standin/demonstrator/relay.go
@@ -10,10 +10,11 @@
 	"github.com/juju/errors"
 )
 
-// relayBuffer is the most bytes that a relay passes on at once.
-const relayBuffer = 32 << 10
+// relayBufferBytes is the largest number of bytes that a relay forwards at once.
+const relayBufferBytes = 32 << 10
 
-// relay passes on the connections of one process to one address.
+// relay forwards the connections of one process to one address. It is safe for
+// concurrent use.
 type relay struct {
 	network  *network
 	listener net.Listener
@@ -21,10 +22,11 @@
 	to       string
 	target   string
 
-	// dialling lets one dialler at a time hand over its connection.
-	dialling sync.Mutex
-	// dialled holds the far half of a connection whose near half is being made.
-	dialled chan net.Conn
+	// dialMu serializes dialling through the relay.
+	dialMu sync.Mutex
+	// pendingFar holds the connection to the target while the dialler connects to
+	// the listener.
+	pendingFar chan net.Conn
 
 	mu sync.Mutex
 	// pairs holds the open connections; guarded by mu.
@@ -32,24 +34,25 @@
 	closed bool // guarded by mu
 }
 
-// pair is one connection through a relay.
+// pair is one connection through a relay: near is its side to the dialler, far
+// that to the target.
 type pair struct {
-	near      net.Conn
-	far       net.Conn
-	forgotten atomic.Bool
+	near       net.Conn
+	far        net.Conn
+	blackholed atomic.Bool
 }
 
-// dial connects through the relay. The far half is made first: a host that
-// refuses connections must refuse the dialler too.
+// dial connects through the relay. It connects to the target first, so that the
+// dialler gets the error if the target refuses the connection.
 func (r *relay) dial(ctx context.Context) (net.Conn, error) {
 	far, err := (&net.Dialer{}).DialContext(ctx, "tcp", r.target)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	r.dialling.Lock()
-	defer r.dialling.Unlock()
+	r.dialMu.Lock()
+	defer r.dialMu.Unlock()
 	select {
-	case r.dialled <- far:
+	case r.pendingFar <- far:
 	case <-r.network.done:
 		_ = far.Close()
 		return nil, errors.New("the network is closed")
@@ -57,7 +60,7 @@
 	near, err := (&net.Dialer{}).DialContext(ctx, "tcp", r.listener.Addr().String())
 	if err != nil {
 		select {
-		case <-r.dialled:
+		case <-r.pendingFar:
 		default:
 		}
 		_ = far.Close()
@@ -66,14 +69,14 @@
 	return near, nil
 }
 
-// accept serves the near halves until the relay closes.
+// accept serves the connections of diallers until the relay is closed.
 func (r *relay) accept() {
 	for {
 		near, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := r.farHalf()
+		far, err := r.farConn()
 		if err != nil {
 			_ = near.Close()
 			continue
@@ -82,10 +85,11 @@
 	}
 }
 
-// farHalf returns the connection that a dialler made, or a new one.
-func (r *relay) farHalf() (net.Conn, error) {
+// farConn returns the connection to the target that dial made, or a new one for a
+// client that connected to the listener directly.
+func (r *relay) farConn() (net.Conn, error) {
 	select {
-	case far := <-r.dialled:
+	case far := <-r.pendingFar:
 		return far, nil
 	default:
 		return (&net.Dialer{}).DialContext(context.Background(), "tcp", r.target)
@@ -115,34 +119,36 @@
 	})
 }
 
-// pump passes on what sender sends, until it ends.
+// pump forwards data of sender from one side to the other until the connection
+// ends or the network is closed.
 func (r *relay) pump(p *pair, to, from net.Conn, sender, receiver string) {
-	buffer := make([]byte, relayBuffer)
+	buffer := make([]byte, relayBufferBytes)
 	for {
-		count, ended := from.Read(buffer)
-		if err := r.network.await(context.Background(), sender, receiver, false); err != nil {
+		count, readErr := from.Read(buffer)
+		if err := r.network.waitUncut(context.Background(), sender, receiver, false); err != nil {
 			return
 		}
-		r.network.slow(receiver)
+		r.network.delay(receiver)
 		switch {
-		case p.forgotten.Load() && ended != nil:
-			return // The other end isn't told.
-		case p.forgotten.Load():
+		case p.blackholed.Load() && readErr != nil:
+			return // A blackholed connection does not propagate its end.
+		case p.blackholed.Load():
 			continue
 		}
 		if _, err := to.Write(buffer[:count]); err != nil {
 			_ = from.Close()
 			return
 		}
-		if ended != nil {
-			end(to, ended)
+		if readErr != nil {
+			propagateEnd(to, readErr)
 			return
 		}
 	}
 }
 
-// end tells the end of a connection to the other side.
-func end(to net.Conn, cause error) {
+// propagateEnd closes the other side of a connection after a read failed with
+// cause: half-closes it after EOF, closes it otherwise.
+func propagateEnd(to net.Conn, cause error) {
 	tcp, ok := to.(*net.TCPConn)
 	if ok && errors.Is(cause, io.EOF) {
 		_ = tcp.CloseWrite()
@@ -151,12 +157,13 @@
 	_ = to.Close()
 }
 
-// forget has the connections open now deliver nothing more.
-func (r *relay) forget() int {
+// blackhole makes the open connections discard all further data and returns their
+// number.
+func (r *relay) blackhole() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.pairs {
-		p.forgotten.Store(true)
+		p.blackholed.Store(true)
 	}
 	return len(r.pairs)
 }
@@ -170,7 +177,7 @@
 		p.close()
 	}
 	select {
-	case far := <-r.dialled:
+	case far := <-r.pendingFar:
 		_ = far.Close()
 	default:
 	}
--- a/internal/standin/demonstrator/run.go
+++ b/internal/standin/demonstrator/run.go
@@ -14,45 +14,47 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// readyLimit bounds the start of a deployment.
-const readyLimit = 20 * time.Second
+// readyTimeout bounds each of the waits for a new deployment: until its processes
+// are ready and until its entries list the declared adapters.
+const readyTimeout = 20 * time.Second
 
-// Run describes one deployment driven by one workload.
+// Run describes one deployment under the load of one workload.
 type Run struct {
 	Workload driver.Workload
-	// Entries, Engines and Services size the deployment; 0 means the workload's
-	// own sizes.
+	// Entries, Engines and Services are the numbers of processes of each kind; 0
+	// means the number in the workload.
 	Entries  int
 	Engines  int
 	Services int
-	// Slots and MaxBatch are those of each engine; 0 means the stand-in's.
+	// Slots and MaxBatch apply to each engine; 0 means the stand-in's default.
 	Slots    int
 	MaxBatch int
-	// TimeScale is the length of a second of the workload, in seconds.
+	// TimeScale is the duration of one second of the workload, in seconds.
 	TimeScale float64
 	Duration  time.Duration
-	// WarmUp is the part of Duration that is checked and not measured.
+	// WarmUp is the initial part of Duration whose calls are checked but not
+	// measured.
 	WarmUp time.Duration
 	Seed   uint64
-	// Policy is how entries choose and companions evict: the baselines evict the
-	// version used longest ago.
+	// Policy selects how entries choose backend servers and companions evict
+	// versions: the baseline policies evict the least recently used version.
 	Policy configurer.Policy
-	// RateScale multiplies the calls beyond the deployment's part of the
-	// workload's engines; 0 means 1.
+	// RateScale multiplies the call rate, which is already scaled by the ratio of
+	// the deployment's engines to the workload's; 0 means 1.
 	RateScale float64
 	Folder    string
 	Label     string
 	Progress  func(driver.Progress)
-	// Keys are the callers' keys; none means new ones.
+	// Keys are the callers' keys; nil means that new ones are generated.
 	Keys []driver.WorkspaceKey
-	// FirstPort is that of the deployment's settings.
+	// FirstPort is passed to Settings.FirstPort.
 	FirstPort int
-	// Log is the log of all processes; the zero value drops it.
+	// Log receives the log of all processes; the zero value discards it.
 	Log zerolog.Logger
 }
 
-// deployment returns the settings of the deployment.
-func (r Run) deployment() Settings {
+// deploymentSettings returns the settings of the deployment for this run.
+func (r Run) deploymentSettings() Settings {
 	size := r.Workload.Size
 	s := Settings{Entries: r.Entries, Engines: r.Engines, Services: r.Services, Folder: r.Folder, Seed: r.Seed, FirstPort: r.FirstPort, Log: r.Log}
 	if s.Entries == 0 {
@@ -71,15 +73,16 @@
 	s.Store.Rate, s.Store.TimeScale = size.LoadsPerSecond, r.TimeScale
 	s.Control.StoreRate = float64(size.LoadsPerSecond) / r.TimeScale
 	s.Service.Name = r.Workload.Service.Name
-	s.Entry = r.entry()
+	s.Entry = r.entrySettings()
 	if r.Policy != configurer.PolicyMarigold {
 		s.Eviction = loader.PolicyLeastRecentlyUsed
 	}
 	return s
 }
 
-// entry returns the settings that the two deployments' weights stand in.
-func (r Run) entry() configurer.EntrySettings {
+// entrySettings returns the entry settings with the policy and the weights of
+// the workload's deployment.
+func (r Run) entrySettings() configurer.EntrySettings {
 	e := configurer.EntrySettings{Policy: r.Policy, StallWeight: 4, BatchWeight: 1}
 	if r.Workload.Name == driver.AgenziaName {
 		e.StallWeight, e.BatchWeight = 1, 4
@@ -87,7 +90,8 @@
 	return e
 }
 
-// Driver returns the settings of the driver for a running deployment.
+// driver returns the settings of the load driver for a running
+// deployment.
 func (r Run) driver(d *Deployment, keys []driver.WorkspaceKey) driver.Settings {
 	rate := r.RateScale
 	if rate == 0 {
@@ -117,9 +121,10 @@
 }
 
 // Prepare starts the deployment and declares the workload through its operator
-// API. The deployment must be closed.
+// API. It writes a line about the declaration to out. The caller must close the
+// returned deployment.
 func (r Run) Prepare(ctx context.Context, out io.Writer) (*Deployment, []driver.WorkspaceKey, error) {
-	d, err := NewDeployment(r.deployment()) //nolint:contextcheck // Close ends it.
+	d, err := NewDeployment(r.deploymentSettings()) //nolint:contextcheck // Close ends it.
 	if err != nil {
 		return nil, nil, errors.Trace(err)
 	}
@@ -132,7 +137,7 @@
 }
 
 func (r Run) declare(ctx context.Context, d *Deployment, out io.Writer) ([]driver.WorkspaceKey, error) {
-	ready, cancel := context.WithTimeout(ctx, readyLimit)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := d.Ready(ready); err != nil {
 		return nil, errors.Trace(err)
@@ -149,18 +154,19 @@
 	}
 	fmt.Fprintf(out, "declared %d adapters in %d changes, accepted in %v\n",
 		r.Workload.Adapters(), accepted, time.Since(began).Round(time.Millisecond))
-	return keys, errors.Trace(r.inForce(ctx, d, keys))
+	return keys, errors.Trace(r.waitAdaptersListed(ctx, d, keys))
 }
 
-// inForce waits until every entry serves what was declared. Comparing the
-// entries' revisions would not do: entries that are equally behind agree.
-func (r Run) inForce(ctx context.Context, d *Deployment, keys []driver.WorkspaceKey) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+// waitAdaptersListed waits until every entry lists the declared adapters.
+// Comparing the entries' revisions is not enough: entries that lag by the same
+// amount have equal revisions.
+func (r Run) waitAdaptersListed(ctx context.Context, d *Deployment, keys []driver.WorkspaceKey) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	return driver.AwaitInForce(ctx, &r.Workload, keys, d.entries())
 }
 
-// entries returns the entries as the driver reaches them.
+// entries returns the entries' addresses for the driver.
 func (d *Deployment) entries() []driver.Entry {
 	operators := d.OperatorAddresses()
 	var entries []driver.Entry
@@ -170,7 +176,8 @@
 	return entries
 }
 
-// Drive runs the workload against a prepared deployment.
+// Drive runs the workload against a prepared deployment and returns the driver's
+// report.
 func (r Run) Drive(ctx context.Context, d *Deployment, keys []driver.WorkspaceKey) (*driver.Report, error) {
 	load, err := driver.NewDriver(r.driver(d, keys))
 	if err != nil {
--- a/internal/standin/demonstrator/sealed.go
+++ b/internal/standin/demonstrator/sealed.go
@@ -11,20 +11,22 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/sealer"
 )
 
-// certificatesFolder stands beside the data folders.
+// certificatesFolder is the name of the folder, next to the data folders, that
+// holds certificates and keys.
 const certificatesFolder = "certificates"
 
-// authority signs the certificates of a deployment's processes.
+// authority signs the certificates of a deployment's processes and writes them to
+// a folder.
 type authority struct {
 	*sealer.Authority
 	folder string
 }
 
-// file returns the path of a file in the folder of the certificates.
+// file returns the path of a file in the certificates' folder.
 func (a *authority) file(name string) string { return filepath.Join(a.folder, name) }
 
-// startAuthority makes the authority of a sealed deployment.
-func (d *Deployment) startAuthority() error {
+// createAuthority creates the certificate authority if the deployment is sealed.
+func (d *Deployment) createAuthority() error {
 	if !d.settings.Sealed {
 		return nil
 	}
@@ -43,8 +45,8 @@
 	return pair.Write(d.authority.file("authority.pem"), d.authority.file("authority.key"))
 }
 
-// certify gives a process of a sealed deployment its certificate. Called again it
-// replaces the certificate.
+// certify issues a certificate for a process and sets its file names in c, if the
+// deployment is sealed. A further call replaces the certificate.
 func (d *Deployment) certify(c *configurer.Settings) error {
 	if d.authority == nil {
 		return nil
--- a/internal/standin/demonstrator/sealed_test.go
+++ b/internal/standin/demonstrator/sealed_test.go
@@ -16,18 +16,18 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/sealer"
 )
 
-// dispatchAs sends a companion a dispatch over a connection of one's own.
+// dispatchAs sends a dispatch to a companion over the given connection.
 func dispatchAs(ctx context.Context, network net.Conn) error {
 	c := messenger.NewConn(network, messenger.Settings{}) //nolint:contextcheck // Close ends it.
 	defer c.Close()
 	return c.Call(ctx, messenger.MethodDispatch, messenger.Dispatch{Request: "forged", Attempt: 1}, nil)
 }
 
-// Symptom: requests run that no entry took, and cost engines and limits of
-// workspaces. Sequence: something that reaches a companion's listener connects
-// and dispatches. Cause: processes took each other at their address.
+// Guards against requests that run without having been accepted by an entry, and
+// use up engines and the limits of workspaces: any client that can reach a
+// companion's listener could dispatch if processes trusted each other by address.
 var _ = Describe("a sealed deployment", func() {
-	It("serves, survives a change of certificates, and takes nothing from others", func(ctx SpecContext) {
+	It("serves, accepts renewed certificates, and rejects dispatches of other clients", func(ctx SpecContext) {
 		folder, err := os.MkdirTemp("", "sealed")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(os.RemoveAll, folder)
@@ -48,8 +48,8 @@
 		answered := func(path, key, body string) {
 			GinkgoHelper()
 			t := post(ctx, f, 0, path, key, body)
-			for t.Outcome == notRunOutcome && wait(ctx, testPause) {
-				// The entry may not know yet of all backend servers.
+			for t.Outcome == notRunOutcome && sleep(ctx, testPause) {
+				// The entry may not have learned yet of all backend servers.
 				t = post(ctx, f, 0, path, key, body)
 			}
 			Expect(t.Failure).NotTo(HaveOccurred())
--- a/internal/standin/demonstrator/settings.go
+++ b/internal/standin/demonstrator/settings.go
@@ -18,16 +18,18 @@
 	DefaultEntries  = 3
 	DefaultEngines  = 6
 	DefaultServices = 1
-	// DefaultServiceName is the name of the plain service, shared by all
-	// workspaces.
+	// DefaultServiceName is the name of the plain service, which all workspaces
+	// share.
 	DefaultServiceName = "desk"
 	// DefaultBaseModel is the base model of all engines.
 	DefaultBaseModel = "base"
-	// DefaultOrderLife is short: the stand-in engine ends its loads within it.
+	// DefaultOrderLife is short because the stand-in engine completes its loads
+	// within it.
 	DefaultOrderLife = time.Second
 )
 
-// Settings are the options of a deployment. The zero value means the defaults.
+// Settings are the options of a deployment. A zero value of a field means its
+// default, except for Folder.
 type Settings struct {
 	// Entries is the number of hosts with the roles Entry and Control, each in a
 	// failure domain of its own; DefaultEntries by default.
@@ -37,34 +39,34 @@
 	// Services is the number of backend servers of the plain service;
 	// DefaultServices by default.
 	Services int
-	// Folder holds the data folders. Required.
+	// Folder is the parent of the processes' data folders. Required.
 	Folder string
-	// FirstPort makes the addresses known beforehand: the control hosts' come
-	// first, then each entry's for callers and operators, then each companion's
-	// for entries and operators. 0 takes any free ports.
+	// FirstPort is the first of the consecutive ports of the deployment, so that
+	// addresses are known before the start: first those of the control hosts, then
+	// each entry's ports for callers and operators, then each companion's ports
+	// for entries and operators. 0 means any free ports.
 	FirstPort int
-	// Engine, Store and Service are the stand-ins' settings; the weight store's
-	// address and the seeds are filled in.
+	// Engine, Store and Service are the settings of the stand-ins; NewDeployment
+	// fills in the weight store's address and the seeds.
 	Engine  generator.Settings
 	Store   weigher.Settings
 	Service responder.Settings
-	// Entry, Control and Companion are the processes' settings; addresses and
-	// names are filled in.
+	// Entry, Control, Companion and Stop are the settings of the processes;
+	// NewDeployment fills in addresses and names.
 	Entry     configurer.EntrySettings
 	Control   configurer.ControlSettings
 	Companion configurer.CompanionSettings
 	Stop      configurer.StopSettings
-	// Eviction is the companions' slot policy.
+	// Eviction is the companions' policy for evicting versions from slots.
 	Eviction loader.Policy
-	// Relays puts relays between the processes, through which faults of the
-	// network are produced.
+	// Relays routes the connections between processes through relays, which can
+	// inject network faults.
 	Relays bool
-	// Sealed gives the processes certificates, by which they authenticate each
-	// other.
+	// Sealed makes the processes authenticate each other with certificates.
 	Sealed bool
-	// Seed seeds all random sources; 0 means 1.
+	// Seed is the seed of all random sources; 0 means 1.
 	Seed uint64
-	// Log is the log of all processes; the zero value drops it.
+	// Log receives the log of all processes; the zero value discards it.
 	Log zerolog.Logger
 }
 
--- a/internal/standin/demonstrator/suite_test.go
+++ b/internal/standin/demonstrator/suite_test.go
@@ -14,7 +14,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/driver"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func TestDemonstrator(t *testing.T) {
 	RegisterFailHandler(Fail)
@@ -22,13 +22,13 @@
 }
 
 const (
-	// testLimit bounds what a test waits for; it is no measure of speed.
+	// testLimit bounds the waits of a test; it is not a performance requirement.
 	testLimit = 60 * time.Second
 	testPause = 5 * time.Millisecond
 )
 
-// deploy runs a small deployment with relays, which ends with the spec or its
-// container.
+// deploy starts a small deployment with relays and the declared workload. It is
+// closed at the end of the spec or its container.
 func deploy(ctx context.Context) (*faultRun, *Deployment) {
 	folder, err := os.MkdirTemp("", "demonstrator")
 	Expect(err).NotTo(HaveOccurred())
@@ -49,7 +49,8 @@
 	return f, d
 }
 
-// restarted starts processes that are down and waits until all is ready.
+// restarted starts processes that are down and waits until all processes are
+// ready.
 func restarted(ctx context.Context, f *faultRun, names ...string) {
 	GinkgoHelper()
 	Expect(f.restart(ctx, names...)).To(Succeed())
