--- a/internal/protocol/translator/completion.go
+++ b/internal/protocol/translator/completion.go
@@ -52,7 +52,7 @@
 // Completion is a parsed chat or completion request.
 type Completion struct {
 	Kind   messenger.CallKind
-	Model  ModelName
+	Model  Name
 	Stream bool
 	// MaxTokens is the maximum number of tokens of the answer; 0 means unspecified.
 	MaxTokens int64
--- a/internal/protocol/translator/name.go
+++ b/internal/protocol/translator/name.go
@@ -9,9 +9,9 @@
 // MaxNameBytes is the maximum length of the name of a workspace, an adapter or a version.
 const MaxNameBytes = 128
 
-// ModelName is the model name in a request: WORKSPACE/ADAPTER or
+// Name is the model name in a request: WORKSPACE/ADAPTER or
 // WORKSPACE/ADAPTER@VERSION.
-type ModelName struct {
+type Name struct {
 	Workspace string
 	Adapter   string
 	// Version is empty if the version is determined by the operators.
@@ -19,7 +19,7 @@
 }
 
 // String returns the name in the form used in requests.
-func (n ModelName) String() string {
+func (n Name) String() string {
 	if n.Version == "" {
 		return n.Workspace + "/" + n.Adapter
 	}
@@ -27,13 +27,13 @@
 }
 
 // ParseModelName parses a model name.
-func ParseModelName(text string) (ModelName, error) {
+func ParseModelName(text string) (Name, error) {
 	workspace, rest, ok := strings.Cut(text, "/")
 	adapter, version, versioned := strings.Cut(rest, "@")
 	if !ok || !isValidPart(workspace) || !isValidPart(adapter) || versioned && !isValidPart(version) {
-		return ModelName{}, errors.NotValidf("model %.300q, which is not WORKSPACE/ADAPTER or WORKSPACE/ADAPTER@VERSION,", text)
+		return Name{}, errors.NotValidf("model %.300q, which is not WORKSPACE/ADAPTER or WORKSPACE/ADAPTER@VERSION,", text)
 	}
-	return ModelName{Workspace: workspace, Adapter: adapter, Version: version}, nil
+	return Name{Workspace: workspace, Adapter: adapter, Version: version}, nil
 }
 
 func isValidPart(part string) bool {
--- a/internal/protocol/translator/translator_test.go
+++ b/internal/protocol/translator/translator_test.go
@@ -21,7 +21,7 @@
 			"model": "town/lyrics", "messages": [{"role": "user", "content": [{"type": "text", "text": "?"}]}],
 			"priority": -9, "logit_bias": {"7": 1}, "temperature": 0.50, "max_tokens": 10, "max_completion_tokens": 20}`))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(c.Model).To(Equal(translator.ModelName{Workspace: "town", Adapter: "lyrics"}))
+		Expect(c.Model).To(Equal(translator.Name{Workspace: "town", Adapter: "lyrics"}))
 		Expect(c.MaxTokens).To(Equal(int64(20)))
 		body, err := c.EngineBody("town/lyrics@3", 7)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/standin/demonstrator/faultoperator.go
+++ b/internal/standin/demonstrator/faultoperator.go
@@ -121,7 +121,7 @@
 	}
 	o.changes.accept(change{
 		revision: r.document.Metadata.Revision, at: time.Now(),
-		marker: translator.ModelName{Workspace: o.workspace, Adapter: markerName, Version: name}.String(),
+		marker: translator.Name{Workspace: o.workspace, Adapter: markerName, Version: name}.String(),
 	}, false)
 	return nil
 }
--- a/internal/transport/gatekeeper/models.go
+++ b/internal/transport/gatekeeper/models.go
@@ -36,7 +36,7 @@
 	for _, m := range x.entry.settings.Index.Models(workspace) {
 		list.Data = append(list.Data, bodyOf(workspace, m.Name, m))
 		if m.Current {
-			name := translator.ModelName{Workspace: workspace, Adapter: m.Adapter}
+			name := translator.Name{Workspace: workspace, Adapter: m.Adapter}
 			list.Data = append(list.Data, bodyOf(workspace, name.String(), m))
 		}
 	}
--- a/internal/transport/gatekeeper/resolve.go
+++ b/internal/transport/gatekeeper/resolve.go
@@ -23,7 +23,7 @@
 }
 
 // resolve finds the version for the requested name.
-func (x *exchange) resolve(name translator.ModelName) (indexer.Target, *translator.Fault) {
+func (x *exchange) resolve(name translator.Name) (indexer.Target, *translator.Fault) {
 	if name.Workspace != x.holder.Workspace {
 		return indexer.Target{}, unknownModel(name.String())
 	}
