--- a/internal/coordination/loader/doc.go
+++ b/internal/coordination/loader/doc.go
@@ -16,10 +16,10 @@
 //
 // # Bounds
 //
-// When a request for a version without a slot has waited for Settings.Patience, one
-// resident version is closed: it takes no new pins and is evicted at its last unpin,
-// even if requests wait for it. The wait for a slot is therefore bounded by Patience,
-// the longest request in progress, and the preceding loads.
+// When a request for a version without a slot has waited for Settings.SlotWaitTimeout,
+// one resident version is closed: it takes no new pins and is evicted at its last unpin,
+// even if requests wait for it. The wait for a slot is therefore bounded by
+// SlotWaitTimeout, the longest request in progress, and the preceding loads.
 //
 // Durations are measured by the times passed in, which must not decrease.
 package loader
--- a/internal/coordination/loader/plan.go
+++ b/internal/coordination/loader/plan.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// plan requests permits as far as slots can be made available, and closes resident
-// versions when the patience of waiting requests has run out.
+// plan requests permits for the loads that can get a slot, and closes resident versions
+// when requests have waited for a slot for Settings.SlotWaitTimeout.
 func (t *Table) plan(now time.Time, actions []Action) []Action {
 	if !t.needsPlanning(now) {
 		return actions
@@ -184,8 +184,9 @@
 	return a.name < b.name
 }
 
-// updateClosing closes a resident version for each pending version whose patience has
-// run out, and reopens versions that no longer need to be closed.
+// updateClosing closes a resident version for each pending version whose oldest request
+// has waited for Settings.SlotWaitTimeout, and reopens versions that no longer need to be
+// closed.
 //
 // Otherwise versions with a steady stream of requests would keep their slots forever,
 // and requests for other versions would never run.
@@ -194,7 +195,7 @@
 	needed := 0
 	for _, name := range sortedKeys(t.waiting) {
 		v := t.waiting[name]
-		if !v.pending(now) || now.Sub(v.oldest()) < t.settings.Patience {
+		if !v.pending(now) || now.Sub(v.oldest()) < t.settings.SlotWaitTimeout {
 			continue
 		}
 		needed++
@@ -228,13 +229,13 @@
 }
 
 // closable returns the resident version to close for v, or nil. Candidates are versions
-// that v may replace and that have been resident for at least Settings.Patience; the
-// longest resident is preferred.
+// that v may replace and that have been resident for at least Settings.SlotWaitTimeout;
+// the longest resident is preferred.
 func (t *Table) closable(now time.Time, v *version, f fairness) *version {
 	var best *version
 	for _, other := range t.slotted {
 		if other.phase != PhaseResident || other.closing || !f.mayReplace(v, other) ||
-			now.Sub(other.residentSince) < t.settings.Patience {
+			now.Sub(other.residentSince) < t.settings.SlotWaitTimeout {
 			continue
 		}
 		if best == nil || closesBefore(other, best, f) {
--- a/internal/coordination/loader/property_test.go
+++ b/internal/coordination/loader/property_test.go
@@ -45,8 +45,8 @@
 			Slots: m.slots, Prefetch: rapid.Bool().Draw(t, "prefetch"),
 			MaxPermits: rapid.IntRange(1, 3).Draw(t, "permits"),
 			// Short, so that resident versions are closed often.
-			Patience: 2 * time.Second,
-			Policy:   Policy(rapid.IntRange(0, 1).Draw(t, "policy")),
+			SlotWaitTimeout: 2 * time.Second,
+			Policy:          Policy(rapid.IntRange(0, 1).Draw(t, "policy")),
 		}, 1, rand.New(rand.NewPCG(1, 2)))
 		steps := map[string]func(*rapid.T){
 			"": m.check, "want": m.want, "pin": m.pin, "drop": m.release, "permit": m.permit,
@@ -251,7 +251,7 @@
 // settle makes the engine and the store work without faults, with each request holding
 // its pin for one second, and checks that all requests end.
 func (m *model) settle() {
-	bound := m.now.Add(time.Duration(len(m.waiting)+2) * (DefaultPatience + 35*time.Second))
+	bound := m.now.Add(time.Duration(len(m.waiting)+2) * (DefaultSlotWaitTimeout + 35*time.Second))
 	for len(m.waiting) > 0 {
 		if m.now.After(bound) {
 			m.t.Fatalf("unserved: %v in %+v", m.waiting, m.table.Residencies(nil))
--- a/internal/coordination/loader/settings.go
+++ b/internal/coordination/loader/settings.go
@@ -5,7 +5,7 @@
 // Defaults of Settings.
 const (
 	DefaultHalfLife        = time.Minute
-	DefaultPatience        = 10 * time.Second
+	DefaultSlotWaitTimeout = 10 * time.Second
 	DefaultAssumedLoadTime = time.Second
 	DefaultBackoffInitial  = time.Second
 	DefaultBackoffMax      = 30 * time.Second
@@ -23,9 +23,9 @@
 	Policy Policy
 	// HalfLife is the half-life of the measured demand; DefaultHalfLife by default.
 	HalfLife time.Duration
-	// Patience is how long requests without a slot wait for resident versions that have
-	// requests of their own; DefaultPatience by default.
-	Patience time.Duration
+	// SlotWaitTimeout is how long requests without a slot wait before a resident version
+	// that has requests of its own is closed; DefaultSlotWaitTimeout by default.
+	SlotWaitTimeout time.Duration
 	// AssumedLoadTime is the expected load time of a version that has not been loaded
 	// before; DefaultAssumedLoadTime by default.
 	AssumedLoadTime time.Duration
@@ -51,7 +51,7 @@
 		panic("loader: settings without slots")
 	}
 	setDefault(&s.HalfLife, DefaultHalfLife)
-	setDefault(&s.Patience, DefaultPatience)
+	setDefault(&s.SlotWaitTimeout, DefaultSlotWaitTimeout)
 	setDefault(&s.AssumedLoadTime, DefaultAssumedLoadTime)
 	setDefault(&s.BackoffInitial, DefaultBackoffInitial)
 	setDefault(&s.BackoffMax, DefaultBackoffMax)
--- a/internal/coordination/loader/table_test.go
+++ b/internal/coordination/loader/table_test.go
@@ -212,7 +212,7 @@
 		s.batch = 4
 		s.want(want("cold", "w/cold@1"))
 		s.run(3 * time.Minute)
-		Expect(s.pinnedAt["cold"].Sub(start)).To(BeNumerically("<", DefaultPatience+5*time.Second))
+		Expect(s.pinnedAt["cold"].Sub(start)).To(BeNumerically("<", DefaultSlotWaitTimeout+5*time.Second))
 		Expect(s.pinnedAt).To(HaveLen(401))
 	})
 
--- a/internal/coordination/pacer/pacer_test.go
+++ b/internal/coordination/pacer/pacer_test.go
@@ -93,7 +93,7 @@
 		all = append(all, &engine{
 			name: fmt.Sprint(i),
 			table: loader.NewTable(loader.Settings{
-				Slots: p.slots, HalfLife: 8 * time.Second, Patience: 1500 * time.Millisecond, AssumedLoadTime: pacer.DefaultLoad, MaxPermits: p.maxLoads,
+				Slots: p.slots, HalfLife: 8 * time.Second, SlotWaitTimeout: 1500 * time.Millisecond, AssumedLoadTime: pacer.DefaultLoad, MaxPermits: p.maxLoads,
 			}, 1, rand.New(rand.NewPCG(1, uint64(i)))),
 			pacer: pacer.NewPacer(pacer.Settings{MaxLoads: float64(p.maxLoads), Random: rand.New(rand.NewPCG(2, uint64(i)))}),
 			began: map[string]time.Time{}, fence: map[string]uint64{},
--- a/internal/coordination/scheduler/doc.go
+++ b/internal/coordination/scheduler/doc.go
@@ -18,7 +18,7 @@
 // is what a workspace may catch up if its versions were not resident while others were
 // served. Within a workspace, a request of priority p can be overtaken by later ones of
 // priority q for at most (q-p) * AgeStep. How long a request can be skipped because its
-// version is not resident is bounded by the loader's patience.
+// version is not resident is bounded by loader.Settings.SlotWaitTimeout.
 //
 // A Queue has no goroutine, clock or socket of its own, and is not safe for concurrent
 // use. The times passed in must not decrease.
--- a/internal/standin/modeler/engine.go
+++ b/internal/standin/modeler/engine.go
@@ -64,7 +64,7 @@
 		most = narrowest
 	}
 	e.table = loader.NewTable(loader.Settings{
-		Slots: m.pattern.Slots, HalfLife: 8 * time.Second, Patience: 1500 * time.Millisecond,
+		Slots: m.pattern.Slots, HalfLife: 8 * time.Second, SlotWaitTimeout: 1500 * time.Millisecond,
 		AssumedLoadTime: pacer.DefaultLoad, MaxPermits: most,
 	}, e.life, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))
 	e.pacer = pacer.NewPacer(pacer.Settings{MaxLoads: float64(most), Random: rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))})
--- a/internal/transport/attendant/observing.go
+++ b/internal/transport/attendant/observing.go
@@ -191,7 +191,7 @@
 	a.table = loader.NewTable(loader.Settings{
 		Slots:           max(1, engine.MaxAdapters),
 		HalfLife:        a.settings.HalfLife,
-		Patience:        a.settings.Patience,
+		SlotWaitTimeout: a.settings.SlotWaitTimeout,
 		AssumedLoadTime: assumedLoadTime,
 		BackoffInitial:  backoffInitial,
 		BackoffMax:      backoffMax,
--- a/internal/transport/attendant/settings.go
+++ b/internal/transport/attendant/settings.go
@@ -23,9 +23,9 @@
 	// DefaultPrefillRate is the number of prompt tokens that an engine is assumed to
 	// prefill per second. It only ranks engines; entries use the same value.
 	DefaultPrefillRate = 38_000
-	// DefaultPatience is how long requests wait for a slot before an adapter in use is
-	// closed to new requests and evicted.
-	DefaultPatience = 1500 * time.Millisecond
+	// DefaultSlotWaitTimeout is how long requests wait for a slot before an adapter in use
+	// is closed to new requests and evicted.
+	DefaultSlotWaitTimeout = 1500 * time.Millisecond
 	// DefaultHalfLife is the half-life of the recorded demand for an adapter: demand moves
 	// to other adapters within seconds.
 	DefaultHalfLife = 8 * time.Second
@@ -67,7 +67,7 @@
 	PublishInterval time.Duration
 	// PrefillRate is in tokens per second.
 	PrefillRate      float64
-	Patience         time.Duration
+	SlotWaitTimeout  time.Duration
 	HalfLife         time.Duration
 	OrderTimeout     time.Duration
 	LoadPollInterval time.Duration
@@ -85,7 +85,7 @@
 	s.ObserveInterval = cmp.Or(s.ObserveInterval, DefaultObserveInterval)
 	s.PublishInterval = cmp.Or(s.PublishInterval, DefaultPublishInterval)
 	s.PrefillRate = cmp.Or(s.PrefillRate, DefaultPrefillRate)
-	s.Patience = cmp.Or(s.Patience, DefaultPatience)
+	s.SlotWaitTimeout = cmp.Or(s.SlotWaitTimeout, DefaultSlotWaitTimeout)
 	s.HalfLife = cmp.Or(s.HalfLife, DefaultHalfLife)
 	s.OrderTimeout = cmp.Or(s.OrderTimeout, DefaultOrderTimeout)
 	s.LoadPollInterval = cmp.Or(s.LoadPollInterval, DefaultLoadPollInterval)
