--- a/internal/coordination/retrier/retrier_test.go
+++ b/internal/coordination/retrier/retrier_test.go
@@ -110,8 +110,8 @@
 		}
 		// Counts decay, so that the bound over the whole run is looser: a reserve for each started
 		// half-life, plus the share of all successes.
-		lives := float64(now.Sub(start)/retrier.DefaultHalfLife) + 2
-		if most := s.Reserve*lives + retrier.DefaultBudget*float64(successes) + 1; float64(retries) > most {
+		halfLives := float64(now.Sub(start)/retrier.DefaultHalfLife) + 2
+		if most := s.Reserve*halfLives + retrier.DefaultBudget*float64(successes) + 1; float64(retries) > most {
 			t.Fatalf("%d retries, at most %.1f allowed", retries, most)
 		}
 	})
--- a/internal/coordination/suspecter/suspecter_test.go
+++ b/internal/coordination/suspecter/suspecter_test.go
@@ -52,8 +52,8 @@
 	return identifier.Request{Caller: "c", Method: "POST", Host: "h", Target: "/" + name, Body: []byte(name)}
 }
 
-func ended(life uint64, names ...string) storer.CountEnds {
-	c := storer.CountEnds{Service: "s", Life: life}
+func ended(incarnation uint64, names ...string) storer.CountEnds {
+	c := storer.CountEnds{Service: "s", Life: incarnation}
 	for _, name := range names {
 		c.Requests = append(c.Requests, storer.EndedRequest{Name: identifier.Identify(request(name)).String(), Place: request(name).Place()})
 	}
@@ -73,9 +73,9 @@
 	})
 
 	It("is quarantined after the third end, whichever entries observed it", func() {
-		for life := range uint64(2) {
-			c.apply(ended(life, "x", "y"))
-			c.apply(ended(life, "x"))
+		for incarnation := range uint64(2) {
+			c.apply(ended(incarnation, "x", "y"))
+			c.apply(ended(incarnation, "x"))
 		}
 		Expect(quarantined("x")).To(BeFalse(), "several entries report one incarnation")
 		c.apply(ended(2, "x"))
@@ -86,9 +86,9 @@
 	})
 
 	It("is quarantined by an entry's own observations, without contact to control", func() {
-		for life := range uint64(3) {
+		for incarnation := range uint64(3) {
 			Expect(quarantined("x")).To(BeFalse())
-			table.Ended(start, ended(life, "x"))
+			table.Ended(start, ended(incarnation, "x"))
 		}
 		Expect(quarantined("x")).To(BeTrue())
 		Expect(table.SuspectAt(c.tracker.View(), request("x").Place())).To(BeTrue())
@@ -118,9 +118,9 @@
 	})
 
 	It("is also removed by entries that observed it when an operator clears it", func() {
-		for life := range uint64(3) {
-			table.Ended(start, ended(life, "x"))
-			c.apply(ended(life, "x"))
+		for incarnation := range uint64(3) {
+			table.Ended(start, ended(incarnation, "x"))
+			c.apply(ended(incarnation, "x"))
 		}
 		table.Sync(c.tracker.View())
 		c.apply(storer.ClearSuspects{Names: []string{identifier.Identify(request("x")).String()}})
@@ -132,9 +132,9 @@
 	It("needs six ends if its answer had started each time", func() {
 		// Requests that have long been answering are the majority of those in progress
 		// when a server ends. A request that crashes servers midway is still found.
-		for life := range uint64(6) {
+		for incarnation := range uint64(6) {
 			Expect(quarantined("x")).To(BeFalse())
-			e := ended(life, "x")
+			e := ended(incarnation, "x")
 			e.Requests[0].Progressed = true
 			c.apply(e)
 		}
@@ -151,8 +151,8 @@
 				r.Observe(now, one, false)
 			}
 		}
-		for life := range uint64(3) {
-			c.apply(ended(life, "x"))
+		for incarnation := range uint64(3) {
+			c.apply(ended(incarnation, "x"))
 		}
 		for number, want := range []time.Duration{10 * time.Minute, 20 * time.Minute, 40 * time.Minute} {
 			observe()
@@ -189,8 +189,8 @@
 	})
 
 	It("is remembered within bounds, with quarantined requests evicted last", func() {
-		for life := range uint64(3) {
-			c.apply(ended(life, "x"))
+		for incarnation := range uint64(3) {
+			c.apply(ended(incarnation, "x"))
 		}
 		for i := range storer.MaxSuspects + 10 {
 			c.apply(ended(9, "n"+strconv.Itoa(i)))
@@ -221,8 +221,8 @@
 		table := suspecter.NewTable(suspecter.Settings{})
 		id := identifier.Identify(request("x"))
 		since := 0
-		for life := range uint64(rapid.IntRange(1, 40).Draw(t, "ends")) {
-			e := ended(life, "x")
+		for incarnation := range uint64(rapid.IntRange(1, 40).Draw(t, "ends")) {
+			e := ended(incarnation, "x")
 			if rapid.Bool().Draw(t, "seen here") {
 				table.Ended(start, e)
 			}
--- a/internal/state/storer/departures_property_test.go
+++ b/internal/state/storer/departures_property_test.go
@@ -15,7 +15,7 @@
 		a, b := NewStore(Settings{}), NewStore(Settings{})
 		type server struct {
 			incarnation, instance, address string
-			born, sequence                 uint64
+			started, sequence              uint64
 			state                          MemberState
 			sent                           []Command
 		}
@@ -23,8 +23,8 @@
 		servers := []*server{
 			{incarnation: "i-1", instance: "i-1", address: "x"},
 			{incarnation: "i-2", instance: "i-2", address: "x"},
-			{incarnation: "i-3 1", instance: "i-3", address: "x", born: 1},
-			{incarnation: "i-3 2", instance: "i-3", address: "y", born: 2},
+			{incarnation: "i-3 1", instance: "i-3", address: "x", started: 1},
+			{incarnation: "i-3 2", instance: "i-3", address: "y", started: 2},
 		}
 		departed := map[string]bool{}
 		var index uint64
@@ -53,7 +53,7 @@
 			case 2, 3:
 				s.sequence++
 				s.sent = append(s.sent, AnnounceMember{Name: s.address, Member: MemberSpec{
-					Address: s.address, Service: "s", Incarnation: s.incarnation, Instance: s.instance, Born: s.born,
+					Address: s.address, Service: "s", Incarnation: s.incarnation, Instance: s.instance, Born: s.started,
 					Sequence: s.sequence, State: s.state,
 				}})
 			case 4, 5:
--- a/internal/state/storer/lives_test.go
+++ b/internal/state/storer/lives_test.go
@@ -6,14 +6,14 @@
 )
 
 // announceIncarnation returns an announcement of the incarnation of a backend server that
-// started at the time born.
-func announceIncarnation(address string, born, sequence uint64) AnnounceMember {
+// started at the given time; 0 means that it reports no start time.
+func announceIncarnation(address string, started, sequence uint64) AnnounceMember {
 	incarnation := "i"
-	if born > 0 {
-		incarnation += " " + string(rune('0'+born))
+	if started > 0 {
+		incarnation += " " + string(rune('0'+started))
 	}
 	return AnnounceMember{Name: address, Member: MemberSpec{
-		Address: address, Service: "s", Instance: "i", Born: born, Incarnation: incarnation, Sequence: sequence,
+		Address: address, Service: "s", Instance: "i", Born: started, Incarnation: incarnation, Sequence: sequence,
 	}}
 }
 
--- a/internal/state/storer/suspects_test.go
+++ b/internal/state/storer/suspects_test.go
@@ -9,8 +9,8 @@
 
 var suspectName = strings.Repeat("0f", 16)
 
-func countEnd(life uint64, progressed bool) CountEnds {
-	return CountEnds{Service: "s", Life: life, Requests: []EndedRequest{{Name: suspectName, Place: 7, Progressed: progressed}}}
+func countEnd(incarnation uint64, progressed bool) CountEnds {
+	return CountEnds{Service: "s", Life: incarnation, Requests: []EndedRequest{{Name: suspectName, Place: 7, Progressed: progressed}}}
 }
 
 func suspectOf(m *machine) (SuspectSpec, bool) {
@@ -34,8 +34,8 @@
 
 	It("is restored from a snapshot, with its quarantine and the number of earlier ones", func() {
 		m := newMachine(Retention{})
-		for life := range uint64(3) {
-			m.mustDo(countEnd(life, false))
+		for incarnation := range uint64(3) {
+			m.mustDo(countEnd(incarnation, false))
 		}
 		next := m.restoreFromSnapshot()
 		spec, _ := suspectOf(next)
@@ -74,8 +74,8 @@
 		m.mustDo(DeleteResource{Key: r.Key()})
 		_, known := suspectOf(m)
 		Expect(known).To(BeFalse(), "an operator releases it")
-		for life := range uint64(100) {
-			m.do(countEnd(life, true))
+		for incarnation := range uint64(100) {
+			m.do(countEnd(incarnation, true))
 		}
 		spec, _ := suspectOf(m)
 		Expect(spec.Lives).To(HaveLen(maxIncarnationEnds))
--- a/internal/transport/attendant/born_test.go
+++ b/internal/transport/attendant/born_test.go
@@ -13,7 +13,7 @@
 func TestDetectsRestartByStartTime(t *testing.T) {
 	withEngine(t, func(f *fixture, e *engine) {
 		e.mu.Lock()
-		e.born = 1
+		e.started = 1
 		e.mu.Unlock()
 		f.admit("1", "a1", 1)
 		f.release("1")
@@ -24,7 +24,7 @@
 		sequence := e.sequence
 		e.restart("i-1")
 		e.mu.Lock()
-		e.born, e.empty, e.sequence = 2, false, sequence
+		e.started, e.empty, e.sequence = 2, false, sequence
 		e.mu.Unlock()
 		advance(time.Second)
 		for _, s := range l.received() {
--- a/internal/transport/attendant/fixture_test.go
+++ b/internal/transport/attendant/fixture_test.go
@@ -30,7 +30,7 @@
 type engine struct {
 	mu          sync.Mutex
 	incarnation string
-	born        uint64
+	started     uint64
 	sequence    uint64
 	fence       uint64
 	empty       bool
@@ -53,7 +53,7 @@
 func (e *engine) Report(context.Context) (attendant.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := attendant.Report{Sequence: e.sequence, Born: e.born, Busy: e.busy, OnDisk: e.disk}
+	r := attendant.Report{Sequence: e.sequence, Born: e.started, Busy: e.busy, OnDisk: e.disk}
 	if !e.empty {
 		m := attendant.HeldModel{Name: model, Version: 1}
 		for name, version := range e.held {
--- a/internal/transport/attendant/telling_test.go
+++ b/internal/transport/attendant/telling_test.go
@@ -144,9 +144,9 @@
 		}
 		f.release("1")
 		advance(time.Second)
-		news := l.received()
-		if len(news) != 1 || news[0].Whole || !slices.Equal(names(news[0].Adapters), []string{"m/a1"}) || news[0].Sequence != first[0].Sequence+1 || len(news[0].Models) > 0 {
-			t.Fatalf("states after a release: %+v", news)
+		states := l.received()
+		if len(states) != 1 || states[0].Whole || !slices.Equal(names(states[0].Adapters), []string{"m/a1"}) || states[0].Sequence != first[0].Sequence+1 || len(states[0].Models) > 0 {
+			t.Fatalf("states after a release: %+v", states)
 		}
 		f.admit("3", "a3", 1)
 		advance(time.Second)
@@ -179,18 +179,18 @@
 		f.release("0")
 		f.release("1")
 		advance(time.Second)
-		if news := l.received(); len(news) != 0 {
-			t.Errorf("unexpected states: %+v", news)
+		if states := l.received(); len(states) != 0 {
+			t.Errorf("unexpected states: %+v", states)
 		}
 		for i := 2; i < 7; i++ {
 			f.release(strconv.Itoa(i))
 		}
 		advance(time.Second)
-		news := l.received()
-		if len(news) != 1 || len(news[0].Adapters) != 1 || news[0].Adapters[0].Pins != 0 || news[0].Running != 0 {
-			t.Fatalf("states after the last release: %+v", news)
+		states := l.received()
+		if len(states) != 1 || len(states[0].Adapters) != 1 || states[0].Adapters[0].Pins != 0 || states[0].Running != 0 {
+			t.Fatalf("states after the last release: %+v", states)
 		}
-		if n := news[0]; n.Name != "" || n.Incarnation != "" || n.Life != 0 {
+		if n := states[0]; n.Name != "" || n.Incarnation != "" || n.Life != 0 {
 			t.Errorf("unchanged fields were published again: %+v", n)
 		}
 	})
--- a/internal/transport/controller/enlisting_test.go
+++ b/internal/transport/controller/enlisting_test.go
@@ -55,7 +55,7 @@
 var _ = Describe("A control group that repairs itself", func() {
 	var g *group
 	var running sync.WaitGroup
-	const patience = 20 * time.Second
+	const waitTimeout = 20 * time.Second
 
 	BeforeEach(func() {
 		var err error
@@ -68,7 +68,7 @@
 		for _, c := range g.controls {
 			runEnlist(&running, c)
 		}
-		Eventually(g.leader, patience).Should(BeNumerically(">=", 0))
+		Eventually(g.leader, waitTimeout).Should(BeNumerically(">=", 0))
 	})
 
 	follower := func() int { return (g.leader() + 1) % 3 }
@@ -84,7 +84,7 @@
 		g.controls, g.metrics = append(g.controls, nil), append(g.metrics, nil)
 		g.join(3, "127.0.0.1:0")
 		runEnlist(&running, g.controls[3])
-		Eventually(func() []uint64 { return voters(g.controls[3]) }, patience).Should(And(HaveLen(3), ContainElement(uint64(4)), Not(ContainElement(id))))
+		Eventually(func() []uint64 { return voters(g.controls[3]) }, waitTimeout).Should(And(HaveLen(3), ContainElement(uint64(4)), Not(ContainElement(id))))
 	})
 
 	It("adds a host with an empty disk as a new one", func() {
@@ -103,8 +103,8 @@
 				return old.Incarnation
 			}
 			return m.Incarnation
-		}, patience).ShouldNot(Equal(old.Incarnation))
-		Eventually(func() []uint64 { return voters(g.controls[wiped]) }, patience).Should(HaveLen(3))
+		}, waitTimeout).ShouldNot(Equal(old.Incarnation))
+		Eventually(func() []uint64 { return voters(g.controls[wiped]) }, waitTimeout).Should(HaveLen(3))
 	})
 
 	It("keeps a host that is only partitioned", func() {
@@ -114,8 +114,8 @@
 			g.network.set(nodeName(g.hosts[cut].ID), g.hosts[i].Address, true)
 		}
 		leader := g.controls[g.leader()]
-		Eventually(func() []replicator.HostID { return leader.Status().Silent }, patience).ShouldNot(BeEmpty())
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		Eventually(func() []replicator.HostID { return leader.Status().Silent }, waitTimeout).ShouldNot(BeEmpty())
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		Expect(leader.PutRouting(ctx, 1, []byte("one"))).To(Succeed(), "the others still accept changes")
 		// A removal would happen at one of the leader's next ticks.
--- a/internal/transport/relayer/attending_test.go
+++ b/internal/transport/relayer/attending_test.go
@@ -17,15 +17,15 @@
 
 // lastPace returns the pace that was sent last, or "" if none was.
 func (e *entry) lastPace() string {
-	_, told, found := bytes.Cut(e.sent.Contents(), []byte(messenger.MethodPace))
+	_, rest, found := bytes.Cut(e.sent.Contents(), []byte(messenger.MethodPace))
 	for found {
 		var next []byte
-		if _, next, found = bytes.Cut(told, []byte(messenger.MethodPace)); found {
-			told = next
+		if _, next, found = bytes.Cut(rest, []byte(messenger.MethodPace)); found {
+			rest = next
 		}
 	}
 	for _, pace := range []string{fullPace, quietPace} {
-		if bytes.Contains(told, []byte(pace)) {
+		if bytes.Contains(rest, []byte(pace)) {
 			return pace
 		}
 	}
--- a/internal/transport/relayer/suspect_test.go
+++ b/internal/transport/relayer/suspect_test.go
@@ -19,10 +19,10 @@
 
 // addSuspect records that incarnations of backend servers ended while they ran the
 // request that e.call sends.
-func (e *entry) addSuspect(lives int) {
+func (e *entry) addSuspect(incarnations int) {
 	spec := storer.SuspectSpec{Service: "s", Place: sentRequest.Place()}
-	for life := range uint64(lives) {
-		spec = spec.Ended(storer.IncarnationEnd{Life: life})
+	for incarnation := range uint64(incarnations) {
+		spec = spec.Ended(storer.IncarnationEnd{Life: incarnation})
 	}
 	e.put(storer.KindSuspect, identifier.Identify(sentRequest).String(), spec)
 }
