--- a/internal/transport/controller/pulse.go
+++ b/internal/transport/controller/pulse.go
@@ -74,8 +74,8 @@
 	if d == nil || d.term != status.Term {
 		return
 	}
-	// LeaderContact is 0 while the lease is valid: nothing was accepted that this leader
-	// does not know.
+	// LeaderContact is 0 while the lease is valid: this leader then holds every accepted
+	// change.
 	p := distributor.Pulse{Term: status.Term, Revision: c.store.Revision()}
 	c.applyPulse(now, p)
 	if !pulseHosts {
@@ -123,7 +123,7 @@
 // pulse returns the pulse for a node.
 //
 // It contains the current revision, which is no older than the revision that the age
-// belongs to: a node that holds it knows at least as much.
+// belongs to: the state of a node that holds the current revision is at most that old.
 func (c *Control) pulse() distributor.Pulse {
 	p := distributor.Pulse{Term: c.knownTerm(), Revision: c.store.Revision(), AgeMillis: -1}
 	if age, ok := c.knowledgeAge(); ok {
--- a/internal/transport/controller/suspects.go
+++ b/internal/transport/controller/suspects.go
@@ -19,8 +19,8 @@
 	return r
 }
 
-// Suspects returns the requests during which backend servers ended, as far as this host
-// knows, sorted by identity.
+// Suspects returns the requests during which backend servers ended, from this host's
+// copy of the replicated state, sorted by identity.
 func (c *Control) Suspects() []storer.Resource {
 	list, _ := c.store.List(storer.KindSuspect, "")
 	return list
--- a/internal/transport/relayer/doc.go
+++ b/internal/transport/relayer/doc.go
@@ -10,6 +10,6 @@
 //
 // A call that may run only once is sent to another backend server only if the previous
 // one reported that it did not run the call, or if no byte of the call was sent. In
-// every other case the caller is told at once that the outcome is unknown. A call that
+// every other case the entry answers at once that the outcome is unknown. A call that
 // may be repeated is retried while attempts, time and the retry budget last.
 package relayer
--- a/internal/transport/relayer/fixture_test.go
+++ b/internal/transport/relayer/fixture_test.go
@@ -314,7 +314,7 @@
 		func(_ context.Context, _ *messenger.Conn, method messenger.Method, params json.RawMessage) (any, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			switch method { //nolint:exhaustive // The others don't come here.
+			switch method { //nolint:exhaustive // No other method is sent here.
 			case messenger.MethodAdmit:
 				var m messenger.Admit
 				if err := messenger.Decode(params, &m); err != nil {
--- a/internal/transport/relayer/run.go
+++ b/internal/transport/relayer/run.go
@@ -138,7 +138,8 @@
 // errTriedAll means that maxServersPerCall backend servers refused the call.
 const errTriedAll = errors.ConstError("tried all that may take it")
 
-// choose selects a backend server, or for a resumed call takes the one with the copy.
+// choose selects a backend server: for a resumed call, the one that holds the copy of
+// its KV cache.
 func (j *job) choose() error {
 	r := j.relayer
 	c := j.placerCall()
--- a/internal/transport/relayer/stream.go
+++ b/internal/transport/relayer/stream.go
@@ -61,8 +61,8 @@
 // finishStream handles the end of a stream.
 func (j *job) finishStream(conn *exchanger.Conn, response *http.Response, head Head, rest []byte) verdict {
 	if len(rest) > 0 {
-		// The stream ended inside an event: it is incomplete, whatever its framing
-		// says.
+		// The stream ended inside an event: it is incomplete, even if its framing
+		// ended correctly.
 		conn.Abort()
 		return j.streamBroke(io.ErrUnexpectedEOF)
 	}
--- a/internal/transport/relayer/suspect.go
+++ b/internal/transport/relayer/suspect.go
@@ -99,9 +99,9 @@
 // reasonQuarantined is part of the answer to callers.
 const reasonQuarantined = "backend servers ended under this request; it is not run for some time"
 
-// refuseQuarantined refuses a quarantined request. The caller is told to retry after
-// the whole length of the quarantine, because only the leader of the control group
-// knows how much of it is left.
+// refuseQuarantined refuses a quarantined request. Its Retry-After is the whole length
+// of the quarantine, because only the leader of the control group has the time that is
+// left.
 func (j *job) refuseQuarantined(whole time.Duration) {
 	j.relayer.metrics.quarantined.WithLabelValues(j.service.Name).Inc()
 	if j.failed != nil || j.mayHaveRun || j.headerSent {
