--- a/internal/coordination/pacer/pacer_test.go
+++ b/internal/coordination/pacer/pacer_test.go
@@ -257,12 +257,12 @@
 	// Zipf-distributed popularity of adapters, exponent 1.2; nothing loaded.
 	It("improves the share of requests served in time after a loss of power", func() {
 		p := workload{engines: 46, slots: 40, maxLoads: 4, atOnce: 24, perSecond: 180, heldSeconds: 3}
-		firstPaced, thenPaced := simulatePowerLoss(p)
+		pacedFirst, pacedLater := simulatePowerLoss(p)
 		p.unpaced, p.maxLoads = true, 2
-		first, then := simulatePowerLoss(p)
-		GinkgoWriter.Printf("in time in the first three seconds and later: %.2f %.2f, paced %.2f %.2f\n", first, then, firstPaced, thenPaced)
-		Expect(firstPaced).To(BeNumerically(">", first+0.08))
-		Expect(thenPaced).To(BeNumerically(">", then-0.05))
+		first, later := simulatePowerLoss(p)
+		GinkgoWriter.Printf("in time in the first three seconds and later: %.2f %.2f, paced %.2f %.2f\n", first, later, pacedFirst, pacedLater)
+		Expect(pacedFirst).To(BeNumerically(">", first+0.08))
+		Expect(pacedLater).To(BeNumerically(">", later-0.05))
 	})
 
 	// 12 engines with 18 slots on a store that serves 24 loads at once, and 39 with 15
@@ -272,12 +272,12 @@
 	// 0.56 s where a load takes 0.25 s.
 	DescribeTable("uses the capacity of the store",
 		func(p workload, gain float64) {
-			wide, wideThen := simulatePowerLoss(p)
+			four, fourLater := simulatePowerLoss(p)
 			p.maxLoads = 2
-			narrow, narrowThen := simulatePowerLoss(p)
-			GinkgoWriter.Printf("in time in the first three seconds and later: two at once %.2f %.2f, four %.2f %.2f\n", narrow, narrowThen, wide, wideThen)
-			Expect(wide).To(BeNumerically(">", narrow+gain))
-			Expect(wideThen).To(BeNumerically(">=", narrowThen-0.01))
+			two, twoLater := simulatePowerLoss(p)
+			GinkgoWriter.Printf("in time in the first three seconds and later: two at once %.2f %.2f, four %.2f %.2f\n", two, twoLater, four, fourLater)
+			Expect(four).To(BeNumerically(">", two+gain))
+			Expect(fourLater).To(BeNumerically(">=", twoLater-0.01))
 		},
 		Entry("12 engines", workload{engines: 12, slots: 18, maxLoads: 4, atOnce: 24, perSecond: 205, heldSeconds: 1}, 0.01),
 		Entry("39 engines", workload{engines: 39, slots: 15, maxLoads: 4, atOnce: 96, perSecond: 733, heldSeconds: 1}, 0.02),
--- a/internal/transport/attendant/admission.go
+++ b/internal/transport/attendant/admission.go
@@ -119,8 +119,8 @@
 	}
 	version := max(m.Version, a.settings.View().Newest(adapterName(m.Model, m.Adapter)))
 	state := a.fullState()
-	wait, misled := placer.CheckExpectedWait(&state, adapterName(m.Model, m.Adapter), version, time.Duration(m.ExpectedMillis)*time.Millisecond)
-	if !misled {
+	wait, exceeded := placer.CheckExpectedWait(&state, adapterName(m.Model, m.Adapter), version, time.Duration(m.ExpectedMillis)*time.Millisecond)
+	if !exceeded {
 		return nil
 	}
 	a.metrics.sentBack.Inc()
--- a/internal/transport/attendant/attendant.go
+++ b/internal/transport/attendant/attendant.go
@@ -25,8 +25,8 @@
 	// wakeup starts a poll of the engine at once.
 	wakeup chan struct{}
 
-	// orderMu is held while an order is sent: each order is based on the sequence that the
-	// previous one left.
+	// orderMu is held while an order is sent: each order is based on the engine's sequence
+	// after the previous one.
 	orderMu sync.Mutex
 
 	mu sync.Mutex
@@ -189,11 +189,11 @@
 func (a *Attendant) watch(conn *messenger.Conn, m messenger.Watch) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	audience := a.remoteEntries
+	group := a.remoteEntries
 	if m.FailureDomain == a.settings.FailureDomain {
-		audience = a.localEntries
+		group = a.localEntries
 	}
-	audience.add(conn)
+	group.add(conn)
 	a.releaseOnDisconnect(conn)
 }
 
--- a/internal/transport/attendant/observing.go
+++ b/internal/transport/attendant/observing.go
@@ -155,10 +155,10 @@
 // preloadModel orders an empty engine to load the only model on its host's disk, before the
 // deployment is known. The caller holds mu.
 //
-// After a power loss, companion and engine start empty, and the companion learns which
-// model the engine serves when control is back, most of a second later. The load takes
-// another half second, during which all requests wait. An engine whose current incarnation
-// has accepted an order is left alone: the sender of that order may have known the
+// After a power loss, companion and engine start empty, and the companion receives the
+// model that the engine serves only when control is back, most of a second later. The load
+// takes another half second, during which all requests wait. An engine whose current
+// incarnation has accepted an order gets none: the sender of that order may have had the
 // deployment.
 func (a *Attendant) preloadModel(r Report) {
 	if r.hasModel(a.orderedModel) {
--- a/internal/transport/attendant/ordering.go
+++ b/internal/transport/attendant/ordering.go
@@ -290,7 +290,7 @@
 }
 
 // initialFence is the fencing token before a membership is known: lower than that of any
-// membership, and not 0, which engines take for no token.
+// membership, and not 0, which engines treat as no token.
 const initialFence = 1
 
 // slotCount returns the number of adapter slots, or 0 before the first report.
--- a/internal/transport/controller/behind_test.go
+++ b/internal/transport/controller/behind_test.go
@@ -104,9 +104,9 @@
 		Expect(reached).To(Equal(third))
 	})
 
-	// forget makes so many changes, one of them a deletion, that the history no longer
+	// exceedHistory makes so many changes, one of them a deletion, that the history no longer
 	// reaches back to the revision that the node holds.
-	forget := func(writer *node) (revision uint64) {
+	exceedHistory := func(writer *node) (revision uint64) {
 		retention := storer.SetRetention{Retention: storer.Retention{HistoryChanges: 5}}
 		_, err := writer.Propose(ctx, storer.Envelope{Command: retention})
 		Expect(err).NotTo(HaveOccurred())
@@ -135,7 +135,7 @@
 		for _, h := range g.hosts {
 			g.network.set("entry", h.Address, true)
 		}
-		last := forget(writer)
+		last := exceedHistory(writer)
 		Expect(entry.index.Revision()).To(Equal(before))
 		for _, h := range g.hosts {
 			g.network.set("entry", h.Address, false)
@@ -165,7 +165,7 @@
 			return answer
 		}
 		before := put(writer, "gone", 1)
-		last := forget(writer)
+		last := exceedHistory(writer)
 
 		refused := get(fmt.Sprintf("?Watch=true&After=%d", before))
 		Expect(refused.StatusCode).To(Equal(http.StatusGone))
--- a/internal/transport/controller/enlisting_test.go
+++ b/internal/transport/controller/enlisting_test.go
@@ -26,7 +26,7 @@
 // runEnlist runs a host's Enlist until the host is closed.
 func runEnlist(running *sync.WaitGroup, c *controller.Control) { running.Go(c.Enlist) }
 
-// voters returns the IDs of the voters that a host knows of.
+// voters returns the IDs of the voters according to a host's status.
 func voters(c *controller.Control) []uint64 {
 	var ids []uint64
 	for _, m := range c.Status().Members {
--- a/internal/transport/controller/faults_test.go
+++ b/internal/transport/controller/faults_test.go
@@ -66,13 +66,13 @@
 		Eventually(g.leader, eventuallyTimeout).ShouldNot(Equal(-1))
 	})
 
-	// heartbeats renews a membership until the test ends, and returns the count of void
-	// notifications.
+	// heartbeats renews a membership until the test ends, and returns the count of
+	// notifications that it has ended.
 	heartbeats := func(n *node, lease registrar.Lease) *atomic.Int64 {
-		voids := &atomic.Int64{}
+		ends := &atomic.Int64{}
 		epoch := &atomic.Uint64{}
 		epoch.Store(lease.Epoch)
-		n.OnMembershipEnd(func(string, uint64) { voids.Add(1) })
+		n.OnMembershipEnd(func(string, uint64) { ends.Add(1) })
 		stop := make(chan struct{})
 		done := make(chan struct{})
 		go func() {
@@ -89,7 +89,7 @@
 			}
 		}()
 		DeferCleanup(func() { close(stop); <-done })
-		return voids
+		return ends
 	}
 
 	join := func(name, domain string) (*node, registrar.Lease) {
@@ -109,13 +109,13 @@
 	It("keeps every membership over the loss of the leader", func() {
 		entry := g.node("entry", "d2", distributor.ScopeEntry, shortLease)
 		DeferCleanup(entry.Close)
-		var voids []*atomic.Int64
+		var ends []*atomic.Int64
 		leases := make(map[string]uint64)
 		for i := 1; i <= 3; i++ {
 			name := fmt.Sprintf("backend-%d", i)
 			n, lease := join(name, fmt.Sprintf("d%d", i))
 			leases[name] = lease.Epoch
-			voids = append(voids, heartbeats(n, lease))
+			ends = append(ends, heartbeats(n, lease))
 		}
 		old := g.leader()
 		Expect(g.kill(old)).To(Succeed())
@@ -131,8 +131,8 @@
 			}
 			return epochs
 		}, longTimeout).Should(Equal(leases))
-		for _, v := range voids {
-			Expect(v.Load()).To(BeZero())
+		for _, e := range ends {
+			Expect(e.Load()).To(BeZero())
 		}
 	})
 
@@ -179,13 +179,13 @@
 	// would continue to send orders with an old fencing number.
 	It("notifies an old incarnation that its membership is void", func() {
 		old, lease := join("backend", "d1")
-		voids := heartbeats(old, lease)
+		ends := heartbeats(old, lease)
 		fresh := g.node("backend-again", "d2", distributor.ScopeCompanion, shortLease)
 		DeferCleanup(fresh.Close)
 		later, err := fresh.Join(ctx, "backend", member("d2", "i2"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(later.Epoch).To(BeNumerically(">", lease.Epoch))
-		Eventually(voids.Load, eventuallyTimeout).Should(BeNumerically(">", 0))
+		Eventually(ends.Load, eventuallyTimeout).Should(BeNumerically(">", 0))
 		_, err = old.Join(ctx, "backend", member("d1", "i1"))
 		Expect(err).To(MatchError(subscriber.ErrStale))
 	})
--- a/internal/transport/controller/leadership.go
+++ b/internal/transport/controller/leadership.go
@@ -45,7 +45,7 @@
 }
 
 // beginDuties starts the leader's duties once this host has applied everything accepted
-// before its term. A leader that does not know a member yet would not track its lease.
+// before its term. A leader that has not applied a member's join would not track its lease.
 func (c *Control) beginDuties(term uint64) {
 	ctx, cancel := context.WithTimeout(c.ctx, dutiesTimeout)
 	defer cancel()
--- a/internal/transport/relayer/run.go
+++ b/internal/transport/relayer/run.go
@@ -172,7 +172,7 @@
 	return float64(j.relayer.settings.Now().Sub(j.arrived)) < holdShare*float64(j.deadline.Sub(j.arrived))
 }
 
-// placerCall returns the call in the placer's terms.
+// placerCall returns the properties of the call by which the placer chooses.
 func (j *job) placerCall() *placer.Call {
 	c := &placer.Call{Service: j.service.Name, Avoid: j.avoid}
 	if j.service.Engine == nil {
@@ -265,23 +265,23 @@
 		return messenger.Admitted{}, nil, errors.New("the backend server has left")
 	}
 	wait := min(r.settings.AdmitTimeout, j.deadline.Sub(began))
-	ask := j.admission(wait)
+	params := j.admission(wait)
 	ctx, cancel := context.WithTimeout(attempt, wait+admitMargin)
 	defer cancel()
 	conn, err := r.settings.Companions.Conn(ctx, r.settings.CompanionAddress(m))
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		r.metrics.unattended.Inc()
-		return messenger.Admitted{Version: ask.Version}, func() {}, nil
+		return messenger.Admitted{Version: params.Version}, func() {}, nil
 	case err != nil:
 		return messenger.Admitted{}, nil, errors.WithType(err, errSilent)
 	}
 	var admitted messenger.Admitted
-	err = conn.Call(ctx, messenger.MethodAdmit, ask, &admitted)
+	err = conn.Call(ctx, messenger.MethodAdmit, params, &admitted)
 	j.waited += r.settings.Now().Sub(began)
 	release := func() {
 		// A companion that has ended no longer holds the admission.
-		_ = conn.Notify(r.root, messenger.MethodRelease, messenger.Release{Request: ask.Request})
+		_ = conn.Notify(r.root, messenger.MethodRelease, messenger.Release{Request: params.Request})
 	}
 	var refusal *messenger.Refusal
 	switch {
@@ -304,22 +304,22 @@
 		return messenger.Admitted{}, nil, err
 	}
 	r.settings.Log.Info().Err(err).Str("Request", j.call.ID).Str("Backend", j.choice.Name).Msg("companion lost")
-	return messenger.Admitted{Version: ask.Version}, func() {}, nil
+	return messenger.Admitted{Version: params.Version}, func() {}, nil
 }
 
-// admission returns the request to the companion.
+// admission returns the admission request for the companion.
 func (j *job) admission(wait time.Duration) messenger.Admit {
-	ask := messenger.Admit{
+	params := messenger.Admit{
 		Request: j.call.ID, Incarnation: j.choice.Incarnation,
 		Model: j.call.Model, Adapter: j.call.Adapter,
 		Parts: j.call.Parts, Tokens: j.call.PromptTokens, WaitMillis: wait.Milliseconds(),
 		SlackMillis: max(0, j.slack().Milliseconds()),
 		Movable:     !j.redirected && j.resumeFrom == "", ExpectedMillis: (j.choice.Load + j.choice.Backlog).Milliseconds(),
 	}
-	if ask.Adapter != "" {
-		ask.Version = j.relayer.settings.View().Newest(ask.Model + "/" + ask.Adapter)
+	if params.Adapter != "" {
+		params.Version = j.relayer.settings.View().Newest(params.Model + "/" + params.Adapter)
 	}
-	return ask
+	return params
 }
 
 // admitMargin is the time for a companion's refusal at the end of the wait to arrive.
--- a/internal/transport/relayer/serve.go
+++ b/internal/transport/relayer/serve.go
@@ -102,7 +102,7 @@
 	ctx, cancel := context.WithDeadline(j.ctx, j.deadline)
 	defer cancel()
 	j.ctx = ctx
-	j.run() //nolint:contextcheck // A release goes out though the caller has left.
+	j.run() //nolint:contextcheck // The admission is released even if the caller has left.
 }
 
 // errAnswered means that the call has already been answered.
--- a/internal/transport/relayer/silence.go
+++ b/internal/transport/relayer/silence.go
@@ -134,8 +134,8 @@
 
 // cancelWaiting cancels attempts at a silent engine, so that their calls move to
 // another: those not sent yet, and those sent that may be repeated and have received no
-// part of their answer. A stream that has started stays: when the host recovers, its
-// engine would continue it beside the engine that had taken it over.
+// part of their answer. A stream that has started stays: if it moved and the host
+// recovered, two engines would produce it at the same time.
 func (r *Relayer) cancelWaiting(now time.Time, name string) {
 	r.attemptsMu.Lock()
 	defer r.attemptsMu.Unlock()
