--- a/internal/standin/generator/accept.go
+++ b/internal/standin/generator/accept.go
@@ -10,7 +10,7 @@
 
 const defaultMaxTokens = 16
 
-// refusal is an answer that is not a success.
+// refusal is an error answer to a request.
 type refusal struct {
 	status int
 	detail orderer.ErrorDetail
@@ -28,8 +28,8 @@
 	return refuse(http.StatusNotFound, orderer.TypeNotFound, fmt.Sprintf("The model %#q does not exist.", model))
 }
 
-// newQuestion checks a request and returns what it asks.
-func newQuestion(endpoint orderer.Endpoint, r *orderer.CompletionRequest, id, key string) (question, *refusal) {
+// newRequestSpec validates a generation request and returns its parameters.
+func newRequestSpec(endpoint orderer.Endpoint, r *orderer.CompletionRequest, id, key string) (requestSpec, *refusal) {
 	limit := r.MaxTokens
 	if r.MaxCompletionTokens != 0 {
 		limit = r.MaxCompletionTokens
@@ -37,7 +37,7 @@
 	if limit == 0 {
 		limit = defaultMaxTokens
 	}
-	q := question{
+	q := requestSpec{
 		Request:   id,
 		Key:       key,
 		Endpoint:  endpoint,
@@ -60,8 +60,8 @@
 	return q, nil
 }
 
-// accept lets the question wait for the batch, or refuses it before it can begin.
-func (e *Engine) accept(q question) (*sequence, *refusal) {
+// accept queues the request for the batch, or returns the refusal to answer it with.
+func (e *Engine) accept(q requestSpec) (*sequence, *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if q.Model != e.settings.BaseModel && !e.slots.resident(q.Model) {
@@ -77,12 +77,12 @@
 		return nil, refuse(http.StatusConflict, orderer.TypeDuplicateID, "a request of this id is in progress")
 	}
 	s := newSequence(q)
-	e.add(s)
+	e.queueSequence(s)
 	return s, nil
 }
 
-// add records the sequence and lets it wait. It needs mu.
-func (e *Engine) add(s *sequence) {
+// queueSequence records the sequence as a run and queues it for the batch. The caller holds mu.
+func (e *Engine) queueSequence(s *sequence) {
 	now := time.Now()
 	s.run = int64(len(e.record.Runs)) + 1
 	e.record.Runs = append(e.record.Runs, Run{
@@ -96,11 +96,11 @@
 	})
 	e.sequences[s.Request] = s
 	e.batch.enqueue(s)
-	e.note(now)
-	e.poke()
+	e.recordLoad(now)
+	e.wake()
 }
 
-// attach notes a listener of the sequence.
+// attach registers a listener of the sequence and stops a running grace period.
 func (e *Engine) attach(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -110,16 +110,18 @@
 	}
 }
 
-// detach notes that a listener left. The last one leaves the sequence its grace.
+// detach removes a listener of the sequence. When it was the last one, the grace
+// period begins.
 func (e *Engine) detach(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.listeners--
-	e.watch(s)
+	e.startGraceTimer(s)
 }
 
-// watch ends the sequence after the grace if nobody listens then. It needs mu.
-func (e *Engine) watch(s *sequence) {
+// startGraceTimer ends the sequence as Abandoned after Settings.StreamGrace if it
+// still has no listener. The caller holds mu.
+func (e *Engine) startGraceTimer(s *sequence) {
 	if s.listeners > 0 || s.outcome != InProgress {
 		return
 	}
@@ -134,7 +136,7 @@
 	})
 }
 
-// progress returns where the sequence stands.
+// progress returns a snapshot of the sequence's progress.
 func (e *Engine) progress(s *sequence) progress {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,9 +156,9 @@
 	return e.sequences[request]
 }
 
-// takeDrop returns the number of events after which a new stream is to be cut, or
-// false.
-func (e *Engine) takeDrop() (int, bool) {
+// takeStreamDrop consumes one of the stream drops to inject and returns the number of
+// events after which to cut the stream, or false if there is none.
+func (e *Engine) takeStreamDrop() (int, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.DropStreams <= 0 {
--- a/internal/standin/generator/batch.go
+++ b/internal/standin/generator/batch.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// batch is a continuous batch: sequences wait in order of priority and arrival,
-// and enter whenever one that runs has left. It is not safe for concurrent use.
+// batch is a continuous batch: sequences wait in order of priority, then arrival, and
+// enter as soon as a running one has left. It is not safe for concurrent use.
 type batch struct {
-	// limit is the number of sequences that run at once; len(running) never
+	// limit is the maximum number of running sequences; len(running) never
 	// exceeds it.
 	limit   int
 	waiting []*sequence
 	running []*sequence
 }
 
-// enqueue lets the sequence wait behind those of the same or a lower priority value.
+// enqueue queues the sequence behind those with the same or a lower priority value.
 func (b *batch) enqueue(s *sequence) {
 	at, _ := slices.BinarySearchFunc(b.waiting, s.priority, func(w *sequence, priority int) int {
 		if w.priority <= priority {
@@ -23,8 +23,8 @@
 	b.waiting = slices.Insert(b.waiting, at, s)
 }
 
-// admit moves waiting sequences into the batch and returns them, the last part of
-// running.
+// admit moves waiting sequences into the free places of the batch and returns them as
+// a subslice of running.
 func (b *batch) admit() []*sequence {
 	before := len(b.running)
 	count := min(b.limit-before, len(b.waiting))
@@ -33,7 +33,7 @@
 	return b.running[before:]
 }
 
-// remove takes the sequence out, waiting or running.
+// remove removes the sequence, whether it is waiting or running.
 func (b *batch) remove(s *sequence) {
 	same := func(other *sequence) bool { return other == s }
 	b.waiting = slices.DeleteFunc(b.waiting, same)
--- a/internal/standin/generator/completions.go
+++ b/internal/standin/generator/completions.go
@@ -10,6 +10,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/orderer"
 )
 
+// heartbeat is a server-sent-events comment, which clients ignore.
 const heartbeat = ": ping\n\n"
 
 func (e *Engine) serveCompletions(w http.ResponseWriter, r *http.Request) {
@@ -30,7 +31,7 @@
 	if id == "" {
 		id = "cmpl-" + rand.Text()
 	}
-	q, refused := newQuestion(endpoint, &body, id, r.Header.Get(orderer.HeaderIdempotencyKey))
+	q, refused := newRequestSpec(endpoint, &body, id, r.Header.Get(orderer.HeaderIdempotencyKey))
 	if refused != nil {
 		writeError(w, refused)
 		return
@@ -50,7 +51,7 @@
 	e.answer(w, r, s)
 }
 
-// answer waits for the whole answer.
+// answer waits for the end of the sequence and writes its answer in one piece.
 func (e *Engine) answer(w http.ResponseWriter, r *http.Request, s *sequence) {
 	for {
 		p := e.progress(s)
@@ -59,7 +60,7 @@
 			writeError(w, &refusal{status: p.failure.Code, detail: *p.failure})
 			return
 		case p.outcome == Completed:
-			writeJSON(w, s.whole(p))
+			writeJSON(w, s.fullAnswer(p))
 			return
 		case p.outcome != InProgress:
 			panic(http.ErrAbortHandler)
@@ -75,7 +76,7 @@
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
-	after, err := number(r, orderer.QueryStartingAfter)
+	after, err := parseNumber(r, orderer.QueryStartingAfter)
 	if err != nil {
 		writeError(w, badRequest(err.Error()))
 		return
@@ -95,17 +96,17 @@
 	e.stream(w, r, s, after)
 }
 
-// stream writes the events after the numbered one until the stream ends, with
-// heartbeats where there is nothing to write.
+// stream writes the events with numbers above after until the stream ends. It writes a
+// heartbeat whenever HeartbeatInterval passes without an event.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, after int64) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
 	_ = flusher.Flush()
-	dropAfter, drop := e.takeDrop()
-	beat := time.NewTimer(e.settings.HeartbeatInterval)
-	defer beat.Stop()
+	dropAfter, drop := e.takeStreamDrop()
+	heartbeatTimer := time.NewTimer(e.settings.HeartbeatInterval)
+	defer heartbeatTimer.Stop()
 	var line []byte
 	for written := 0; ; {
 		p := e.progress(s)
@@ -121,26 +122,26 @@
 			}
 		}
 		if p.outcome != InProgress && p.outcome != Completed && p.failure == nil {
-			panic(http.ErrAbortHandler) // Lost: the connection breaks without a word.
+			panic(http.ErrAbortHandler) // Lost: cut the connection without an error event.
 		}
 		_ = flusher.Flush()
 		if p.outcome != InProgress {
 			return
 		}
-		beat.Reset(e.settings.HeartbeatInterval)
-		if !e.awaitProgress(w, r, p, beat) {
+		heartbeatTimer.Reset(e.settings.HeartbeatInterval)
+		if !e.awaitProgress(w, r, p, heartbeatTimer) {
 			return
 		}
 	}
 }
 
-// awaitProgress waits for news of the sequence, for one heartbeat at most. It
-// returns false if the listener left.
-func (e *Engine) awaitProgress(w http.ResponseWriter, r *http.Request, p progress, beat *time.Timer) bool {
+// awaitProgress waits until the sequence makes progress, or writes a heartbeat when the
+// timer fires. It returns false if the client has disconnected.
+func (e *Engine) awaitProgress(w http.ResponseWriter, r *http.Request, p progress, heartbeatTimer *time.Timer) bool {
 	select {
 	case <-p.changed:
-	case <-beat.C:
-		if !e.awaitThaw() {
+	case <-heartbeatTimer.C:
+		if !e.waitWhileFrozen() {
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := w.Write([]byte(heartbeat)); err != nil {
@@ -173,7 +174,7 @@
 			e.end(s, Cancelled, &orderer.ErrorDetail{
 				Message: "cancelled", Type: orderer.TypeCancelled, Code: http.StatusConflict,
 			})
-			e.note(time.Now())
+			e.recordLoad(time.Now())
 		}
 	}
 	e.mu.Unlock()
--- a/internal/standin/generator/connections.go
+++ b/internal/standin/generator/connections.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// connectionKey is the context key of the connection that a request came over.
+// connectionKey is the context key of the connection that carries a request.
 type connectionKey struct{}
 
 // connections are the open connections of an engine.
@@ -19,7 +19,7 @@
 }
 
 func (c *connections) add(inner net.Conn) *connection {
-	n := &connection{Conn: inner, owner: c, closed: make(chan struct{}), nudged: make(chan struct{}, 1)}
+	n := &connection{Conn: inner, owner: c, closed: make(chan struct{}), deadlinePassed: make(chan struct{}, 1)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.open == nil {
@@ -29,42 +29,43 @@
 	return n
 }
 
-func (c *connections) all(spared *connection) []*connection {
+func (c *connections) allExcept(except *connection) []*connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := make([]*connection, 0, len(c.open))
 	for n := range c.open {
-		if n != spared {
+		if n != except {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-// silence makes all connections but the spared one deliver nothing more.
-func (c *connections) silence(spared *connection) {
-	for _, n := range c.all(spared) {
+// silence stops delivery on all connections but the excepted one, which may be nil.
+func (c *connections) silence(except *connection) {
+	for _, n := range c.allExcept(except) {
 		n.mu.Lock()
 		n.silent = true
 		n.mu.Unlock()
 	}
 }
 
-// cut closes all connections but the spared one.
-func (c *connections) cut(spared *connection) {
-	for _, n := range c.all(spared) {
+// cut closes all connections but the excepted one, which may be nil. Silent ones stay
+// open towards the other end.
+func (c *connections) cut(except *connection) {
+	for _, n := range c.allExcept(except) {
 		_ = n.Close()
 	}
 }
 
-// release closes all connections, the silent ones too.
+// release closes all connections including the silent ones.
 func (c *connections) release() {
-	for _, n := range c.all(nil) {
+	for _, n := range c.allExcept(nil) {
 		_ = n.release()
 	}
 }
 
-// listener wraps each connection it accepts.
+// listener wraps each accepted connection in a connection.
 type listener struct {
 	net.Listener
 	conns *connections
@@ -79,18 +80,18 @@
 	return l.conns.add(inner), nil
 }
 
-// connection is one that can go silent, as if something between its two ends had
-// lost track of it: bytes written vanish without an error, and none arrive, not
-// even the end of the connection.
+// connection is a network connection that can be made silent, as if a middlebox had
+// dropped its state: writes succeed without delivery, and nothing is received, not even
+// the end of the connection.
 type connection struct {
 	net.Conn
 	owner *connections
 
 	closing sync.Once
 	closed  chan struct{}
-	// nudged wakes a silent Read when a deadline is set. net/http aborts a pending
-	// read that way and waits for it to return.
-	nudged chan struct{}
+	// deadlinePassed wakes a silent Read when a deadline in the past is set. net/http
+	// aborts a pending read that way and waits for it to return.
+	deadlinePassed chan struct{}
 
 	mu     sync.Mutex
 	silent bool // guarded by mu
@@ -102,7 +103,7 @@
 	return n.silent
 }
 
-// Read reads from the connection, or waits if it is silent.
+// Read reads from the connection. On a silent one it blocks until Close or a deadline.
 func (n *connection) Read(data []byte) (int, error) {
 	count, err := n.Conn.Read(data)
 	if !n.isSilent() || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -116,12 +117,12 @@
 	select {
 	case <-n.closed:
 		return 0, net.ErrClosed
-	case <-n.nudged:
+	case <-n.deadlinePassed:
 		return 0, os.ErrDeadlineExceeded
 	}
 }
 
-// Write writes to the connection, or pretends to if it is silent.
+// Write writes to the connection. On a silent one it reports success and discards data.
 func (n *connection) Write(data []byte) (int, error) {
 	if n.isSilent() {
 		return len(data), nil
@@ -129,24 +130,24 @@
 	return n.Conn.Write(data)
 }
 
-// SetReadDeadline sets the deadline and ends a silent Read if it has passed.
+// SetReadDeadline sets the read deadline. If it has passed, a silent Read ends.
 func (n *connection) SetReadDeadline(t time.Time) error {
-	// A nudge that stays behind would end a later silent Read.
+	// A leftover signal would end a later silent Read.
 	select {
-	case <-n.nudged:
+	case <-n.deadlinePassed:
 	default:
 	}
 	if !t.IsZero() && !t.After(time.Now()) {
 		select {
-		case n.nudged <- struct{}{}:
+		case n.deadlinePassed <- struct{}{}:
 		default:
 		}
 	}
 	return n.Conn.SetReadDeadline(t)
 }
 
-// Close closes the connection. The other end of a silent one learns nothing of
-// that: the connection underneath stays until the engine closes.
+// Close closes the connection. The peer of a silent one doesn't notice, since the
+// underlying connection stays open until the engine closes.
 func (n *connection) Close() error {
 	n.closing.Do(func() { close(n.closed) })
 	if n.isSilent() {
@@ -155,7 +156,7 @@
 	return n.release()
 }
 
-// release closes the connection underneath.
+// release closes the underlying connection.
 func (n *connection) release() error {
 	n.owner.mu.Lock()
 	delete(n.owner.open, n)
--- a/internal/standin/generator/engine.go
+++ b/internal/standin/generator/engine.go
@@ -13,7 +13,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/orderer"
 )
 
-// Engine is a stand-in for a model engine. Close it after use.
+// Engine is a stand-in for a model engine. It is safe for concurrent use. Close it after
+// use.
 type Engine struct {
 	settings Settings
 	server   http.Server
@@ -23,27 +24,27 @@
 	cancel  context.CancelFunc
 	// running counts the step loop, the loads and the requests being served.
 	running sync.WaitGroup
-	// work wakes the step loop; it holds at most one wake-up.
+	// work wakes the step loop; it buffers at most one wake-up.
 	work chan struct{}
 
-	mu          sync.Mutex
-	incarnation string               // guarded by mu
-	life        context.Context      // ends with the incarnation; guarded by mu
-	endLife     context.CancelFunc   // guarded by mu
-	faults      Faults               // guarded by mu
-	thawed      chan struct{}        // nil unless frozen; guarded by mu
-	role        orderer.Role         // guarded by mu
-	fence       uint64               // highest seen in this incarnation; guarded by mu
-	slots       slotTable            // guarded by mu
-	batch       batch                // guarded by mu
-	sequences   map[string]*sequence // by request id, ended ones too; guarded by mu
-	cache       prefixCache          // guarded by mu
-	events      eventLog             // guarded by mu
-	reports     reportLog            // guarded by mu
-	steps       int64                // of this incarnation; guarded by mu
-	seqSteps    int64                // of this incarnation; guarded by mu
-	record      Record               // guarded by mu
-	hashes      []uint64             // scratch of the step loop; guarded by mu
+	mu                 sync.Mutex
+	incarnation        string               // guarded by mu
+	incarnationContext context.Context      // ends with the incarnation; guarded by mu
+	endIncarnation     context.CancelFunc   // guarded by mu
+	faults             Faults               // guarded by mu
+	thawed             chan struct{}        // nil unless frozen; guarded by mu
+	role               orderer.Role         // guarded by mu
+	fence              uint64               // highest accepted in this incarnation; guarded by mu
+	slots              slotTable            // guarded by mu
+	batch              batch                // guarded by mu
+	sequences          map[string]*sequence // by request ID, including ended ones; guarded by mu
+	cache              prefixCache          // guarded by mu
+	events             eventLog             // guarded by mu
+	reports            reportLog            // guarded by mu
+	steps              int64                // of this incarnation; guarded by mu
+	seqSteps           int64                // of this incarnation; guarded by mu
+	record             Record               // guarded by mu
+	hashes             []uint64             // scratch of the step loop; guarded by mu
 }
 
 // NewEngine returns a running engine that is not yet listening.
@@ -59,14 +60,14 @@
 	e.reset()
 	e.faults = s.Faults
 	e.faults.Restart, e.faults.Silence = false, false
-	e.freeze(s.Faults.Frozen)
+	e.setFrozen(s.Faults.Frozen)
 	e.mu.Unlock()
 	e.running.Go(e.loop)
 	return e
 }
 
-// Listen starts to serve on the address, which may end in port 0, and returns the
-// address it got.
+// Listen starts serving on the TCP address, whose port may be 0, and returns the bound
+// address.
 func (e *Engine) Listen(address string) (string, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -76,12 +77,12 @@
 	return l.Addr().String(), nil
 }
 
-// Serve starts to serve on the listener, which it closes in the end.
+// Serve starts serving on the listener and returns at once. Close closes the listener.
 func (e *Engine) Serve(l net.Listener) {
 	e.running.Go(func() { _ = e.server.Serve(listener{Listener: l, conns: &e.conns}) })
 }
 
-// Close cuts all requests and waits until the engine has stopped.
+// Close aborts all requests and waits until the engine has stopped.
 func (e *Engine) Close() error {
 	e.mu.Lock()
 	e.cancel()
@@ -92,37 +93,37 @@
 	e.settings.Client.CloseIdleConnections()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.drop()
+	e.loseSequences()
 	return errors.Trace(err)
 }
 
-// Record returns a copy of what the engine ran and was ordered so far.
+// Record returns a copy of the runs and orders so far.
 func (e *Engine) Record() Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.record.after(0)
 }
 
-// Restart drops everything and cuts all connections, as a restarted process would.
-// The record stays.
+// Restart simulates a restart of the process: all state but the record is lost, and all
+// connections are cut.
 func (e *Engine) Restart() { e.restart(nil) }
 
-func (e *Engine) restart(spared *connection) {
+func (e *Engine) restart(except *connection) {
 	e.mu.Lock()
-	e.drop()
+	e.loseSequences()
 	e.reset()
 	e.mu.Unlock()
-	e.conns.cut(spared)
-	e.poke()
+	e.conns.cut(except)
+	e.wake()
 }
 
-// reset sets up the state of a fresh incarnation. It needs mu.
+// reset sets up the state of a new incarnation. The caller holds mu.
 func (e *Engine) reset() {
 	s := &e.settings
-	if e.endLife != nil {
-		e.endLife()
+	if e.endIncarnation != nil {
+		e.endIncarnation()
 	}
-	e.life, e.endLife = context.WithCancel(e.context)
+	e.incarnationContext, e.endIncarnation = context.WithCancel(e.context)
 	e.incarnation = rand.Text()
 	e.role = s.Role
 	e.fence = 0
@@ -133,11 +134,11 @@
 	e.events = eventLog{lag: s.CacheEventLag, loss: s.CacheEventLoss, random: s.Random}
 	e.steps, e.seqSteps = 0, 0
 	e.reports = reportLog{lag: s.ReportLag}
-	e.note(time.Now())
+	e.recordLoad(time.Now())
 }
 
-// drop ends all sequences as lost. It needs mu.
-func (e *Engine) drop() {
+// loseSequences ends all sequences in progress as Lost. The caller holds mu.
+func (e *Engine) loseSequences() {
 	for _, s := range e.sequences {
 		if s.outcome == InProgress {
 			e.end(s, Lost, nil)
@@ -145,16 +146,16 @@
 	}
 }
 
-// poke wakes the step loop.
-func (e *Engine) poke() {
+// wake wakes the step loop.
+func (e *Engine) wake() {
 	select {
 	case e.work <- struct{}{}:
 	default:
 	}
 }
 
-// note adds a load report. It needs mu.
-func (e *Engine) note(now time.Time) {
+// recordLoad adds a load report of the current state. The caller holds mu.
+func (e *Engine) recordLoad(now time.Time) {
 	e.reports.add(orderer.LoadReport{
 		Incarnation:   e.incarnation,
 		Measured:      now,
@@ -167,7 +168,7 @@
 	})
 }
 
-// inUse counts the accepted requests that name the model. It needs mu.
+// inUse returns the number of requests in progress for the model. The caller holds mu.
 func (e *Engine) inUse(model string) int {
 	count := 0
 	for _, s := range e.sequences {
@@ -178,5 +179,5 @@
 	return count
 }
 
-// MaxBatch returns the number of sequences that run at once.
+// MaxBatch returns the maximum number of sequences in the batch.
 func (e *Engine) MaxBatch() int { return e.settings.MaxBatch }
--- a/internal/standin/generator/engine_test.go
+++ b/internal/standin/generator/engine_test.go
@@ -15,9 +15,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/protocol/orderer"
 )
 
-// ask sends the engine one request and returns its whole answer, with code 0 where
-// the engine cut the connection.
-func ask(e *Engine, method, path, body string) (w *httptest.ResponseRecorder) {
+// sendRequest sends one request to the engine and returns the complete answer, with code
+// 0 if the engine cut the connection.
+func sendRequest(e *Engine, method, path, body string) (w *httptest.ResponseRecorder) {
 	w = httptest.NewRecorder()
 	defer func() {
 		if recover() != nil {
@@ -29,11 +29,11 @@
 }
 
 func load(e *Engine, name string) int {
-	return ask(e, http.MethodPost, orderer.PathLoadAdapter, `{"lora_name":"`+name+`","lora_path":"`+name+`"}`).Code
+	return sendRequest(e, http.MethodPost, orderer.PathLoadAdapter, `{"lora_name":"`+name+`","lora_path":"`+name+`"}`).Code
 }
 
 func complete(e *Engine, model string, tokens string) *httptest.ResponseRecorder {
-	return ask(e, http.MethodPost, orderer.PathCompletions, `{"model":"`+model+`","prompt":"p","max_tokens":`+tokens+`}`)
+	return sendRequest(e, http.MethodPost, orderer.PathCompletions, `{"model":"`+model+`","prompt":"p","max_tokens":`+tokens+`}`)
 }
 
 func inBubble(t *testing.T, s Settings, check func(g Gomega, e *Engine)) {
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestWholeAnswerAndTime(t *testing.T) {
+func TestFullAnswerAndDuration(t *testing.T) {
 	inBubble(t, Settings{}, func(g Gomega, e *Engine) {
 		g.Expect(load(e, "a")).To(Equal(http.StatusOK))
 		began := time.Now()
@@ -60,15 +60,15 @@
 	})
 }
 
-// The engine must not hide a coordinator's broken promise: it unloads an adapter in
-// use when told to, fails its requests and records the fact.
-func TestUnloadUnderUse(t *testing.T) {
+// Guards against an engine that hides a fault of its coordinator: ordered to unload an
+// adapter in use, it must do so, fail the adapter's requests and record the unload.
+func TestUnloadInUse(t *testing.T) {
 	inBubble(t, Settings{}, func(g Gomega, e *Engine) {
 		load(e, "a")
 		ended := make(chan int, 1)
 		go func() { ended <- complete(e, "a", "50").Code }()
 		<-time.After(100 * time.Millisecond)
-		g.Expect(ask(e, http.MethodPost, orderer.PathUnloadAdapter, `{"lora_name":"a"}`).Code).To(Equal(http.StatusOK))
+		g.Expect(sendRequest(e, http.MethodPost, orderer.PathUnloadAdapter, `{"lora_name":"a"}`).Code).To(Equal(http.StatusOK))
 		g.Expect(<-ended).To(Equal(http.StatusInternalServerError))
 		r := e.Record()
 		g.Expect(r.UnloadsInUse).To(Equal(1))
@@ -88,9 +88,9 @@
 	})
 }
 
-// A frozen process carries out after the thaw what arrived meanwhile, even from a
-// sender that has left: the late order of a dead companion.
-func TestFrozenEngineObeysLate(t *testing.T) {
+// A frozen process executes received orders after the thaw, even if the sender has
+// disconnected. This models the late order of a companion that has stopped.
+func TestFrozenEngineExecutesOrdersAfterThaw(t *testing.T) {
 	inBubble(t, Settings{}, func(g Gomega, e *Engine) {
 		e.Inject(Faults{Frozen: true})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -106,19 +106,19 @@
 	})
 }
 
-func TestRestartIsEmptyAndNew(t *testing.T) {
+func TestRestartClearsState(t *testing.T) {
 	inBubble(t, Settings{}, func(g Gomega, e *Engine) {
 		var before, after orderer.EngineState
 		load(e, "a")
 		go complete(e, "a", "50")
 		go load(e, "b")
 		<-time.After(100 * time.Millisecond)
-		g.Expect(json.Unmarshal(ask(e, http.MethodGet, orderer.PathState, "").Body.Bytes(), &before)).To(Succeed())
+		g.Expect(json.Unmarshal(sendRequest(e, http.MethodGet, orderer.PathState, "").Body.Bytes(), &before)).To(Succeed())
 		g.Expect(before.Adapters).To(HaveLen(2))
 		g.Expect(before.Running).To(Equal(1))
 		e.Restart()
 		<-time.After(time.Minute)
-		g.Expect(json.Unmarshal(ask(e, http.MethodGet, orderer.PathState, "").Body.Bytes(), &after)).To(Succeed())
+		g.Expect(json.Unmarshal(sendRequest(e, http.MethodGet, orderer.PathState, "").Body.Bytes(), &after)).To(Succeed())
 		g.Expect(after.Incarnation).NotTo(Equal(before.Incarnation))
 		g.Expect(after.Adapters).To(BeEmpty())
 		g.Expect(after.Running).To(BeZero())
@@ -126,7 +126,7 @@
 	})
 }
 
-// A restart drops what a frozen engine had taken in but not begun.
+// A restart discards requests that a frozen engine has received but not begun.
 func TestRestartWhileFrozen(t *testing.T) {
 	inBubble(t, Settings{Faults: Faults{Frozen: true}}, func(g Gomega, e *Engine) {
 		ended := make(chan int, 2)
@@ -143,8 +143,8 @@
 	})
 }
 
-// A request whose connection broke goes on for the grace, so that it can be resumed,
-// and no longer.
+// A request whose connection broke continues for exactly the grace period, in which it
+// can be resumed.
 func TestAbandonedAfterGrace(t *testing.T) {
 	inBubble(t, Settings{StreamGrace: time.Second}, func(g Gomega, e *Engine) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/standin/generator/enum.go
+++ b/internal/standin/generator/enum.go
@@ -4,7 +4,7 @@
 
 //go:generate stringer -type=Outcome,OrderKind,Fencing -output=enum_string.go
 
-// Outcome is how a run ended.
+// Outcome is the way in which a run ended.
 type Outcome int
 
 // The outcomes of a run.
@@ -15,17 +15,17 @@
 	Completed
 	// Cancelled means that a cancel order ended the run.
 	Cancelled
-	// Abandoned means that nobody listened for the grace.
+	// Abandoned means that no client was connected for Settings.StreamGrace.
 	Abandoned
-	// Unloaded means that the adapter was unloaded under the run.
+	// Unloaded means that the adapter was unloaded during the run.
 	Unloaded
 	// Lost means that the engine restarted or closed.
 	Lost
-	// Moved means that the run was exported.
+	// Moved means that the request was exported to another engine.
 	Moved
 )
 
-// OrderKind is a kind of order.
+// OrderKind is the kind of an order.
 type OrderKind int
 
 // The kinds of orders.
@@ -40,41 +40,41 @@
 // Fencing is a fault that overrides Settings.ChecksFencing.
 type Fencing int
 
-// The ways to treat fencing numbers.
+// The modes of handling fencing numbers.
 const (
-	// AsSet follows the settings.
+	// AsSet applies Settings.ChecksFencing.
 	AsSet Fencing = iota
-	// Honoured refuses orders with an old number.
+	// Honoured refuses orders with an outdated fencing number.
 	Honoured
-	// Ignored obeys them.
+	// Ignored executes them.
 	Ignored
 )
 
-// MarshalText writes the outcome by its name.
+// MarshalText returns the outcome's name.
 func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// UnmarshalText reads an outcome by its name.
+// UnmarshalText parses the name of an outcome.
 func (o *Outcome) UnmarshalText(text []byte) error {
 	return parse(o, text, InProgress, Completed, Cancelled, Abandoned, Unloaded, Lost, Moved)
 }
 
-// MarshalText writes the kind by its name.
+// MarshalText returns the kind's name.
 func (k OrderKind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads a kind by its name.
+// UnmarshalText parses the name of a kind.
 func (k *OrderKind) UnmarshalText(text []byte) error {
 	return parse(k, text, LoadOrder, UnloadOrder, RoleOrder, ExportOrder, ImportOrder)
 }
 
-// MarshalText writes the fault by its name.
+// MarshalText returns the fault's name.
 func (f Fencing) MarshalText() ([]byte, error) { return []byte(f.String()), nil }
 
-// UnmarshalText reads a fault by its name.
+// UnmarshalText parses the name of a fault.
 func (f *Fencing) UnmarshalText(text []byte) error {
 	return parse(f, text, AsSet, Honoured, Ignored)
 }
 
-// parse sets target to the known value that text names.
+// parse sets target to the known value with the name text.
 func parse[T interface{ String() string }](target *T, text []byte, known ...T) error {
 	for _, value := range known {
 		if value.String() == string(text) {
--- a/internal/standin/generator/expected.go
+++ b/internal/standin/generator/expected.go
@@ -7,8 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Expected returns the whole text that an engine answers to prompt with the model,
-// an adapter or the base model. For a chat, prompt is orderer.ChatPrompt.
+// Expected returns the complete text that an engine generates for the prompt with the
+// model, which is an adapter or the base model. For a chat, prompt is the result of
+// orderer.ChatPrompt.
 func Expected(model, prompt string, maxTokens int) string {
 	seed := textSeed(model, prompt)
 	var text strings.Builder
@@ -26,8 +27,8 @@
 	return digest.Sum64()
 }
 
-// tokenText returns the token at the index of the text with the seed. Its index is
-// part of the token, so that a lost or doubled token shows.
+// tokenText returns the token at the index of the text with the seed. A token contains
+// its index, so that lost and duplicate tokens can be detected.
 func tokenText(seed uint64, index int) string {
 	mixed := (seed + uint64(index)) * 0x9e3779b97f4a7c15
 	return " " + strconv.FormatUint(mixed>>44, 36) + "." + strconv.Itoa(index)
--- a/internal/standin/generator/faults.go
+++ b/internal/standin/generator/faults.go
@@ -5,62 +5,63 @@
 	"net/http"
 )
 
-// PathFaults takes a Faults in JSON, PathRecord gives the Record.
+// PathFaults accepts a Faults in JSON by POST; PathRecord returns the Record by GET.
 const (
 	PathFaults = "/v1/faults"
 	PathRecord = "/v1/record"
 )
 
-// Faults are what goes wrong at an engine. The zero value means nothing does.
-// Restart and Silence act once; the others stay until replaced.
+// Faults are the faults to inject into an engine; the zero value injects none. Restart
+// and Silence act once, the others stay active until they are replaced.
 type Faults struct {
-	// FailLoads is the number of next loads that fail.
+	// FailLoads is the number of following loads that fail.
 	FailLoads int
 	// LoadFailure is the probability that a load fails.
 	LoadFailure float64
-	// Frozen makes the engine accept requests and neither work nor answer. What it
-	// accepted goes on when it thaws, also where the sender has left.
+	// Frozen makes the engine receive requests without processing or answering them.
+	// They are processed after the thaw, even if the client has disconnected.
 	Frozen bool
-	// Slowdown multiplies the time of steps where it is above 0.
+	// Slowdown multiplies the duration of steps if it is above 0.
 	Slowdown float64
-	// DropStreams is the number of next streams whose connection is cut after
+	// DropStreams is the number of following streams whose connection is cut after
 	// DropAfter events.
 	DropStreams int
 	DropAfter   int
-	// RefuseGeneration answers all generation requests 503.
+	// RefuseGeneration answers all generation requests with status 503.
 	RefuseGeneration bool
 	// Fencing overrides Settings.ChecksFencing.
 	Fencing Fencing
 
-	// Restart drops everything and cuts all connections, as a restarted process.
+	// Restart simulates a restart of the process; see Engine.Restart.
 	Restart bool
-	// Silence makes all present connections deliver nothing more either way, while
-	// new ones work.
+	// Silence stops delivery on all existing connections in both directions; new ones
+	// work.
 	Silence bool
 }
 
-// Inject replaces the faults in force and carries out those that act once.
+// Inject replaces the active faults and executes those that act once.
 func (e *Engine) Inject(f Faults) { e.inject(f, nil) }
 
-// inject spares the connection, over which the fault was ordered.
-func (e *Engine) inject(f Faults, spared *connection) {
+// inject is Inject, but neither cuts nor silences the excepted connection, over which
+// the faults were requested; it may be nil.
+func (e *Engine) inject(f Faults, except *connection) {
 	e.mu.Lock()
 	restart, silence := f.Restart, f.Silence
 	f.Restart, f.Silence = false, false
 	e.faults = f
-	e.freeze(f.Frozen)
+	e.setFrozen(f.Frozen)
 	e.mu.Unlock()
-	e.poke()
+	e.wake()
 	if restart {
-		e.restart(spared)
+		e.restart(except)
 	}
 	if silence {
-		e.conns.silence(spared)
+		e.conns.silence(except)
 	}
 }
 
-// freeze closes or opens the gate. It needs mu.
-func (e *Engine) freeze(frozen bool) {
+// setFrozen freezes or thaws the engine. The caller holds mu.
+func (e *Engine) setFrozen(frozen bool) {
 	if frozen == (e.thawed != nil) {
 		return
 	}
@@ -72,8 +73,9 @@
 	e.thawed = nil
 }
 
-// awaitThaw waits while the engine is frozen. It returns false if the engine closed.
-func (e *Engine) awaitThaw() bool {
+// waitWhileFrozen waits until the engine is not frozen. It returns false if the engine
+// has closed.
+func (e *Engine) waitWhileFrozen() bool {
 	for {
 		e.mu.Lock()
 		thawed := e.thawed
@@ -95,12 +97,13 @@
 		writeError(w, badRequest(err.Error()))
 		return
 	}
-	spared, _ := r.Context().Value(connectionKey{}).(*connection)
-	e.inject(f, spared)
+	requester, _ := r.Context().Value(connectionKey{}).(*connection)
+	e.inject(f, requester)
 	writeJSON(w, f)
 }
 
-// checksFencing needs mu.
+// checksFencing reports whether orders with an outdated fencing number are refused. The
+// caller holds mu.
 func (e *Engine) checksFencing() bool {
 	switch e.faults.Fencing {
 	case Honoured:
--- a/internal/standin/generator/handler.go
+++ b/internal/standin/generator/handler.go
@@ -39,12 +39,13 @@
 	return outer
 }
 
-// gate takes in the whole request before it waits out a freeze: a request whose
-// bytes have arrived is carried out after the thaw even if its sender has left.
+// gate reads the complete request before it waits until the engine is not frozen: a
+// request that was received is processed after the thaw even if its client has
+// disconnected.
 func (e *Engine) gate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		life := e.serve()
-		if life == nil {
+		incarnationContext := e.beginRequest()
+		if incarnationContext == nil {
 			panic(http.ErrAbortHandler)
 		}
 		defer e.running.Done()
@@ -54,12 +55,12 @@
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if !e.awaitThaw() || life.Err() != nil {
-			panic(http.ErrAbortHandler) // A restart drops what had arrived before.
+		if !e.waitWhileFrozen() || incarnationContext.Err() != nil {
+			panic(http.ErrAbortHandler) // A restart discards requests received before it.
 		}
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		defer context.AfterFunc(life, cancel)() //nolint:contextcheck // The request ends with either of the two.
+		defer context.AfterFunc(incarnationContext, cancel)() //nolint:contextcheck // The request ends with either of the two.
 		e.mu.Lock()
 		w.Header().Set(orderer.HeaderIncarnation, e.incarnation)
 		e.mu.Unlock()
@@ -67,16 +68,16 @@
 	})
 }
 
-// serve counts a request that Close waits for, and returns a context that ends with
-// the present incarnation, or nil if the engine has closed.
-func (e *Engine) serve() context.Context {
+// beginRequest registers a request that Close has to wait for. It returns the context of
+// the current incarnation, or nil if the engine has closed.
+func (e *Engine) beginRequest() context.Context {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.context.Err() != nil {
 		return nil
 	}
 	e.running.Add(1)
-	return e.life
+	return e.incarnationContext
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
@@ -106,14 +107,14 @@
 func (e *Engine) serveReport(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	now := time.Now()
-	e.note(now)
+	e.recordLoad(now)
 	report := e.reports.at(now)
 	e.mu.Unlock()
 	writeJSON(w, report)
 }
 
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
-	after, err := number(r, orderer.QueryAfter)
+	after, err := parseNumber(r, orderer.QueryAfter)
 	if err != nil {
 		writeError(w, badRequest(err.Error()))
 		return
@@ -125,7 +126,7 @@
 }
 
 func (e *Engine) serveRecord(w http.ResponseWriter, r *http.Request) {
-	after, err := number(r, orderer.QueryAfter)
+	after, err := parseNumber(r, orderer.QueryAfter)
 	if err != nil {
 		writeError(w, badRequest(err.Error()))
 		return
@@ -136,7 +137,7 @@
 	writeJSON(w, record)
 }
 
-// modelList is OpenAI's list of models.
+// modelList is the list of models in the format of the OpenAI API.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelCard `json:"data"`
@@ -162,8 +163,8 @@
 	writeJSON(w, list)
 }
 
-// number returns a query parameter, or 0 if it is missing.
-func number(r *http.Request, name string) (int64, error) {
+// parseNumber returns the value of a query parameter, or 0 if it is missing.
+func parseNumber(r *http.Request, name string) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
--- a/internal/standin/generator/loop.go
+++ b/internal/standin/generator/loop.go
@@ -7,15 +7,16 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/pauser"
 )
 
-// maxLateness bounds how far the steps may lag behind their times before the
-// engine lets the lost time go, as on a machine that is short of processor time.
+// maxLateness bounds how far steps may lag behind their schedule. Beyond it, as on a
+// machine short of processor time, the schedule restarts at the current time.
 const maxLateness = 100 * time.Millisecond
 
-// loop runs the batch step by step until the engine closes. Steps are due at
-// moments that don't drift, because a timer's error may exceed a scaled step.
+// loop runs the batch step by step until the engine closes. Each step is scheduled
+// relative to the due time of the previous one, because the error of a timer may exceed
+// a scaled step and would accumulate otherwise.
 func (e *Engine) loop() {
 	due := time.Now()
-	for e.awaitThaw() {
+	for e.waitWhileFrozen() {
 		now := time.Now()
 		if now.Sub(due) > maxLateness {
 			due = now
@@ -38,8 +39,8 @@
 	}
 }
 
-// beginStep admits waiting sequences and returns the time that the step takes, or
-// false if there is nothing to run.
+// beginStep admits waiting sequences and returns the duration of the step, or false if
+// the batch is empty.
 func (e *Engine) beginStep(now time.Time) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,7 +56,7 @@
 	e.seqSteps += int64(running)
 	e.record.Steps++
 	e.record.SequenceSteps += int64(running)
-	e.note(now)
+	e.recordLoad(now)
 	length := e.settings.stepTime(running, prefill)
 	if e.faults.Slowdown > 0 {
 		length = time.Duration(float64(length) * e.faults.Slowdown)
@@ -63,8 +64,8 @@
 	return length, true
 }
 
-// start begins a sequence and returns the number of prompt tokens to compute. It
-// needs mu.
+// start starts a sequence that enters the batch and returns the number of prompt tokens
+// to compute. The caller holds mu.
 func (e *Engine) start(now time.Time, s *sequence) int {
 	if s.began {
 		return 0
@@ -72,7 +73,7 @@
 	s.began = true
 	e.record.Runs[s.run-1].Started = now
 	if s.generated > 0 {
-		return 0 // Its KV cache was imported.
+		return 0 // The KV cache was imported.
 	}
 	e.hashes = orderer.BlockHashes(e.hashes[:0], s.Model, s.Prompt, e.settings.BlockTokens)
 	cached, stored, evicted := e.cache.use(s.Model, e.hashes)
@@ -86,7 +87,7 @@
 	return s.PromptTokens - s.cached
 }
 
-// endStep gives each running sequence its token.
+// endStep adds one token to each running sequence.
 func (e *Engine) endStep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -103,10 +104,11 @@
 		}
 		s.notify()
 	}
-	e.note(now)
+	e.recordLoad(now)
 }
 
-// end finishes a sequence and keeps its stream for a while. It needs mu.
+// end ends a sequence and retains its stream for Settings.StreamKept. The caller holds
+// mu.
 func (e *Engine) end(s *sequence, o Outcome, failure *orderer.ErrorDetail) {
 	e.batch.remove(s)
 	s.outcome = o
--- a/internal/standin/generator/orders.go
+++ b/internal/standin/generator/orders.go
@@ -18,9 +18,9 @@
 
 const weightsPath = "/weights/"
 
-// enter checks an order's fencing number and records the order. It returns the
-// place of its record, or a refusal. It needs mu.
-func (e *Engine) enter(r *http.Request, kind OrderKind, subject string) (*Order, *refusal) {
+// recordOrder records an order and checks its fencing number. It returns the entry in the
+// record, which is valid until the next order, or a refusal. The caller holds mu.
+func (e *Engine) recordOrder(r *http.Request, kind OrderKind, subject string) (*Order, *refusal) {
 	fence, err := strconv.ParseUint(r.Header.Get(orderer.HeaderFence), 10, 64)
 	if err != nil && r.Header.Get(orderer.HeaderFence) != "" {
 		return nil, badRequest("fencing number: " + err.Error())
@@ -54,7 +54,7 @@
 		writeError(w, refused)
 		return
 	}
-	loaded, refused := e.beginLoad(r, order) //nolint:contextcheck // A load outlives its order's connection.
+	loaded, refused := e.beginLoad(r, order) //nolint:contextcheck // A load continues after its order's connection has closed.
 	if refused != nil {
 		writeError(w, refused)
 		return
@@ -71,11 +71,11 @@
 	}
 }
 
-// beginLoad starts a load, whose end the channel tells, nil for success.
+// beginLoad starts a load. Its end is sent on the channel: nil for success, or a refusal.
 func (e *Engine) beginLoad(r *http.Request, order orderer.AdapterOrder) (<-chan *refusal, *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	entry, refused := e.enter(r, LoadOrder, order.Name)
+	entry, refused := e.recordOrder(r, LoadOrder, order.Name)
 	if refused != nil {
 		return nil, refused
 	}
@@ -84,12 +84,12 @@
 		entry.Status = refused.status
 		return nil, refused
 	}
-	incarnation, life := e.incarnation, e.life
+	incarnation, incarnationContext := e.incarnation, e.incarnationContext
 	loaded := make(chan *refusal, 1)
-	e.note(time.Now())
+	e.recordLoad(time.Now())
 	e.running.Go(func() {
-		err := e.fetch(life, order.Path)
-		if err == nil && !pauser.Pause(life, e.settings.scaled(e.settings.ActivationTime)) {
+		err := e.fetch(incarnationContext, order.Path)
+		if err == nil && !pauser.Pause(incarnationContext, e.settings.scaled(e.settings.ActivationTime)) {
 			err = errors.New("engine stopped")
 		}
 		loaded <- e.endLoad(incarnation, target, order, err)
@@ -97,7 +97,7 @@
 	return loaded, nil
 }
 
-// takeSlot finds the slot to load into. It needs mu.
+// takeSlot returns the slot to load into. The caller holds mu.
 func (e *Engine) takeSlot(order orderer.AdapterOrder) (*slot, *refusal) {
 	if order.Name == "" || order.Path == "" {
 		return nil, badRequest("lora_name and lora_path must be set")
@@ -109,14 +109,15 @@
 		return nil, refuse(http.StatusBadRequest, orderer.TypeInvalid,
 			fmt.Sprintf("The lora adapter '%s' has already been loaded.", order.Name))
 	}
-	target := e.slots.begin(order.Name, order.Path)
+	target := e.slots.reserve(order.Name, order.Path)
 	if target == nil {
 		return nil, refuse(http.StatusBadRequest, orderer.TypeNoSlot, "all adapter slots are taken")
 	}
 	return target, nil
 }
 
-// endLoad makes the adapter resident or frees its slot.
+// endLoad makes the adapter resident, or frees its slot if err or an injected fault makes
+// the load fail.
 func (e *Engine) endLoad(incarnation string, target *slot, order orderer.AdapterOrder, err error) *refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,7 +131,7 @@
 	if p := e.faults.LoadFailure; err == nil && p > 0 && e.settings.Random.Float64() < p {
 		err = errors.New("fault: load fails by chance")
 	}
-	defer func() { e.note(time.Now()) }()
+	defer func() { e.recordLoad(time.Now()) }()
 	if err != nil {
 		if target.phase == orderer.Loading {
 			e.slots.free(target)
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// fetch takes the weights from the store.
+// fetch downloads the weights from the weight store, if there is one.
 func (e *Engine) fetch(ctx context.Context, path string) error {
 	if e.settings.WeightStore == "" {
 		return nil
@@ -180,11 +181,11 @@
 	writeText(w, fmt.Sprintf("Success: LoRA adapter '%s' removed successfully.", order.Name))
 }
 
-// unload drops a resident adapter and fails the requests that use it.
+// unload unloads a resident adapter and fails the requests that use it.
 func (e *Engine) unload(r *http.Request, name string) *refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	entry, refused := e.enter(r, UnloadOrder, name)
+	entry, refused := e.recordOrder(r, UnloadOrder, name)
 	if refused != nil {
 		return refused
 	}
@@ -204,7 +205,7 @@
 		}
 	}
 	e.slots.free(e.slots.find(name))
-	e.note(time.Now())
+	e.recordLoad(time.Now())
 	return nil
 }
 
@@ -215,7 +216,7 @@
 		return
 	}
 	e.mu.Lock()
-	if _, refused = e.enter(r, RoleOrder, order.Role.String()); refused == nil {
+	if _, refused = e.recordOrder(r, RoleOrder, order.Role.String()); refused == nil {
 		e.role = order.Role
 	}
 	e.mu.Unlock()
--- a/internal/standin/generator/parts_test.go
+++ b/internal/standin/generator/parts_test.go
@@ -15,7 +15,7 @@
 	It("admits by priority, then by arrival, up to its limit", func() {
 		b := batch{limit: 2}
 		names := ""
-		for _, s := range []question{{Request: "a", Priority: 1}, {Request: "b"}, {Request: "c", Priority: 1}, {Request: "d"}, {Request: "e", Priority: -1}} {
+		for _, s := range []requestSpec{{Request: "a", Priority: 1}, {Request: "b"}, {Request: "c", Priority: 1}, {Request: "d"}, {Request: "e", Priority: -1}} {
 			b.enqueue(newSequence(s))
 		}
 		for len(b.waiting) > 0 {
@@ -30,7 +30,7 @@
 })
 
 var _ = Describe("prefixCache", func() {
-	It("counts only leading blocks and drops the least recently used", func() {
+	It("counts only leading blocks and evicts the least recently used one", func() {
 		c := newPrefixCache(3)
 		_, stored, _ := c.use("m", []uint64{1, 2, 3})
 		Expect(stored).To(Equal([]uint64{1, 2, 3}))
@@ -42,7 +42,7 @@
 })
 
 var _ = Describe("eventLog", func() {
-	It("gives events out late, with gaps in their numbers", func() {
+	It("returns events after the lag, with gaps in their numbers", func() {
 		now := time.Unix(1000, 0)
 		l := eventLog{lag: time.Second, loss: 0.5, random: rand.New(rand.NewPCG(1, 0))}
 		for range 100 {
@@ -56,7 +56,7 @@
 })
 
 var _ = Describe("reportLog", func() {
-	It("gives out what was true the lag ago", func() {
+	It("returns the report that is as old as the lag", func() {
 		now := time.Unix(1000, 0)
 		l := reportLog{lag: 5 * time.Second}
 		for i := range 10 {
@@ -69,7 +69,7 @@
 })
 
 var _ = Describe("Expected", func() {
-	It("differs by model, prompt and length, and tells its parts apart", func() {
+	It("differs by model, prompt and length, and has one word per token", func() {
 		text := Expected("a@1", "p", 20)
 		Expect(Expected("a@2", "p", 20)).NotTo(Equal(text))
 		Expect(Expected("a@1", "q", 20)).NotTo(Equal(text))
--- a/internal/standin/generator/prefixcache.go
+++ b/internal/standin/generator/prefixcache.go
@@ -2,14 +2,13 @@
 
 import "container/list"
 
-// prefixCache holds the most recently used blocks of prompts. It is not safe for
-// concurrent use.
+// prefixCache is an LRU cache of prompt blocks. It is not safe for concurrent use.
 type prefixCache struct {
-	// limit is the number of blocks that fit.
+	// limit is the capacity in blocks.
 	limit int
-	// blocks finds each cached block in recent.
+	// blocks maps the hash of each cached block to its element of recent.
 	blocks map[uint64]*list.Element
-	// recent holds cachedBlock values, the most recently used first.
+	// recent contains cachedBlock values, the most recently used first.
 	recent *list.List
 }
 
@@ -22,9 +21,9 @@
 	return prefixCache{limit: limit, blocks: make(map[uint64]*list.Element), recent: list.New()}
 }
 
-// use looks up the blocks of a prompt in order, stores those that are missing and
-// returns the number of leading blocks that were cached, the hashes newly stored
-// and the blocks evicted for them.
+// use looks up the blocks of a prompt in order and stores the missing ones. It returns
+// the number of leading blocks that were cached, the newly stored hashes and the blocks
+// evicted for them.
 func (c *prefixCache) use(model string, hashes []uint64) (cached int, stored []uint64, evicted []cachedBlock) {
 	hit := true
 	for _, h := range hashes {
--- a/internal/standin/generator/reports.go
+++ b/internal/standin/generator/reports.go
@@ -14,25 +14,25 @@
 	reportsPerLag   = 16
 )
 
-// eventLog holds the latest cache events, late and with gaps. It is not safe for
-// concurrent use.
+// eventLog retains the latest cache events and returns them with a delay and with gaps.
+// It is not safe for concurrent use.
 type eventLog struct {
-	lag    time.Duration
-	loss   float64
-	random *rand.Rand
-	last   int64
-	events []orderer.CacheEvent
-	// visible holds, for each of events, the moment from which it is given out.
+	lag        time.Duration
+	loss       float64
+	random     *rand.Rand
+	lastNumber int64
+	events     []orderer.CacheEvent
+	// visible contains, for each element of events, the time from which it is returned.
 	visible []time.Time
 }
 
-// add numbers the event and keeps it, unless it is lost.
+// add numbers the event and appends it, unless it is lost by chance.
 func (l *eventLog) add(now time.Time, event orderer.CacheEvent) {
-	l.last++
+	l.lastNumber++
 	if l.loss > 0 && l.random.Float64() < l.loss {
 		return
 	}
-	event.Number = l.last
+	event.Number = l.lastNumber
 	l.events = append(l.events, event)
 	l.visible = append(l.visible, now.Add(l.lag))
 	if over := len(l.events) - maxCacheEvents; over > 0 {
@@ -41,7 +41,8 @@
 	}
 }
 
-// after returns the visible events after the numbered one.
+// after returns the visible events with a number above the given one, at most
+// maxEventsAnswer.
 func (l *eventLog) after(now time.Time, number int64) []orderer.CacheEvent {
 	found := make([]orderer.CacheEvent, 0)
 	for i, e := range l.events {
@@ -55,14 +56,14 @@
 	return found
 }
 
-// reportLog gives out load reports of the past. It is not safe for concurrent use.
+// reportLog returns load reports with a lag. It is not safe for concurrent use.
 type reportLog struct {
 	lag     time.Duration
 	reports []orderer.LoadReport
 }
 
-// add keeps the report unless it would tell nothing new: the same counts as the
-// last one, which is nearly as young.
+// add appends the report, unless the last one has the same counts and is older by less
+// than 1/reportsPerLag of the lag.
 func (l *reportLog) add(r orderer.LoadReport) {
 	if l.lag == 0 {
 		l.reports = append(l.reports[:0], r)
@@ -81,8 +82,8 @@
 	}
 }
 
-// at returns the newest report that is at least the lag old and forgets those
-// before it.
+// at returns the newest report that is at least as old as the lag, or the oldest one, and
+// discards earlier reports.
 func (l *reportLog) at(now time.Time) orderer.LoadReport {
 	found := 0
 	for i := range l.reports {
--- a/internal/standin/generator/sequence.go
+++ b/internal/standin/generator/sequence.go
@@ -15,57 +15,58 @@
 	finishLength     = "length"
 )
 
-// question is the part of a sequence that never changes and moves with it.
-type question struct {
+// requestSpec contains the parameters of a request. They are constant and are exported
+// with the request.
+type requestSpec struct {
 	Request      string
 	Key          string
 	Endpoint     orderer.Endpoint
 	Model        string
 	Prompt       string
 	PromptTokens int
-	// MaxTokens is the number of tokens of the whole answer; it is positive.
+	// MaxTokens is the number of tokens of the complete answer; it is positive.
 	MaxTokens int
 	Priority  int
-	// Created is the moment of acceptance in Unix seconds.
+	// Created is the time of acceptance in Unix seconds.
 	Created int64
-	// Usage asks for the usage at the end of a stream.
+	// Usage requests the token usage at the end of a stream.
 	Usage bool
 }
 
-// sequence is one accepted generation request. Its changing fields are guarded by
-// Engine.mu.
+// sequence is one accepted generation request. Engine.mu guards its mutable fields.
 type sequence struct {
-	question
+	requestSpec
 	priority int
 	seed     uint64
 	// run is the Sequence of the request in the record.
 	run int64
-	// imported is set where another engine began the sequence.
+	// imported is set if another engine began the sequence.
 	imported  bool
 	generated int
-	// cached counts the prompt tokens found in the prefix cache.
+	// cached is the number of prompt tokens found in the prefix cache.
 	cached int
 	// began is set when the sequence enters the batch for the first time.
 	began bool
-	// held is set after the prefill on an engine of the prefill role.
+	// held is set after the prefill by an engine with the prefill role: the sequence has
+	// left the batch and waits for its export.
 	held    bool
 	outcome Outcome
-	// failure is the error that the stream ends in, if it does.
+	// failure is the error that ends the stream, or nil.
 	failure *orderer.ErrorDetail
 	// changed is closed and replaced whenever the sequence makes progress.
 	changed chan struct{}
-	// listeners counts the connections that wait for the answer.
+	// listeners is the number of connections that wait for the answer.
 	listeners int
-	// grace ends the sequence when nobody has listened for long enough.
+	// grace ends the sequence when it has had no listener for Settings.StreamGrace.
 	grace *time.Timer
 }
 
-func newSequence(q question) *sequence {
+func newSequence(q requestSpec) *sequence {
 	return &sequence{
-		question: q,
-		priority: q.Priority,
-		seed:     textSeed(q.Model, q.Prompt),
-		changed:  make(chan struct{}),
+		requestSpec: q,
+		priority:    q.Priority,
+		seed:        textSeed(q.Model, q.Prompt),
+		changed:     make(chan struct{}),
 	}
 }
 
@@ -75,7 +76,7 @@
 	s.changed = make(chan struct{})
 }
 
-// progress is a copy of what listeners need to know of a sequence.
+// progress is a snapshot of a sequence for its listeners.
 type progress struct {
 	generated int
 	cached    int
@@ -85,7 +86,7 @@
 }
 
 // preamble returns the number of events before the first token.
-func (q *question) preamble() int64 {
+func (q *requestSpec) preamble() int64 {
 	if q.Endpoint == orderer.ChatCompletions {
 		return 1
 	}
@@ -93,7 +94,7 @@
 }
 
 // available returns the number of events that the stream has so far.
-func (q *question) available(p progress) int64 {
+func (q *requestSpec) available(p progress) int64 {
 	count := int64(p.generated)
 	if count > 0 {
 		count += q.preamble()
@@ -109,8 +110,8 @@
 	return count
 }
 
-// event returns the data of the numbered event, which must be available.
-func (q *question) event(seed uint64, number int64, p progress) []byte {
+// event returns the data of the event with the number, which must be available.
+func (q *requestSpec) event(seed uint64, number int64, p progress) []byte {
 	last := q.available(p)
 	switch {
 	case p.failure != nil && number == last:
@@ -130,7 +131,7 @@
 
 // choice returns the choice with the token at the index; -1 is the preamble of a
 // chat.
-func (q *question) choice(seed uint64, index int) orderer.Choice {
+func (q *requestSpec) choice(seed uint64, index int) orderer.Choice {
 	var c orderer.Choice
 	text := ""
 	if index >= 0 {
@@ -151,7 +152,7 @@
 	return c
 }
 
-func (q *question) chunk() orderer.Chunk {
+func (q *requestSpec) chunk() orderer.Chunk {
 	object := objectCompletion
 	if q.Endpoint == orderer.ChatCompletions {
 		object = objectChatChunk
@@ -159,8 +160,8 @@
 	return orderer.Chunk{ID: q.Request, Object: object, Created: q.Created, Model: q.Model}
 }
 
-// whole returns the answer of a completed request in one piece.
-func (q *question) whole(p progress) orderer.Chunk {
+// fullAnswer returns the non-streamed answer to a completed request.
+func (q *requestSpec) fullAnswer(p progress) orderer.Chunk {
 	answer := q.chunk()
 	answer.Usage = q.usage(p)
 	text := Expected(q.Model, q.Prompt, q.MaxTokens)
@@ -176,7 +177,7 @@
 	return answer
 }
 
-func (q *question) usage(p progress) *orderer.Usage {
+func (q *requestSpec) usage(p progress) *orderer.Usage {
 	return &orderer.Usage{
 		PromptTokens:     q.PromptTokens,
 		CompletionTokens: p.generated,
@@ -185,7 +186,7 @@
 	}
 }
 
-// mustMarshal encodes one of the package's own messages, none of which can fail.
+// mustMarshal encodes one of the package's own messages, for which encoding can't fail.
 func mustMarshal(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/internal/standin/generator/slots.go
+++ b/internal/standin/generator/slots.go
@@ -13,7 +13,7 @@
 	phase orderer.AdapterPhase
 }
 
-// slotTable holds the adapters of an engine. It is not safe for concurrent use.
+// slotTable is the table of an engine's adapter slots. It is not safe for concurrent use.
 type slotTable struct {
 	// limit is the number of slots; len(occupied) never exceeds it.
 	limit    int
@@ -29,14 +29,14 @@
 	return nil
 }
 
-// resident tells whether the adapter can be used.
+// resident reports whether the adapter is loaded and can be used.
 func (t *slotTable) resident(name string) bool {
 	s := t.find(name)
 	return s != nil && s.phase == orderer.Resident
 }
 
-// begin takes a slot for a load, or returns nil if none is free.
-func (t *slotTable) begin(name, path string) *slot {
+// reserve occupies a slot for a load and returns it, or nil if none is free.
+func (t *slotTable) reserve(name, path string) *slot {
 	if len(t.occupied) >= t.limit {
 		return nil
 	}
@@ -45,7 +45,7 @@
 	return s
 }
 
-// free empties the slot.
+// free frees the slot.
 func (t *slotTable) free(s *slot) {
 	t.occupied = slices.DeleteFunc(t.occupied, func(o *slot) bool { return o == s })
 }
--- a/internal/standin/generator/transfer.go
+++ b/internal/standin/generator/transfer.go
@@ -12,10 +12,9 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/pauser"
 )
 
-// transferred is the content of exported bytes. Only engines of this package read
-// them.
-type transferred struct {
-	Question  question
+// exportedRequest is the content of an export. Only engines of this package decode it.
+type exportedRequest struct {
+	Question  requestSpec
 	Generated int
 	Cached    int
 }
@@ -38,22 +37,22 @@
 	_, _ = w.Write(mustMarshal(moved))
 }
 
-// export takes a request out of the engine.
-func (e *Engine) export(r *http.Request, request string) (transferred, *refusal) {
+// export ends a request as Moved and returns its state.
+func (e *Engine) export(r *http.Request, request string) (exportedRequest, *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	entry, refused := e.enter(r, ExportOrder, request)
+	entry, refused := e.recordOrder(r, ExportOrder, request)
 	if refused != nil {
-		return transferred{}, refused
+		return exportedRequest{}, refused
 	}
 	s, ok := e.sequences[request]
 	if !ok || s.outcome != InProgress {
 		entry.Status = http.StatusNotFound
-		return transferred{}, refuse(entry.Status, orderer.TypeNotFound, "no request of this id is in progress")
+		return exportedRequest{}, refuse(entry.Status, orderer.TypeNotFound, "no request of this id is in progress")
 	}
 	e.end(s, Moved, &orderer.ErrorDetail{Message: "the request was exported", Type: orderer.TypeMoved, Code: http.StatusGone})
-	e.note(time.Now())
-	return transferred{Question: s.question, Generated: s.generated, Cached: s.cached}, nil
+	e.recordLoad(time.Now())
+	return exportedRequest{Question: s.requestSpec, Generated: s.generated, Cached: s.cached}, nil
 }
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
@@ -65,18 +64,18 @@
 	if !pauser.Pause(r.Context(), e.transferTime(moved)) {
 		panic(http.ErrAbortHandler)
 	}
-	if refused := e.restore(r, moved); refused != nil {
+	if refused := e.importRequest(r, moved); refused != nil {
 		writeError(w, refused)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// restore lets an imported request wait for the batch.
-func (e *Engine) restore(r *http.Request, moved transferred) *refusal {
+// importRequest queues an imported request for the batch.
+func (e *Engine) importRequest(r *http.Request, moved exportedRequest) *refusal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	entry, refused := e.enter(r, ImportOrder, moved.Question.Request)
+	entry, refused := e.recordOrder(r, ImportOrder, moved.Question.Request)
 	if refused != nil {
 		return refused
 	}
@@ -96,13 +95,13 @@
 	s.imported = true
 	s.generated = moved.Generated
 	s.cached = moved.Cached
-	e.add(s)
-	e.watch(s)
+	e.queueSequence(s)
+	e.startGraceTimer(s)
 	return nil
 }
 
-func readTransfer(r io.Reader) (transferred, error) {
-	var moved transferred
+func readTransfer(r io.Reader) (exportedRequest, error) {
+	var moved exportedRequest
 	if err := json.NewDecoder(r).Decode(&moved); err != nil {
 		return moved, errors.Annotate(err, "exported bytes")
 	}
@@ -112,8 +111,8 @@
 	return moved, nil
 }
 
-// transferTime returns the time that the KV cache takes to move.
-func (e *Engine) transferTime(moved transferred) time.Duration {
+// transferTime returns the time to transfer the request's KV cache.
+func (e *Engine) transferTime(moved exportedRequest) time.Duration {
 	tokens := moved.Question.PromptTokens + moved.Generated
 	return e.settings.scaled(time.Duration(tokens) * e.settings.TransferPerToken)
 }
