--- a/internal/standin/hoster/host.go
+++ b/internal/standin/hoster/host.go
@@ -49,7 +49,7 @@
 
 // Enter counts a request that Close waits for, until Leave. It returns false once
 // the host has closed.
-func (h *Host) Enter() bool {
+func (h *Host) BeginRequest() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.stopped {
@@ -60,7 +60,7 @@
 }
 
 // Leave ends what Enter began.
-func (h *Host) Leave() { h.serving.Done() }
+func (h *Host) EndRequest() { h.serving.Done() }
 
 // Closed is closed by Close, before it waits.
 func (h *Host) Closed() <-chan struct{} { return h.closed }
--- a/internal/standin/responder/service.go
+++ b/internal/standin/responder/service.go
@@ -103,10 +103,10 @@
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
-	if !s.Enter() {
+	if !s.BeginRequest() {
 		panic(http.ErrAbortHandler)
 	}
-	defer s.Leave()
+	defer s.EndRequest()
 	size, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return // The caller left in mid-request: nothing ran.
--- a/internal/standin/weigher/store.go
+++ b/internal/standin/weigher/store.go
@@ -128,10 +128,10 @@
 }
 
 func (w *Store) serveWeights(rw http.ResponseWriter, r *http.Request) {
-	if !w.Enter() {
+	if !w.BeginRequest() {
 		panic(http.ErrAbortHandler)
 	}
-	defer w.Leave()
+	defer w.EndRequest()
 	if strings.Trim(r.PathValue("path"), "/") == "" {
 		http.Error(rw, "no path", http.StatusNotFound)
 		return
