--- a/cmd/marigoldpoint/model.go
+++ b/cmd/marigoldpoint/model.go
@@ -31,7 +31,7 @@
 	var rows []modeler.Row
 	for _, p := range patterns {
 		for _, w := range without {
-			row, err := modeler.PlaySeeds(p, w, c.Seeds, runtime.NumCPU()/2)
+			row, err := modeler.SimulateSeeds(p, w, c.Seeds, runtime.NumCPU()/2)
 			if err != nil {
 				return errors.Trace(err)
 			}
--- a/internal/standin/modeler/ending.go
+++ b/internal/standin/modeler/ending.go
@@ -25,8 +25,8 @@
 // sendEnding has the caller of the request that ends backend servers send it, again and
 // again.
 func (m *model) sendEnding() {
-	since := m.clock.now.Sub(m.start) - m.pattern.EndingAt
-	if since >= m.pattern.EndingTime {
+	since := m.clock.now.Sub(m.start) - m.pattern.CrashesAt
+	if since >= m.pattern.CrashesFor {
 		return
 	}
 	k := &m.pattern.Kinds[0]
@@ -35,7 +35,7 @@
 		c.adapter = "a0"
 	}
 	m.ask(c)
-	m.clock.after(time.Duration(m.random.ExpFloat64()/m.pattern.Ending*float64(time.Second)), m.sendEnding)
+	m.clock.after(time.Duration(m.random.ExpFloat64()/m.pattern.CrashRate*float64(time.Second)), m.sendEnding)
 }
 
 // reaches counts the sendings of that request which reach a backend server after all
@@ -142,7 +142,7 @@
 // rest returns the time after the last call until all have ended: callers wait once, or
 // come back once where servers end under their calls.
 func (m *model) rest() time.Duration {
-	if m.pattern.Ending > 0 {
+	if m.pattern.CrashRate > 0 {
 		return patience + comeBack + patience
 	}
 	return patience
--- a/internal/standin/modeler/model.go
+++ b/internal/standin/modeler/model.go
@@ -55,8 +55,9 @@
 	lives     int
 }
 
-// Play plays a pattern once. It panics on a pattern without calls.
-func Play(s Settings) (*Result, error) {
+// Simulate runs one simulation of a pattern. It panics if the pattern has no calls,
+// entries, failure domains or duration.
+func Simulate(s Settings) (*Result, error) {
 	p := s.Pattern
 	if len(p.Kinds) == 0 || p.Length <= 0 || p.Entries <= 0 || p.Domains <= 0 {
 		panic("modeler: a pattern without calls, entries or time")
@@ -67,7 +68,7 @@
 		result: Result{Kinds: make(map[string]*KindResult), windows: make(map[int]*window)},
 	}
 	m.clock = &clock{now: m.start}
-	m.store = &store{clock: m.clock, atOnce: max(1, p.AtOnce), at: m.start}
+	m.store = &store{clock: m.clock, atOnce: max(1, p.StoreConcurrency), at: m.start}
 	if p.Adapters > 1 {
 		m.zipf = rand.NewZipf(m.random, 1.2, 1, uint64(p.Adapters-1))
 	}
@@ -78,11 +79,11 @@
 		m.result.Kinds[p.Kinds[i].Name] = &KindResult{}
 		m.arrive(&p.Kinds[i])
 	}
-	if p.LossAt > 0 {
-		m.clock.after(p.LossAt, m.losePower)
+	if p.PowerLossAt > 0 {
+		m.clock.after(p.PowerLossAt, m.losePower)
 	}
-	if p.Ending > 0 {
-		m.clock.after(p.EndingAt, m.sendEnding)
+	if p.CrashRate > 0 {
+		m.clock.after(p.CrashesAt, m.sendEnding)
 	}
 	if p.Leaving > 0 {
 		m.clock.after(p.LeaveAt, m.leave)
@@ -188,12 +189,12 @@
 	m.store.clear()
 	clear(m.loaded)
 	for _, id := range sortedKeys(m.open) {
-		m.end(m.open[id], func(r *KindResult) { r.Left++ })
+		m.end(m.open[id], func(r *KindResult) { r.Abandoned++ })
 	}
 	for _, name := range sortedKeys(m.engines) {
 		m.engines[name].life++
 	}
-	m.clock.after(m.pattern.Dark, func() {
+	m.clock.after(m.pattern.Outage, func() {
 		m.dark = false
 		for _, e := range m.entries {
 			e.start(m.random)
@@ -259,7 +260,7 @@
 		id := c.id
 		m.clock.after(patience, func() {
 			if m.open[id] == c {
-				m.end(c, func(r *KindResult) { r.Left++ })
+				m.end(c, func(r *KindResult) { r.Abandoned++ })
 			}
 		})
 	}
@@ -317,7 +318,7 @@
 
 // count counts a call that came after the time in which nothing is counted.
 func (m *model) count(c *call, note func(*KindResult)) {
-	if !c.ends && c.came.Sub(m.start) >= m.pattern.Warm {
+	if !c.ends && c.came.Sub(m.start) >= m.pattern.WarmUp {
 		note(m.result.Kinds[c.kind.Name])
 	}
 }
@@ -325,7 +326,7 @@
 // window returns the window of a call, or nil.
 func (m *model) window(c *call) *window {
 	since := c.came.Sub(m.start)
-	if since < m.pattern.Warm {
+	if since < m.pattern.WarmUp {
 		return nil
 	}
 	i := int(since / windowTime)
--- a/internal/standin/modeler/modeler_test.go
+++ b/internal/standin/modeler/modeler_test.go
@@ -20,7 +20,7 @@
 	p, err := modeler.FindPattern(pattern)
 	Expect(err).NotTo(HaveOccurred())
 	const seeds, atOnce = 2, 2
-	row, err := modeler.PlaySeeds(p, without, seeds, atOnce)
+	row, err := modeler.SimulateSeeds(p, without, seeds, atOnce)
 	Expect(err).NotTo(HaveOccurred())
 	GinkgoWriter.Printf("%+v\n", row)
 	return row
@@ -30,19 +30,19 @@
 	It("is the same each time", func() {
 		p, err := modeler.FindPattern("FewServers")
 		Expect(err).NotTo(HaveOccurred())
-		first, err := modeler.Play(modeler.Settings{Pattern: p, Seed: 7})
+		first, err := modeler.Simulate(modeler.Settings{Pattern: p, Seed: 7})
 		Expect(err).NotTo(HaveOccurred())
-		second, err := modeler.Play(modeler.Settings{Pattern: p, Seed: 7})
+		second, err := modeler.Simulate(modeler.Settings{Pattern: p, Seed: 7})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(second).To(Equal(first))
 	})
 
 	It("accounts for every call", func() {
 		for _, p := range modeler.Patterns() {
-			p.Length = p.Warm + 4*time.Second
-			r, err := modeler.Play(modeler.Settings{Pattern: p, Seed: 3})
+			p.Length = p.WarmUp + 4*time.Second
+			r, err := modeler.Simulate(modeler.Settings{Pattern: p, Seed: 3})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(p.Grounds).NotTo(BeEmpty())
+			Expect(p.Origin).NotTo(BeEmpty())
 			Expect(r.InTime()+r.Late()+r.Lost()).To(BeNumerically("~", 1, 0.002), p.Name)
 		}
 	})
@@ -68,7 +68,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		const mostRepeated = 3
 		for seed := range uint64(4) {
-			r, err := modeler.Play(modeler.Settings{Pattern: p, Seed: seed + 1})
+			r, err := modeler.Simulate(modeler.Settings{Pattern: p, Seed: seed + 1})
 			Expect(err).NotTo(HaveOccurred())
 			GinkgoWriter.Printf("%d: %d ended, %d repeated, in time %.3f, lost %.3f\n", seed, r.Ended, r.Repeated, r.InTime(), r.Lost())
 			Expect(r.Ended).To(BeNumerically(">=", 3), "fewer prove nothing")
--- a/internal/standin/modeler/pattern.go
+++ b/internal/standin/modeler/pattern.go
@@ -24,8 +24,8 @@
 type Pattern struct {
 	Name string
 	// Grounds tells where the figures come from.
-	Grounds string
-	Kinds   []Kind
+	Origin string
+	Kinds  []Kind
 
 	Domains, Entries, Engines int
 	// Slots are an engine's adapter slots, and Adapters those that are asked for, whose
@@ -33,8 +33,8 @@
 	Slots, Adapters int
 	// AtOnce is the number of loads that the store serves at full speed, and Load the
 	// time of one alone.
-	AtOnce int
-	Load   time.Duration
+	StoreConcurrency int
+	Load             time.Duration
 	// Servers are those of the plain service, with Places and a Queue each, and Leaving
 	// of them leave at LeaveAt.
 	Servers, Places, Queue, Leaving int
@@ -43,15 +43,15 @@
 	Burst              float64
 	BurstAt, BurstTime time.Duration
 	// LossAt is when all hosts lose power, to be back after Dark; 0 means never.
-	LossAt, Dark time.Duration
+	PowerLossAt, Outage time.Duration
 	// Ending is how often a second one caller sends the request that ends each backend
 	// server that begins to run it, from EndingAt on for EndingTime; the backend server
 	// is back, empty, after Restart. It goes to the plain service where there are no
 	// engines.
-	Ending                        float64
-	EndingAt, EndingTime, Restart time.Duration
+	CrashRate                      float64
+	CrashesAt, CrashesFor, Restart time.Duration
 	// Warm is the time before anything is counted, and Length all of the time.
-	Warm, Length time.Duration
+	WarmUp, Length time.Duration
 }
 
 // kindReview is the kind of call with a long prompt.
@@ -70,63 +70,63 @@
 // Patterns returns the known patterns.
 func Patterns() []Pattern {
 	small := Pattern{
-		Domains: 3, Entries: 4, Engines: 12, Slots: 18, Adapters: 3000, AtOnce: 24, Load: 250 * time.Millisecond,
-		Kinds: switchingKinds(1), Warm: 6 * time.Second, Length: 20 * time.Second,
+		Domains: 3, Entries: 4, Engines: 12, Slots: 18, Adapters: 3000, StoreConcurrency: 24, Load: 250 * time.Millisecond,
+		Kinds: switchingKinds(1), WarmUp: 6 * time.Second, Length: 20 * time.Second,
 	}
 	burst := small
 	burst.Name, burst.Burst, burst.BurstAt, burst.BurstTime, burst.Engines = "Burst", 1.9, 8*time.Second, 4*time.Second, 9
-	burst.Grounds = "a heavy day of 12 engines, 3 of them crashed: 1.9 times the calls for four seconds; 115 to 190 calls waited for loads"
+	burst.Origin = "a heavy day of 12 engines, 3 of them crashed: 1.9 times the calls for four seconds; 115 to 190 calls waited for loads"
 	loss := small
-	loss.Name, loss.LossAt, loss.Dark = "PowerLoss", 8*time.Second, 1200*time.Millisecond
-	loss.Grounds = "the last third of most heavy days: all hosts lose power, processes are back after 1.2 s, engines empty"
+	loss.Name, loss.PowerLossAt, loss.Outage = "PowerLoss", 8*time.Second, 1200*time.Millisecond
+	loss.Origin = "the last third of most heavy days: all hosts lose power, processes are back after 1.2 s, engines empty"
 	grown := small
-	grown.Name, grown.Entries, grown.Engines, grown.Slots, grown.Adapters, grown.AtOnce = "Grown", 21, 39, 15, 10_000, 96
+	grown.Name, grown.Entries, grown.Engines, grown.Slots, grown.Adapters, grown.StoreConcurrency = "Grown", 21, 39, 15, 10_000, 96
 	grown.Load, grown.Kinds = 288*time.Millisecond, switchingKinds(3.58)
-	grown.Grounds = "the same firm with 3.6 times the calls on 39 engines before a store that serves 96 loads at once"
+	grown.Origin = "the same firm with 3.6 times the calls on 39 engines before a store that serves 96 loads at once"
 	scarce := small
-	scarce.Name, scarce.AtOnce, scarce.Engines, scarce.Slots, scarce.Kinds = "SlowStore", 8, 18, 8, []Kind{
+	scarce.Name, scarce.StoreConcurrency, scarce.Engines, scarce.Slots, scarce.Kinds = "SlowStore", 8, 18, 8, []Kind{
 		{Name: "check", PerSecond: 33, Target: 800 * time.Millisecond, Prompt: 826, Answer: 290},
 		{Name: kindReview, PerSecond: 32, Target: time.Second, Prompt: 9190, Answer: 52},
 	}
-	scarce.Grounds = "a clearance desk: 18 engines of 8 slots before a store that serves 8 loads at once, half of the prompts long"
+	scarce.Origin = "a clearance desk: 18 engines of 8 slots before a store that serves 8 loads at once, half of the prompts long"
 	services := Pattern{
 		Name: "FewServers", Domains: 3, Entries: 21, Servers: 3, Places: 6, Queue: 24, Leaving: 2, LeaveAt: 2 * time.Second,
-		Kinds:   []Kind{{Name: "lodge", PerSecond: 300, Target: 150 * time.Millisecond}},
-		Grounds: "two of three application servers of a heavy day leave: 300 calls a second on places for 200",
-		Warm:    2 * time.Second, Length: 12 * time.Second,
+		Kinds:  []Kind{{Name: "lodge", PerSecond: 300, Target: 150 * time.Millisecond}},
+		Origin: "two of three application servers of a heavy day leave: 300 calls a second on places for 200",
+		WarmUp: 2 * time.Second, Length: 12 * time.Second,
 	}
 	large := Pattern{
-		Name: "Large", Domains: 5, Entries: 68, Engines: 117, Slots: 8, Adapters: 24_000, AtOnce: 40, Load: 250 * time.Millisecond,
+		Name: "Large", Domains: 5, Entries: 68, Engines: 117, Slots: 8, Adapters: 24_000, StoreConcurrency: 40, Load: 250 * time.Millisecond,
 		Kinds: []Kind{
 			{Name: "check", PerSecond: 213, Target: 800 * time.Millisecond, Prompt: 826, Answer: 290},
 			{Name: kindReview, PerSecond: 183, Target: time.Second, Rank: 1, Prompt: 9190, Answer: 52},
 			{Name: "premium", PerSecond: 25, Target: time.Second, Rank: 2, Prompt: 9190, Answer: 52},
 		},
-		Grounds: "a clearance desk in five failure domains: 68 entries before 117 engines of 8 slots, a standard day",
-		Warm:    6 * time.Second, Length: 16 * time.Second,
+		Origin: "a clearance desk in five failure domains: 68 entries before 117 engines of 8 slots, a standard day",
+		WarmUp: 6 * time.Second, Length: 16 * time.Second,
 	}
 	largeLoss := large
-	largeLoss.Name, largeLoss.LossAt, largeLoss.Dark = "LargePowerLoss", 8*time.Second, 1500*time.Millisecond
-	largeLoss.Grounds = "the same desk when all hosts lose power: 117 engines begin to load before a store that serves 40 at once"
+	largeLoss.Name, largeLoss.PowerLossAt, largeLoss.Outage = "LargePowerLoss", 8*time.Second, 1500*time.Millisecond
+	largeLoss.Origin = "the same desk when all hosts lose power: 117 engines begin to load before a store that serves 40 at once"
 	return append([]Pattern{burst, loss, grown, scarce, services, large, largeLoss}, endingPatterns(small)...)
 }
 
 // endingPatterns are those in which one request ends the backend servers that run it.
 func endingPatterns(small Pattern) []Pattern {
 	engines := small
-	engines.Name, engines.Entries, engines.Slots, engines.AtOnce = "EndingEngines", 4, 8, 8
+	engines.Name, engines.Entries, engines.Slots, engines.StoreConcurrency = "EndingEngines", 4, 8, 8
 	engines.Kinds = []Kind{
 		{Name: "explain", PerSecond: 22, Target: time.Second, Prompt: 826, Answer: 290},
 		{Name: kindReview, PerSecond: 21, Target: time.Second, Rank: 1, Prompt: 9190, Answer: 52},
 	}
-	engines.Ending, engines.EndingAt, engines.EndingTime, engines.Restart = 2.5, 6*time.Second, 12*time.Second, 3*time.Second
-	engines.Grounds = "a recorded day: 27 lives of 12 engines end in 18 seconds under one caller's request, which comes to all entries"
+	engines.CrashRate, engines.CrashesAt, engines.CrashesFor, engines.Restart = 2.5, 6*time.Second, 12*time.Second, 3*time.Second
+	engines.Origin = "a recorded day: 27 lives of 12 engines end in 18 seconds under one caller's request, which comes to all entries"
 	servers := Pattern{
 		Name: "EndingServers", Domains: 4, Entries: 4, Servers: 4, Places: 6, Queue: 24,
-		Kinds:  []Kind{{Name: "status", PerSecond: 40, Target: 150 * time.Millisecond}},
-		Ending: 2.5, EndingAt: 2 * time.Second, EndingTime: 12 * time.Second, Restart: 3 * time.Second,
-		Grounds: "the same at a plain service of four servers: any may have such a request",
-		Warm:    time.Second, Length: 16 * time.Second,
+		Kinds:     []Kind{{Name: "status", PerSecond: 40, Target: 150 * time.Millisecond}},
+		CrashRate: 2.5, CrashesAt: 2 * time.Second, CrashesFor: 12 * time.Second, Restart: 3 * time.Second,
+		Origin: "the same at a plain service of four servers: any may have such a request",
+		WarmUp: time.Second, Length: 16 * time.Second,
 	}
 	return []Pattern{engines, servers}
 }
--- a/internal/standin/modeler/result.go
+++ b/internal/standin/modeler/result.go
@@ -7,7 +7,7 @@
 
 // KindResult counts the calls of one kind.
 type KindResult struct {
-	Calls, InTime, Late, Refused, Left, Away int
+	Calls, InTime, Late, Refused, Abandoned, Away int
 }
 
 // Result is what came of one play.
@@ -49,7 +49,7 @@
 		sum.InTime += k.InTime
 		sum.Late += k.Late
 		sum.Refused += k.Refused
-		sum.Left += k.Left
+		sum.Abandoned += k.Abandoned
 		sum.Away += k.Away
 	}
 	return sum
@@ -62,7 +62,7 @@
 func (r *Result) Late() float64 { k := r.all(); return share(k.Late, k.Calls) }
 
 // Lost returns the share of the calls that were refused or whose callers left.
-func (r *Result) Lost() float64 { k := r.all(); return share(k.Refused+k.Left, k.Calls) }
+func (r *Result) Lost() float64 { k := r.all(); return share(k.Refused+k.Abandoned, k.Calls) }
 
 // Away returns the share of the calls that went to another failure domain.
 func (r *Result) Away() float64 { k := r.all(); return share(k.Away, k.Calls) }
--- a/internal/standin/modeler/table.go
+++ b/internal/standin/modeler/table.go
@@ -20,14 +20,15 @@
 	Ended, Repeated, Innocent                  float64
 }
 
-// PlaySeeds plays a pattern with the seeds from 1 on, several at once.
-func PlaySeeds(p Pattern, without []Mechanism, seeds, atOnce int) (Row, error) {
+// SimulateSeeds simulates a pattern with the seeds 1 to seeds, of which at most atOnce
+// run concurrently, and returns the means.
+func SimulateSeeds(p Pattern, without []Mechanism, seeds, atOnce int) (Row, error) {
 	results := make([]*Result, seeds)
 	var g errgroup.Group
 	g.SetLimit(max(1, atOnce))
 	for i := range seeds {
 		g.Go(func() error {
-			r, err := Play(Settings{Pattern: p, Without: without, Seed: uint64(i + 1)})
+			r, err := Simulate(Settings{Pattern: p, Without: without, Seed: uint64(i + 1)})
 			results[i] = r
 			return err
 		})
