--- a/internal/standin/modeler/call.go
+++ b/internal/standin/modeler/call.go
@@ -7,49 +7,52 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/identifier"
 )
 
-// call is one call on its way.
+// call is one attempt of a caller's request.
 type call struct {
 	id    string
 	kind  *Kind
 	entry *entry
-	// came is when its caller asked first, and arrived when it reached its entry.
-	came, arrived time.Time
-	back          bool
-	adapter       string
-	prompt        int
-	answer        int
-	choice        placer.Choice
-	placed        bool
-	urgency       int
-	// sentBack tells that an engine had the call go elsewhere.
-	sentBack bool
-	// ends tells that the call ends each backend server that begins to run it, and sends
-	// counts the backend servers that it was handed to.
-	ends  bool
-	sends int
-	// began tells that its first event has come.
-	began bool
-	// same is the identity of the caller's request, the same when it comes back.
-	same identifier.Identity
-	// over tells that the call has ended, one way or another.
-	over bool
+	// firstAsked is the time of the caller's first attempt, and arrived the time at which
+	// this one reached its entry. retried marks a caller's second attempt.
+	firstAsked, arrived time.Time
+	retried             bool
+	adapter             string
+	prompt              int
+	answer              int
+	choice              placer.Choice
+	placed              bool
+	urgency             int
+	// redirected is set when an engine has sent the call back to its entry, which happens at
+	// most once.
+	redirected bool
+	// crashesServer marks a call that crashes each backend server that begins to run it.
+	// sends is the number of backend servers to which the call was sent.
+	crashesServer bool
+	sends         int
+	// started is set when the first event has arrived.
+	started bool
+	// identity identifies the caller's request; it is the same for a repeated attempt.
+	identity identifier.Identity
+	// finished is set when the call has ended with any outcome.
+	finished bool
 }
 
 const (
-	// patience is the time without a first event after which callers of streams leave.
-	patience = 2400 * time.Millisecond
-	// hold is for how long an entry holds a call that nobody takes.
-	hold = 400 * time.Millisecond
-	// holdPause and busyPause are the times between two offers.
-	holdPause = 100 * time.Millisecond
-	busyPause = 10 * time.Millisecond
-	// maxSends is the number of backend servers that a call is handed to for one attempt
-	// of its caller.
+	// firstEventTimeout is the time after which callers of streams disconnect if they have
+	// received no event.
+	firstEventTimeout = 2400 * time.Millisecond
+	// placementTimeout is the time after which an entry refuses a call that it can't place.
+	placementTimeout = 400 * time.Millisecond
+	// placementRetryInterval and busyRetryInterval are the intervals between two attempts to
+	// place a call; the latter applies if all backend servers are busy.
+	placementRetryInterval = 100 * time.Millisecond
+	busyRetryInterval      = 10 * time.Millisecond
+	// maxSends is the maximum number of backend servers to which a call is sent.
 	maxSends = 2
-	// comeBack is the time after which a caller that was refused comes back, once.
-	comeBack = 300 * time.Millisecond
-	// nearby and faraway are the times of one way within a failure domain and between
-	// two.
-	nearby  = 200 * time.Microsecond
-	faraway = 1100 * time.Microsecond
+	// callerRetryDelay is the time after which a refused caller retries, once.
+	callerRetryDelay = 300 * time.Millisecond
+	// localDelay and remoteDelay are the one-way network delays within a failure domain and
+	// between two.
+	localDelay  = 200 * time.Microsecond
+	remoteDelay = 1100 * time.Microsecond
 )
--- a/internal/standin/modeler/ending.go
+++ b/internal/standin/modeler/ending.go
@@ -11,106 +11,110 @@
 )
 
 const (
-	// allowedEnds is the number of lives that one request may end before it must be kept
-	// from further ones, and touchTime the time until all entries in touch know of it.
-	allowedEnds = 3
-	touchTime   = 3 * time.Second
-	// noticeTime is the time until an entry knows that a backend server has ended,
-	// acceptTime until what it tells is accepted, and fanoutTime until all entries know.
-	noticeTime = 21 * time.Millisecond
-	acceptTime = 5 * time.Millisecond
-	fanoutTime = 25 * time.Millisecond
+	// quarantineThreshold is the number of incarnations that one request may crash before it
+	// must be quarantined. quarantineDelay is the time until all connected entries must
+	// enforce the quarantine.
+	quarantineThreshold = 3
+	quarantineDelay     = 3 * time.Second
+	// detectionDelay is the time until an entry detects the crash of a backend server,
+	// commitDelay the time until its report is committed, and distributionDelay the time
+	// until all entries have received it.
+	detectionDelay    = 21 * time.Millisecond
+	commitDelay       = 5 * time.Millisecond
+	distributionDelay = 25 * time.Millisecond
 )
 
-// sendEnding has the caller of the request that ends backend servers send it, again and
-// again.
-func (m *model) sendEnding() {
+// sendCrashRequest sends the request that crashes backend servers and schedules the next
+// one, at the mean rate Pattern.CrashRate, until Pattern.CrashesFor has passed.
+func (m *model) sendCrashRequest() {
 	since := m.clock.now.Sub(m.start) - m.pattern.CrashesAt
 	if since >= m.pattern.CrashesFor {
 		return
 	}
 	k := &m.pattern.Kinds[0]
-	c := &call{kind: k, came: m.clock.now, prompt: k.Prompt, answer: k.Answer, ends: true, same: identityOf("ends")}
+	c := &call{kind: k, firstAsked: m.clock.now, prompt: k.Prompt, answer: k.Answer, crashesServer: true, identity: identityOf("ends")}
 	if k.Prompt > 0 {
 		c.adapter = "a0"
 	}
-	m.ask(c)
-	m.clock.after(time.Duration(m.random.ExpFloat64()/m.pattern.CrashRate*float64(time.Second)), m.sendEnding)
+	m.sendCall(c)
+	m.clock.after(time.Duration(m.random.ExpFloat64()/m.pattern.CrashRate*float64(time.Second)), m.sendCrashRequest)
 }
 
-// reaches counts the sendings of that request which reach a backend server after all
-// entries must know of it.
-func (m *model) reaches(c *call) {
-	if c.ends && m.result.Ended >= allowedEnds && m.clock.now.Sub(m.allowedAt) > touchTime {
+// countRepeated counts the call if it is the crash request and reaches a backend server
+// after all entries must have quarantined it.
+func (m *model) countRepeated(c *call) {
+	if c.crashesServer && m.result.Ended >= quarantineThreshold && m.clock.now.Sub(m.thresholdAt) > quarantineDelay {
 		m.result.Repeated++
 	}
 }
 
-// ended takes note that a backend server has ended, with what was there; it starts in
-// another life after a time.
-func (m *model) ended(name string, there []*call, start func()) {
-	m.blame(name, there)
-	for _, c := range there {
-		m.clock.after(nearby, func() { c.entry.broke(c) })
+// serverCrashed handles the crash of a backend server with the calls it was processing.
+// After Pattern.Restart it calls start and distributes the new incarnation.
+func (m *model) serverCrashed(name string, lost []*call, start func()) {
+	m.reportCrash(name, lost)
+	for _, c := range lost {
+		m.clock.after(localDelay, func() { c.entry.connectionBroken(c) })
 	}
-	if m.result.Ended++; m.result.Ended == allowedEnds {
-		m.allowedAt = m.clock.now
+	if m.result.Ended++; m.result.Ended == quarantineThreshold {
+		m.thresholdAt = m.clock.now
 	}
 	m.clock.after(m.pattern.Restart, func() {
 		member := m.memberOf(name)
-		m.lives++
-		member.Spec.Incarnation = fmt.Sprintf("i-%s-%d", name, m.lives)
+		m.incarnations++
+		member.Spec.Incarnation = fmt.Sprintf("i-%s-%d", name, m.incarnations)
 		start()
-		m.announce()
+		m.distributeView()
 	})
 }
 
-// blame has the entries tell which of their requests were there, each for itself.
-func (m *model) blame(name string, there []*call) {
+// reportCrash has each entry report which of its requests were at the crashed server.
+func (m *model) reportCrash(name string, lost []*call) {
 	if m.without(MechanismQuarantine) {
 		return
 	}
 	life := suspecter.Life(name, m.memberOf(name).Spec.Incarnation)
 	for _, e := range m.entries {
 		ends := storer.CountEnds{Life: life}
-		for _, c := range there {
-			if c.entry == e && !c.over {
-				ends.Requests = append(ends.Requests, storer.EndedRequest{Name: c.same.String(), Progressed: c.began})
+		for _, c := range lost {
+			if c.entry == e && !c.finished {
+				ends.Requests = append(ends.Requests, storer.EndedRequest{Name: c.identity.String(), Progressed: c.started})
 			}
 		}
 		if len(ends.Requests) == 0 {
 			continue
 		}
-		m.clock.after(noticeTime, func() {
+		m.clock.after(detectionDelay, func() {
 			e.suspects.Ended(m.clock.now, ends)
-			m.tell(ends)
+			m.applyCommand(ends)
 		})
 	}
 }
 
-// tell has the replicated state take a change in, and all entries told of it.
-func (m *model) tell(c storer.Command) {
-	m.clock.after(acceptTime, func() {
+// applyCommand applies a command to the replicated state and distributes the new view to
+// all entries.
+func (m *model) applyCommand(c storer.Command) {
+	m.clock.after(commitDelay, func() {
 		data, err := storer.Encode(storer.Envelope{Command: c})
 		if err != nil {
 			panic("modeler: " + err.Error())
 		}
 		m.index++
 		m.control.Apply(m.index, data)
-		m.clock.after(fanoutTime, m.announce)
+		m.clock.after(distributionDelay, m.distributeView)
 	})
 }
 
-// quarantine refuses a call that is kept from backend servers.
-func (e *entry) quarantine(c *call) bool {
+// refuseQuarantined refuses a call whose request is quarantined and reports whether it
+// did.
+func (e *entry) refuseQuarantined(c *call) bool {
 	m := e.model
 	if m.without(MechanismQuarantine) {
 		return false
 	}
-	if _, is := e.suspects.Quarantine(m.view, m.clock.now, c.same); !is {
+	if _, is := e.suspects.Quarantine(m.view, m.clock.now, c.identity); !is {
 		return false
 	}
-	if c.ends {
+	if c.crashesServer {
 		m.result.Quarantined++
 	} else {
 		m.result.Innocent++
@@ -119,10 +123,11 @@
 	return true
 }
 
-// survived notes that a run has answered a call.
-func (e *entry) survived(c *call) {
-	if !e.model.without(MechanismQuarantine) && e.suspects.RecordAnswer(e.model.view, c.same) {
-		e.model.tell(storer.ClearSuspects{Names: []string{c.same.String()}})
+// recordSuccess records that a backend server has answered a call, which clears its
+// request of suspicion.
+func (e *entry) recordSuccess(c *call) {
+	if !e.model.without(MechanismQuarantine) && e.suspects.RecordAnswer(e.model.view, c.identity) {
+		e.model.applyCommand(storer.ClearSuspects{Names: []string{c.identity.String()}})
 	}
 }
 
@@ -139,11 +144,11 @@
 	panic("modeler: no member " + name)
 }
 
-// rest returns the time after the last call until all have ended: callers wait once, or
-// come back once where servers end under their calls.
-func (m *model) rest() time.Duration {
+// drainTime returns the time after the last call until all calls have ended. Callers wait
+// for one timeout, or retry once where their backend servers crash.
+func (m *model) drainTime() time.Duration {
 	if m.pattern.CrashRate > 0 {
-		return patience + comeBack + patience
+		return firstEventTimeout + callerRetryDelay + firstEventTimeout
 	}
-	return patience
+	return firstEventTimeout
 }
--- a/internal/standin/modeler/engine.go
+++ b/internal/standin/modeler/engine.go
@@ -12,84 +12,88 @@
 )
 
 const (
-	// warmLoad is the time of a load out of an engine's own memory.
+	// warmLoad is the duration of a load from the engine's own memory.
 	warmLoad = 25 * time.Millisecond
-	// unloadTime is the time until a slot is known to be free.
+	// unloadTime is the duration of an unload, including its confirmation.
 	unloadTime = 3 * time.Millisecond
-	// modelLoad is the time until an engine that lost power has its model from disk.
+	// modelLoad is the time that a restarted engine takes to load its model from disk.
 	modelLoad = 500 * time.Millisecond
-	// tokenTime is the time of one token of a stream at a busy engine.
+	// tokenTime is the time per generated token of a stream at a busy engine.
 	tokenTime = 10 * time.Millisecond
-	// readRate is the number of prompt tokens that an engine reads in a second.
-	readRate = 38_700
-	// tellInterval is the time between two states, and tickInterval between two looks.
-	tellInterval = 80 * time.Millisecond
-	tickInterval = 250 * time.Millisecond
-	// recentLimit is the number of adapters told that left their slots lately.
+	// prefillRate is the number of prompt tokens that an engine processes per second.
+	prefillRate = 38_700
+	// reportInterval is the interval of state reports, and tickInterval that of the slot
+	// table's ticks.
+	reportInterval = 80 * time.Millisecond
+	tickInterval   = 250 * time.Millisecond
+	// recentLimit is the maximum number of recently evicted adapters in a state report.
 	recentLimit = 40
-	widest      = 4
-	narrowest   = 2
+	// wideLoads and narrowLoads are the maximum numbers of concurrent loads of an engine with
+	// and without MechanismWidth.
+	wideLoads   = 4
+	narrowLoads = 2
 )
 
-// engine is one engine with its companion.
+// engine simulates one engine with its companion.
 type engine struct {
 	model  *model
 	member tracker.Member
-	// life rises with each start: what was begun in an earlier one is void.
-	life   uint64
-	table  *loader.Table
-	pacer  *pacer.Pacer
-	ready  bool
-	guests map[string]*call
-	// blocked wait for the model.
+	// incarnation rises with each start. Events of earlier incarnations are ignored.
+	incarnation uint64
+	table       *loader.Table
+	pacer       *pacer.Pacer
+	ready       bool
+	admitted    map[string]*call
+	// blocked are the admitted calls that wait for the model to be loaded.
 	blocked []*call
-	// memory holds the adapters that load fast.
+	// memory contains the adapters that were loaded in this incarnation and load fast.
 	memory map[string]bool
 	recent []string
-	// reading is the queue of prompts, the first under way.
-	reading   []*call
-	busy      bool
-	readUntil time.Time
-	sequence  uint64
-	// down tells that the engine has ended.
+	// prefillQueue contains the calls whose prompts wait for prefill. busy is set during a
+	// prefill, and prefillUntil is the time at which all prompts will be processed.
+	prefillQueue []*call
+	busy         bool
+	prefillUntil time.Time
+	sequence     uint64
+	// down is set between a crash and the next start.
 	down bool
 }
 
-// start makes the engine anew, empty; its model is there after a time.
+// start starts a new, empty incarnation whose model is loaded after the given time.
 func (e *engine) start(random *rand.Rand, after time.Duration) {
 	m := e.model
-	e.life++
-	most := widest
+	e.incarnation++
+	most := wideLoads
 	if m.without(MechanismWidth) {
-		most = narrowest
+		most = narrowLoads
 	}
 	e.table = loader.NewTable(loader.Settings{
 		Slots: m.pattern.Slots, HalfLife: 8 * time.Second, Patience: 1500 * time.Millisecond,
 		AssumedLoadTime: pacer.DefaultLoad, MaxPermits: most,
-	}, e.life, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))
+	}, e.incarnation, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))
 	e.pacer = pacer.NewPacer(pacer.Settings{MaxLoads: float64(most), Random: rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))})
 	e.setPermits()
-	e.guests, e.blocked, e.memory = make(map[string]*call), nil, make(map[string]bool)
-	e.recent, e.reading, e.busy, e.ready, e.sequence = nil, nil, false, false, 0
-	e.readUntil = m.clock.now
-	e.later(after, func() {
+	e.admitted, e.blocked, e.memory = make(map[string]*call), nil, make(map[string]bool)
+	e.recent, e.prefillQueue, e.busy, e.ready, e.sequence = nil, nil, false, false, 0
+	e.prefillUntil = m.clock.now
+	e.schedule(after, func() {
 		e.ready = true
 		for _, c := range e.blocked {
 			e.want(c)
 		}
 		e.blocked = nil
 	})
-	near, far := e.audiences()
-	e.tell(near, true)
-	e.tell(far, false)
-	e.later(tickInterval, e.tick)
+	near, far := e.subscriberGroups()
+	e.reportPeriodically(near, true)
+	e.reportPeriodically(far, false)
+	e.schedule(tickInterval, e.tick)
 }
 
-// later sets an event of this life.
-func (e *engine) later(d time.Duration, do func()) {
-	life := e.life
+// schedule schedules an event that is dropped if the incarnation has ended by then.
+func (e *engine) schedule(d time.Duration, do func()) {
+	incarnation := e.incarnation
 	e.model.clock.after(d, func() {
-		if life == e.life {
+		if incarnation == e.incarnation {
 			do()
 		}
 	})
@@ -101,21 +105,22 @@
 	}
 }
 
-// admit takes a call in.
+// admit accepts a call. If the engine is down, the entry is notified that it is
+// unreachable.
 func (e *engine) admit(c *call) {
 	m := e.model
-	if c.over {
+	if c.finished {
 		return
 	}
 	if e.down {
-		m.clock.after(nearby, func() { c.entry.unreached(c) })
+		m.clock.after(localDelay, func() { c.entry.unreachable(c) })
 		return
 	}
-	m.reaches(c)
-	if e.sendBack(c) {
+	m.countRepeated(c)
+	if e.redirect(c) {
 		return
 	}
-	e.guests[c.id] = c
+	e.admitted[c.id] = c
 	if !e.ready {
 		e.blocked = append(e.blocked, c)
 		return
@@ -123,10 +128,11 @@
 	e.want(c)
 }
 
-// sendBack has a call go elsewhere whose entry was misled by what it knew, once.
-func (e *engine) sendBack(c *call) bool {
+// redirect sends a call back to its entry, at most once, if the entry placed it by an
+// outdated state. It reports whether it did.
+func (e *engine) redirect(c *call) bool {
 	m := e.model
-	if c.sentBack || !e.ready || m.without(MechanismSendingBack) {
+	if c.redirected || !e.ready || m.without(MechanismSendingBack) {
 		return false
 	}
 	s := e.state()
@@ -134,9 +140,9 @@
 	if !misled {
 		return false
 	}
-	c.sentBack = true
+	c.redirected = true
 	m.result.SentBack++
-	m.clock.after(faraway, func() {
+	m.clock.after(remoteDelay, func() {
 		c.entry.placer.CorrectWait(m.clock.now, &c.choice, wait)
 		c.entry.finish(c, placer.OutcomeNotRun)
 		c.entry.offer(c)
@@ -145,7 +151,7 @@
 }
 
 func (e *engine) want(c *call) {
-	if c.over {
+	if c.finished {
 		return
 	}
 	w := loader.Want{Request: c.id, Workspace: modelName, Version: c.adapter, Source: c.adapter}
@@ -153,7 +159,7 @@
 		w.Due = c.arrived.Add(c.kind.Target)
 	}
 	e.apply(e.table.Want(e.model.clock.now, w))
-	e.settle()
+	e.startReady()
 }
 
 // apply carries out the slot table's actions.
@@ -168,12 +174,12 @@
 			e.load(t)
 		case loader.UnloadAction:
 			e.evicted(t.Version)
-			e.later(unloadTime, func() {
+			e.schedule(unloadTime, func() {
 				e.apply(e.table.Unloaded(e.model.clock.now, t.Version, t.Fence, loader.OutcomeDone))
-				e.settle()
+				e.startReady()
 			})
 		default:
-			// The others tell what settle finds, or can't happen here.
+			// Other actions report what startReady checks, or can't occur here.
 		}
 	}
 }
@@ -186,130 +192,131 @@
 func (e *engine) load(l loader.LoadAction) {
 	m := e.model
 	began := m.clock.now
-	done := func() {
+	finish := func() {
 		e.memory[l.Version] = true
 		e.pacer.Loaded(m.clock.now, began)
 		e.setPermits()
 		if pause := e.pacer.Pause(m.clock.now); pause > 0 {
-			e.later(pause, func() {
+			e.schedule(pause, func() {
 				e.setPermits()
 				e.apply(e.table.Tick(m.clock.now))
 			})
 		}
 		e.apply(e.table.Loaded(m.clock.now, l.Version, l.Fence, loader.OutcomeDone, ""))
-		e.settle()
+		e.startReady()
 	}
 	if e.memory[l.Version] {
 		m.result.Warm++
-		e.later(warmLoad, done)
+		e.schedule(warmLoad, finish)
 		return
 	}
-	m.noteLoad(l.Version)
-	life := e.life
+	m.recordLoad(l.Version)
+	incarnation := e.incarnation
 	m.store.begin(m.pattern.Load, func() {
-		if life == e.life {
-			done()
+		if incarnation == e.incarnation {
+			finish()
 		}
 	})
 }
 
-// settle lets the calls go on whose adapter is there.
-func (e *engine) settle() {
-	for _, id := range sortedKeys(e.guests) {
+// startReady queues the prefill of the calls whose adapter is resident.
+func (e *engine) startReady() {
+	for _, id := range sortedKeys(e.admitted) {
 		if e.table.Pin(id) {
-			e.read(e.guests[id])
+			e.queuePrefill(e.admitted[id])
 		}
 	}
 }
 
-// read queues a call's prompt.
-func (e *engine) read(c *call) {
-	e.readUntil = later(e.readUntil, e.model.clock.now).Add(placer.ReadTime(c.prompt, c.prompt, readRate))
-	e.reading = append(e.reading, c)
-	e.readNext()
+// queuePrefill queues a call's prompt.
+func (e *engine) queuePrefill(c *call) {
+	e.prefillUntil = laterTime(e.prefillUntil, e.model.clock.now).Add(placer.ReadTime(c.prompt, c.prompt, prefillRate))
+	e.prefillQueue = append(e.prefillQueue, c)
+	e.prefillNext()
 }
 
-// readNext reads the most urgent prompt.
-func (e *engine) readNext() {
-	if e.busy || len(e.reading) == 0 {
+// prefillNext starts the prefill of the most urgent prompt unless one is in progress.
+func (e *engine) prefillNext() {
+	if e.busy || len(e.prefillQueue) == 0 {
 		return
 	}
 	next := 0
-	for i, c := range e.reading {
-		if c.urgency < e.reading[next].urgency {
+	for i, c := range e.prefillQueue {
+		if c.urgency < e.prefillQueue[next].urgency {
 			next = i
 		}
 	}
-	c := e.reading[next]
-	e.reading = slices.Delete(e.reading, next, next+1)
-	if c.over {
-		e.readNext()
+	c := e.prefillQueue[next]
+	e.prefillQueue = slices.Delete(e.prefillQueue, next, next+1)
+	if c.finished {
+		e.prefillNext()
 		return
 	}
 	e.busy = true
-	e.later(placer.ReadTime(c.prompt, c.prompt, readRate), func() {
+	e.schedule(placer.ReadTime(c.prompt, c.prompt, prefillRate), func() {
 		e.busy = false
-		e.begin(c)
-		e.readNext()
+		e.startStream(c)
+		e.prefillNext()
 	})
 }
 
-// begin begins the stream of a call.
-func (e *engine) begin(c *call) {
-	if c.over {
+// startStream starts the stream of a call after its prefill.
+func (e *engine) startStream(c *call) {
+	if c.finished {
 		return
 	}
-	if c.ends {
-		e.end()
+	if c.crashesServer {
+		e.crash()
 		return
 	}
-	c.began = true
+	c.started = true
 	e.model.answered(c)
 	c.entry.placer.RecordFirstByte(e.model.clock.now, &c.choice)
-	e.later(time.Duration(c.answer)*tokenTime, func() {
-		c.entry.survived(c)
+	e.schedule(time.Duration(c.answer)*tokenTime, func() {
+		c.entry.recordSuccess(c)
 		c.entry.finish(c, placer.OutcomeSuccess)
-		e.drop(c)
+		e.release(c)
 	})
 }
 
-// end ends the engine, and all that it has; it starts anew after a time.
-func (e *engine) end() {
+// crash ends the incarnation and all its calls. The engine restarts after
+// Pattern.Restart.
+func (e *engine) crash() {
 	m := e.model
-	e.life++
+	e.incarnation++
 	e.down = true
-	var guests []*call
-	for _, id := range sortedKeys(e.guests) {
-		guests = append(guests, e.guests[id])
+	var admitted []*call
+	for _, id := range sortedKeys(e.admitted) {
+		admitted = append(admitted, e.admitted[id])
 	}
-	clear(e.guests)
-	e.reading, e.blocked = nil, nil
-	m.ended(e.member.Name, guests, func() {
+	clear(e.admitted)
+	e.prefillQueue, e.blocked = nil, nil
+	m.serverCrashed(e.member.Name, admitted, func() {
 		e.down = false
 		e.member.Spec.Incarnation = m.memberOf(e.member.Name).Spec.Incarnation
 		e.start(m.random, modelLoad)
 	})
 }
 
-// drop forgets a call.
-func (e *engine) drop(c *call) {
-	if e.guests[c.id] == nil {
+// release removes a call and releases its adapter.
+func (e *engine) release(c *call) {
+	if e.admitted[c.id] == nil {
 		return
 	}
-	delete(e.guests, c.id)
+	delete(e.admitted, c.id)
 	e.blocked = slices.DeleteFunc(e.blocked, func(b *call) bool { return b == c })
 	e.apply(e.table.Release(e.model.clock.now, c.id))
-	e.settle()
+	e.startReady()
 }
 
 func (e *engine) tick() {
 	e.apply(e.table.Tick(e.model.clock.now))
-	e.settle()
-	e.later(tickInterval, e.tick)
+	e.startReady()
+	e.schedule(tickInterval, e.tick)
 }
 
-// audiences returns the entries of the engine's failure domain, and the others.
-func (e *engine) audiences() (near, far []*entry) {
+// subscriberGroups returns the entries of the engine's failure domain and all others.
+func (e *engine) subscriberGroups() (near, far []*entry) {
 	for _, entry := range e.model.entries {
 		if entry.domain == e.member.Spec.FailureDomain {
 			near = append(near, entry)
@@ -320,36 +327,36 @@
 	return near, far
 }
 
-// tell tells some entries of the engine's state, again and again.
-func (e *engine) tell(entries []*entry, near bool) {
-	interval := tellInterval
+// reportPeriodically reports the engine's state to the entries at regular intervals.
+func (e *engine) reportPeriodically(entries []*entry, near bool) {
+	interval := reportInterval
 	if !e.model.without(MechanismSparing) {
-		interval = placer.ReportInterval(tellInterval, len(entries), near)
+		interval = placer.ReportInterval(reportInterval, len(entries), near)
 	}
-	e.later(interval, func() {
-		e.tellOnce(entries)
-		e.tell(entries, near)
+	e.schedule(interval, func() {
+		e.report(entries)
+		e.reportPeriodically(entries, near)
 	})
 }
 
-func (e *engine) tellOnce(entries []*entry) {
+func (e *engine) report(entries []*entry) {
 	if e.model.without(MechanismStates) {
 		return
 	}
 	s := e.state()
-	e.later(nearby, func() {
+	e.schedule(localDelay, func() {
 		for _, entry := range entries {
 			entry.placer.Report(e.model.clock.now, engineService, s)
 		}
 	})
 }
 
-// state returns the engine's state as it is told.
+// state returns the engine's state for a report.
 func (e *engine) state() placer.EngineState {
 	e.sequence++
 	s := placer.EngineState{
-		Name: e.member.Name, Incarnation: e.member.Spec.Incarnation, Life: e.life, Sequence: e.sequence, Whole: true,
-		Running: len(e.guests), BacklogMillis: int(max(0, e.readUntil.Sub(e.model.clock.now)).Milliseconds()),
+		Name: e.member.Name, Incarnation: e.member.Spec.Incarnation, Life: e.incarnation, Sequence: e.sequence, Whole: true,
+		Running: len(e.admitted), BacklogMillis: int(max(0, e.prefillUntil.Sub(e.model.clock.now)).Milliseconds()),
 		MaxAdapters: e.table.Slots(), Recent: slices.Clone(e.recent),
 	}
 	if e.ready {
@@ -363,7 +370,7 @@
 	return s
 }
 
-func later(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/standin/modeler/entry.go
+++ b/internal/standin/modeler/entry.go
@@ -16,16 +16,16 @@
 	modelName     = "m"
 )
 
-// entry is one entry host.
+// entry simulates one entry host.
 type entry struct {
 	model  *model
 	domain string
 	placer *placer.Placer
-	// suspects are the requests under which backend servers ended.
+	// suspects is the table of requests that may have crashed backend servers.
 	suspects *suspecter.Table
 }
 
-// start makes the entry anew, as after a loss of power.
+// start starts the entry without state, initially or after a power loss.
 func (e *entry) start(random *rand.Rand) {
 	s := placer.Settings{FailureDomain: e.domain, Random: rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))}
 	if e.model.without(MechanismDistance) {
@@ -36,10 +36,11 @@
 	e.placer.SetView(e.model.view)
 }
 
-// offer places a call.
+// offer tries to place a call on a backend server, repeatedly until placementTimeout, and
+// then refuses it.
 func (e *entry) offer(c *call) {
 	m := e.model
-	if c.over || e.quarantine(c) {
+	if c.finished || e.refuseQuarantined(c) {
 		return
 	}
 	err := e.placer.Choose(m.clock.now, e.wanted(c), &c.choice)
@@ -47,12 +48,12 @@
 	case err == nil:
 		c.placed = true
 		e.send(c)
-	case m.clock.now.Sub(c.arrived) > hold:
+	case m.clock.now.Sub(c.arrived) > placementTimeout:
 		m.refuse(c)
 	case errors.Is(err, placer.ErrBusy):
-		m.clock.after(busyPause, func() { e.offer(c) })
+		m.clock.after(busyRetryInterval, func() { e.offer(c) })
 	default:
-		m.clock.after(holdPause, func() { e.offer(c) })
+		m.clock.after(placementRetryInterval, func() { e.offer(c) })
 	}
 }
 
@@ -66,31 +67,31 @@
 func (e *entry) send(c *call) {
 	m := e.model
 	c.sends++
-	way := nearby
+	delay := localDelay
 	if c.choice.Away {
-		way = faraway
+		delay = remoteDelay
 		m.count(c, func(r *KindResult) { r.Away++ })
 	}
 	if c.kind.Prompt == 0 {
-		m.clock.after(way, func() { m.servers[c.choice.Name].take(c) })
+		m.clock.after(delay, func() { m.servers[c.choice.Name].accept(c) })
 		return
 	}
 	c.urgency = placer.Urgency(c.kind.Rank, c.kind.Target-m.clock.now.Sub(c.arrived)-c.choice.Read)
 	if m.without(MechanismUrgency) {
 		c.urgency = c.kind.Rank
 	}
-	m.clock.after(way, func() { m.engines[c.choice.Name].admit(c) })
+	m.clock.after(delay, func() { m.engines[c.choice.Name].admit(c) })
 }
 
-// broke takes note that a call's connection ended without an answer: it goes elsewhere, or
-// its caller comes back.
-func (e *entry) broke(c *call) {
-	if c.over {
+// connectionBroken handles the end of a call's connection without an answer. A call
+// without a first event is sent to another backend server, or refused after maxSends.
+func (e *entry) connectionBroken(c *call) {
+	if c.finished {
 		return
 	}
 	e.finish(c, placer.OutcomeBroken)
 	switch {
-	case c.began:
+	case c.started:
 	case c.sends < maxSends:
 		e.offer(c)
 	default:
@@ -98,17 +99,18 @@
 	}
 }
 
-// unreached has a call go elsewhere whose backend server takes no connections.
-func (e *entry) unreached(c *call) {
-	if c.over {
+// unreachable places a call again whose backend server accepted no connection. The failed
+// send is not counted.
+func (e *entry) unreachable(c *call) {
+	if c.finished {
 		return
 	}
 	c.sends--
 	e.finish(c, placer.OutcomeUnreachable)
-	e.model.clock.after(busyPause, func() { e.offer(c) })
+	e.model.clock.after(busyRetryInterval, func() { e.offer(c) })
 }
 
-// finish ends the choice of a call.
+// finish reports the outcome of a call's placement to the placer, once.
 func (e *entry) finish(c *call, ending placer.Outcome) {
 	if c.placed {
 		c.placed = false
--- a/internal/standin/modeler/model.go
+++ b/internal/standin/modeler/model.go
@@ -14,15 +14,15 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/tracker"
 )
 
-// Settings are what a play is made of.
+// Settings are the settings of a simulation.
 type Settings struct {
 	Pattern Pattern
-	// Without are the mechanisms that are switched off.
+	// Without lists the disabled mechanisms.
 	Without []Mechanism
 	Seed    uint64
 }
 
-// model is one play.
+// model is one simulation run.
 type model struct {
 	settings Settings
 	pattern  Pattern
@@ -37,22 +37,22 @@
 	members  []tracker.Member
 	view     *tracker.View
 	revision uint64
-	// loaded holds the adapters loaded since all hosts started.
-	loaded map[string]bool
-	dark   bool
-	// open are the calls in progress, by id.
-	open  map[string]*call
-	calls int
-	// asked counts the callers' requests.
-	asked int
-	// control is the replicated state, at the index.
+	// loaded contains the adapters loaded from the store since the last start of all hosts.
+	loaded     map[string]bool
+	poweredOff bool
+	// inProgress contains the calls without an answer, by ID.
+	inProgress map[string]*call
+	calls      int
+	// requests is the number of callers' requests so far.
+	requests int
+	// control is the replicated state, and index the log index applied to it.
 	control *storer.Store
 	index   uint64
 	result  Result
-	// allowedAt is when as many lives had ended as may, and lives counts those begun
-	// since the start.
-	allowedAt time.Time
-	lives     int
+	// thresholdAt is the time at which the number of crashes reached quarantineThreshold.
+	// incarnations is the number of restarts of backend servers.
+	thresholdAt  time.Time
+	incarnations int
 }
 
 // Simulate runs one simulation of a pattern. It panics if the pattern has no calls,
@@ -60,15 +60,15 @@
 func Simulate(s Settings) (*Result, error) {
 	p := s.Pattern
 	if len(p.Kinds) == 0 || p.Length <= 0 || p.Entries <= 0 || p.Domains <= 0 {
-		panic("modeler: a pattern without calls, entries or time")
+		panic("modeler: pattern without calls, duration, entries or failure domains")
 	}
 	m := &model{
 		settings: s, pattern: p, start: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(s.Seed, 1)),
-		engines: make(map[string]*engine), servers: make(map[string]*server), loaded: make(map[string]bool), open: make(map[string]*call), control: storer.NewStore(storer.Settings{}),
+		engines: make(map[string]*engine), servers: make(map[string]*server), loaded: make(map[string]bool), inProgress: make(map[string]*call), control: storer.NewStore(storer.Settings{}),
 		result: Result{Kinds: make(map[string]*KindResult), windows: make(map[int]*window)},
 	}
 	m.clock = &clock{now: m.start}
-	m.store = &store{clock: m.clock, atOnce: max(1, p.StoreConcurrency), at: m.start}
+	m.store = &store{clock: m.clock, atOnce: max(1, p.StoreConcurrency), updatedAt: m.start}
 	if p.Adapters > 1 {
 		m.zipf = rand.NewZipf(m.random, 1.2, 1, uint64(p.Adapters-1))
 	}
@@ -77,18 +77,18 @@
 	}
 	for i := range p.Kinds {
 		m.result.Kinds[p.Kinds[i].Name] = &KindResult{}
-		m.arrive(&p.Kinds[i])
+		m.scheduleArrivals(&p.Kinds[i])
 	}
 	if p.PowerLossAt > 0 {
 		m.clock.after(p.PowerLossAt, m.losePower)
 	}
 	if p.CrashRate > 0 {
-		m.clock.after(p.CrashesAt, m.sendEnding)
+		m.clock.after(p.CrashesAt, m.sendCrashRequest)
 	}
 	if p.Leaving > 0 {
 		m.clock.after(p.LeaveAt, m.leave)
 	}
-	m.clock.run(m.start.Add(p.Length + m.rest()))
+	m.clock.run(m.start.Add(p.Length + m.drainTime()))
 	return &m.result, nil
 }
 
@@ -96,7 +96,7 @@
 
 func (m *model) domain(i int) string { return "d" + strconv.Itoa(i%m.pattern.Domains) }
 
-// build makes the hosts.
+// build creates all hosts.
 func (m *model) build() error {
 	p := m.pattern
 	for i := range p.Engines {
@@ -106,7 +106,7 @@
 	}
 	places := p.Places
 	if m.without(MechanismThrottling) {
-		// A server that tells no places is not bound.
+		// The number of calls at a server that declares no places is not limited.
 		places = 0
 	}
 	for i := range p.Servers {
@@ -136,7 +136,7 @@
 	}}
 }
 
-// publish makes the view that entries are told.
+// publish creates the view of the members and suspects for the entries.
 func (m *model) publish() error {
 	t := tracker.NewTracker(tracker.Settings{Decode: func([]byte) (*tracker.Routing, error) {
 		r := &tracker.Routing{Number: 1, Services: []tracker.Service{
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// leave has servers of the plain service leave.
+// leave marks Pattern.Leaving servers of the plain service as leaving.
 func (m *model) leave() {
 	left := 0
 	for i := range m.members {
@@ -169,11 +169,11 @@
 			left++
 		}
 	}
-	m.announce()
+	m.distributeView()
 }
 
-// announce tells all entries of the members as they are now.
-func (m *model) announce() {
+// distributeView updates the view and passes it to all entries.
+func (m *model) distributeView() {
 	if err := m.publish(); err != nil {
 		panic("modeler: " + err.Error())
 	}
@@ -183,19 +183,19 @@
 	}
 }
 
-// losePower ends all that is in progress, and starts all hosts anew after a time.
+// losePower ends all calls in progress and restarts all hosts after Pattern.Outage.
 func (m *model) losePower() {
-	m.dark = true
+	m.poweredOff = true
 	m.store.clear()
 	clear(m.loaded)
-	for _, id := range sortedKeys(m.open) {
-		m.end(m.open[id], func(r *KindResult) { r.Abandoned++ })
+	for _, id := range sortedKeys(m.inProgress) {
+		m.abandon(m.inProgress[id], func(r *KindResult) { r.Abandoned++ })
 	}
 	for _, name := range sortedKeys(m.engines) {
-		m.engines[name].life++
+		m.engines[name].incarnation++
 	}
 	m.clock.after(m.pattern.Outage, func() {
-		m.dark = false
+		m.poweredOff = false
 		for _, e := range m.entries {
 			e.start(m.random)
 		}
@@ -205,7 +205,7 @@
 	})
 }
 
-// rate returns the factor on the calls now.
+// rate returns the current factor on the rates of calls.
 func (m *model) rate() float64 {
 	since := m.clock.now.Sub(m.start)
 	if m.pattern.Burst > 0 && since >= m.pattern.BurstAt && since < m.pattern.BurstAt+m.pattern.BurstTime {
@@ -214,30 +214,31 @@
 	return 1
 }
 
-// arrive has the calls of a kind come, one after another.
-func (m *model) arrive(k *Kind) {
+// scheduleArrivals schedules the calls of a kind as a Poisson process.
+func (m *model) scheduleArrivals(k *Kind) {
 	m.clock.after(time.Duration(m.random.ExpFloat64()/(k.PerSecond*m.rate())*float64(time.Second)), func() {
 		if m.clock.now.Sub(m.start) < m.pattern.Length {
-			m.ask(m.newCall(k))
-			m.arrive(k)
+			m.sendCall(m.newCall(k))
+			m.scheduleArrivals(k)
 		}
 	})
 }
 
 func (m *model) newCall(k *Kind) *call {
-	m.asked++
-	c := &call{kind: k, came: m.clock.now, prompt: m.size(k.Prompt), answer: m.size(k.Answer), same: identityOf(strconv.Itoa(m.asked))}
+	m.requests++
+	c := &call{kind: k, firstAsked: m.clock.now, prompt: m.size(k.Prompt), answer: m.size(k.Answer), identity: identityOf(strconv.Itoa(m.requests))}
 	if m.zipf != nil && k.Prompt > 0 {
 		c.adapter = "a" + strconv.FormatUint(m.zipf.Uint64(), 10)
 	}
 	m.count(c, func(r *KindResult) { r.Calls++ })
 	if w := m.window(c); w != nil {
-		w.owed++
+		w.calls++
 	}
 	return c
 }
 
-// size draws a size around a mean; half of the sizes are within a factor of two.
+// size draws a log-normally distributed size with the mean; about half of the sizes are
+// within a factor of two.
 func (m *model) size(mean int) int {
 	const spread = 0.9
 	if mean == 0 {
@@ -246,86 +247,86 @@
 	return max(1, int(float64(mean)*math.Exp(spread*m.random.NormFloat64()-spread*spread/2)))
 }
 
-// ask has a caller call an entry of its own failure domain, or wait while all are dark.
-func (m *model) ask(c *call) {
-	if m.dark {
-		m.clock.after(holdPause, func() { m.ask(c) })
+// sendCall sends a call to a random entry, or waits while all hosts are without power.
+func (m *model) sendCall(c *call) {
+	if m.poweredOff {
+		m.clock.after(placementRetryInterval, func() { m.sendCall(c) })
 		return
 	}
 	m.calls++
-	c.id, c.arrived, c.over = strconv.Itoa(m.calls), m.clock.now, false
+	c.id, c.arrived, c.finished = strconv.Itoa(m.calls), m.clock.now, false
 	c.entry = m.entries[m.random.IntN(len(m.entries))]
-	m.open[c.id] = c
+	m.inProgress[c.id] = c
 	if c.kind.Prompt > 0 {
 		id := c.id
-		m.clock.after(patience, func() {
-			if m.open[id] == c {
-				m.end(c, func(r *KindResult) { r.Abandoned++ })
+		m.clock.after(firstEventTimeout, func() {
+			if m.inProgress[id] == c {
+				m.abandon(c, func(r *KindResult) { r.Abandoned++ })
 			}
 		})
 	}
 	c.entry.offer(c)
 }
 
-// refuse ends a call that was not run; its caller comes back once.
+// refuse ends a call that was not run. Its caller retries once.
 func (m *model) refuse(c *call) {
-	if c.over {
+	if c.finished {
 		return
 	}
-	if c.back {
-		m.end(c, func(r *KindResult) { r.Refused++ })
+	if c.retried {
+		m.abandon(c, func(r *KindResult) { r.Refused++ })
 		return
 	}
-	c.over, c.back = true, true
-	delete(m.open, c.id)
-	m.clock.after(comeBack, func() {
-		m.ask(&call{kind: c.kind, came: c.came, back: true, adapter: c.adapter, prompt: c.prompt, answer: c.answer, ends: c.ends, same: c.same})
+	c.finished, c.retried = true, true
+	delete(m.inProgress, c.id)
+	m.clock.after(callerRetryDelay, func() {
+		m.sendCall(&call{kind: c.kind, firstAsked: c.firstAsked, retried: true, adapter: c.adapter, prompt: c.prompt, answer: c.answer, crashesServer: c.crashesServer, identity: c.identity})
 	})
 }
 
-// answered notes that a call has its first event, or its answer.
+// answered records that a call has received its first event or its answer.
 func (m *model) answered(c *call) {
-	if c.over {
+	if c.finished {
 		return
 	}
-	delete(m.open, c.id)
-	if m.clock.now.Sub(c.came) <= c.kind.Target {
+	delete(m.inProgress, c.id)
+	if m.clock.now.Sub(c.firstAsked) <= c.kind.Target {
 		m.credit(c, func(r *KindResult) { r.InTime++ }, 1)
 		return
 	}
 	m.credit(c, func(r *KindResult) { r.Late++ }, lateCredit)
 }
 
-// end ends a call that has no answer.
-func (m *model) end(c *call, note func(*KindResult)) {
-	c.over = true
-	delete(m.open, c.id)
-	m.count(c, note)
+// abandon ends a call that has no answer.
+func (m *model) abandon(c *call, update func(*KindResult)) {
+	c.finished = true
+	delete(m.inProgress, c.id)
+	m.count(c, update)
 	if c.kind.Prompt == 0 || !c.placed {
 		return
 	}
 	e := m.engines[c.choice.Name]
 	c.entry.finish(c, placer.OutcomeCanceled)
-	e.drop(c)
+	e.release(c)
 }
 
-func (m *model) credit(c *call, note func(*KindResult), earned float64) {
-	m.count(c, note)
+func (m *model) credit(c *call, update func(*KindResult), earned float64) {
+	m.count(c, update)
 	if w := m.window(c); w != nil {
 		w.earned += earned
 	}
 }
 
-// count counts a call that came after the time in which nothing is counted.
-func (m *model) count(c *call, note func(*KindResult)) {
-	if !c.ends && c.came.Sub(m.start) >= m.pattern.WarmUp {
-		note(m.result.Kinds[c.kind.Name])
+// count updates the result of a call's kind if the call was first made after the warm-up.
+func (m *model) count(c *call, update func(*KindResult)) {
+	if !c.crashesServer && c.firstAsked.Sub(m.start) >= m.pattern.WarmUp {
+		update(m.result.Kinds[c.kind.Name])
 	}
 }
 
-// window returns the window of a call, or nil.
+// window returns the window of a call's first attempt, or nil during the warm-up.
 func (m *model) window(c *call) *window {
-	since := c.came.Sub(m.start)
+	since := c.firstAsked.Sub(m.start)
 	if since < m.pattern.WarmUp {
 		return nil
 	}
@@ -336,8 +337,8 @@
 	return m.result.windows[i]
 }
 
-// noteLoad counts a load from the store.
-func (m *model) noteLoad(version string) {
+// recordLoad counts a load from the store.
+func (m *model) recordLoad(version string) {
 	if m.loaded[version] {
 		m.result.Copies++
 		return
@@ -346,5 +347,6 @@
 	m.result.First++
 }
 
-// sortedKeys makes the order of events independent of that of maps.
+// sortedKeys returns the keys in order, so that the order of events doesn't depend on that
+// of maps.
 func sortedKeys[V any](of map[string]V) []string { return slices.Sorted(maps.Keys(of)) }
--- a/internal/standin/modeler/modeler_test.go
+++ b/internal/standin/modeler/modeler_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "Modeler")
 }
 
-func play(pattern string, without ...modeler.Mechanism) modeler.Row {
+func simulate(pattern string, without ...modeler.Mechanism) modeler.Row {
 	GinkgoHelper()
 	p, err := modeler.FindPattern(pattern)
 	Expect(err).NotTo(HaveOccurred())
@@ -26,8 +26,8 @@
 	return row
 }
 
-var _ = Describe("A play", func() {
-	It("is the same each time", func() {
+var _ = Describe("A simulation", func() {
+	It("is reproducible with the same seed", func() {
 		p, err := modeler.FindPattern("FewServers")
 		Expect(err).NotTo(HaveOccurred())
 		first, err := modeler.Simulate(modeler.Settings{Pattern: p, Seed: 7})
@@ -37,7 +37,7 @@
 		Expect(second).To(Equal(first))
 	})
 
-	It("accounts for every call", func() {
+	It("counts every call with exactly one outcome", func() {
 		for _, p := range modeler.Patterns() {
 			p.Length = p.WarmUp + 4*time.Second
 			r, err := modeler.Simulate(modeler.Settings{Pattern: p, Seed: 3})
@@ -47,7 +47,7 @@
 		}
 	})
 
-	It("knows no other names", func() {
+	It("rejects unknown names of patterns and mechanisms", func() {
 		_, err := modeler.FindPattern("Bogus")
 		Expect(err).To(MatchError(ContainSubstring("PowerLoss")))
 		_, err = modeler.FindMechanism("Bogus")
@@ -55,14 +55,14 @@
 	})
 })
 
-// Symptom: of twelve engines up to six are gone at any time for a quarter of a minute,
-// whatever they ran goes with them, and calls find nobody to take them.
-// Sequence: one caller's request ends the engine that begins to run it. Its entry hands it
-// to a second engine, the caller sends it again to another entry, and so on; each is back
-// after three seconds.
-// Cause: nothing remembers a request beyond one attempt of its caller, and no entry knows
-// what it did at the others. Proved by the identity of the request at every end.
-var _ = DescribeTable("A request that ends the backend servers that run it is kept from them",
+// Guards against one request that crashes engines over and over: up to six of twelve engines
+// were down at any time for a quarter of a minute, their calls were lost and other calls
+// could not be placed. The request crashes the engine that begins to run it, its entry sends
+// it to a second engine, and the caller retries at another entry, while each engine is back
+// after three seconds. Without quarantine, no state about the request outlives one attempt of
+// its caller, and entries don't share what it did. At every crash the request is recognized
+// by its identity.
+var _ = DescribeTable("A request that crashes the backend servers that run it is quarantined",
 	func(pattern string) {
 		p, err := modeler.FindPattern(pattern)
 		Expect(err).NotTo(HaveOccurred())
@@ -71,62 +71,64 @@
 			r, err := modeler.Simulate(modeler.Settings{Pattern: p, Seed: seed + 1})
 			Expect(err).NotTo(HaveOccurred())
 			GinkgoWriter.Printf("%d: %d ended, %d repeated, in time %.3f, lost %.3f\n", seed, r.Ended, r.Repeated, r.InTime(), r.Lost())
-			Expect(r.Ended).To(BeNumerically(">=", 3), "fewer prove nothing")
+			Expect(r.Ended).To(BeNumerically(">=", 3), "too few crashes to test the quarantine")
 			Expect(r.Repeated).To(BeNumerically("<=", mostRepeated))
 			Expect(r.Quarantined).NotTo(BeZero())
-			Expect(r.Innocent).To(BeZero(), "nobody else's request is kept from them")
+			Expect(r.Innocent).To(BeZero(), "no other request may be quarantined")
 		}
 	},
 	Entry("engines", "EndingEngines"),
 	Entry("servers of a plain service", "EndingServers"),
 )
 
-// Each of these loads binds by one thing, which the mechanism is there for.
+// Each of these loads has one bottleneck, which the mechanism addresses.
 var _ = Describe("A mechanism", func() {
-	It("that sends misled calls back serves many entries, which know other domains late", func() {
-		with, without := play("Large"), play("Large", modeler.MechanismSendingBack)
+	It("that sends misplaced calls back helps many entries, which get states of other domains late", func() {
+		with, without := simulate("Large"), simulate("Large", modeler.MechanismSendingBack)
 		Expect(with.InTime).To(BeNumerically(">", without.InTime+0.015))
 		Expect(with.Lost).To(BeNumerically("<", without.Lost))
 	})
 
-	It("that tells many entries seldomer costs them little", func() {
-		sparing, all := play("Large"), play("Large", modeler.MechanismSparing)
+	It("that reports to many entries less often costs little", func() {
+		sparing, all := simulate("Large"), simulate("Large", modeler.MechanismSparing)
 		Expect(sparing.InTime).To(BeNumerically(">", all.InTime-0.03))
 	})
 
-	It("that loads wider serves a burst that waits for loads", func() {
-		// Symptom: eight in ten late calls of a heavy day wait for loads, half a second in
-		// the middle, while the store serves half of what it can.
-		with, without := play("Burst"), play("Burst", modeler.MechanismWidth)
+	It("that allows more concurrent loads helps in a burst that waits for loads", func() {
+		// Guards against unused store capacity: on a day of high load, eight in ten late
+		// calls waited for loads, with a median of half a second, while the store served
+		// half of what it could.
+		with, without := simulate("Burst"), simulate("Burst", modeler.MechanismWidth)
 		Expect(with.InTime).To(BeNumerically(">", without.InTime+0.04))
 		Expect(with.Worst).To(BeNumerically(">", without.Worst+0.05))
 	})
 
-	It("that begins with loads in time serves more after a loss of power", func() {
-		// Symptom: for seconds after a loss of power nearly all answers are late: each load
-		// serves calls that are late already, and makes the next ones late too.
-		with, without := play("PowerLoss"), play("PowerLoss", modeler.MechanismSlack)
+	It("that prefers loads in time serves more calls in time after a power loss", func() {
+		// Guards against persistent lateness: for seconds after a power loss nearly all
+		// answers were late, because each load served calls that were late already and
+		// made the next ones late too.
+		with, without := simulate("PowerLoss"), simulate("PowerLoss", modeler.MechanismSlack)
 		Expect(with.InTime).To(BeNumerically(">", without.InTime+0.03))
 	})
 
-	It("that tells what engines hold spares half of the loads", func() {
-		with, without := play("PowerLoss"), play("PowerLoss", modeler.MechanismStates)
+	It("that reports the state of engines avoids half of the repeated loads", func() {
+		with, without := simulate("PowerLoss"), simulate("PowerLoss", modeler.MechanismStates)
 		Expect(with.Copies).To(BeNumerically("<", without.Copies/2))
 		Expect(with.InTime).To(BeNumerically(">", without.InTime+0.1))
 	})
 
-	It("that keeps what ends backend servers from them serves the others", func() {
+	It("that quarantines crash requests serves the other calls", func() {
 		for _, pattern := range []string{"EndingEngines", "EndingServers"} {
-			with, without := play(pattern), play(pattern, modeler.MechanismQuarantine)
+			with, without := simulate(pattern), simulate(pattern, modeler.MechanismQuarantine)
 			Expect(with.InTime).To(BeNumerically(">", without.InTime+0.3), pattern)
 			Expect(with.Lost).To(BeNumerically("<", without.Lost/4), pattern)
 		}
 	})
 
-	It("that bounds plain calls serves in time what one server of three can", func() {
-		// Symptom: two of three application servers have left; the one that is left turns
-		// away three sends of five, and serves the others late.
-		with, without := play("FewServers"), play("FewServers", modeler.MechanismThrottling)
+	It("that limits plain calls serves in time what the one remaining server of three can", func() {
+		// Guards against an overloaded server: after two of three application servers had
+		// left, the remaining one rejected three of five sends and served the others late.
+		with, without := simulate("FewServers"), simulate("FewServers", modeler.MechanismThrottling)
 		Expect(with.InTime).To(BeNumerically(">", without.InTime+0.08))
 		Expect(with.TurnedAway).To(BeNumerically("<", without.TurnedAway/20))
 	})
--- a/internal/standin/modeler/pattern.go
+++ b/internal/standin/modeler/pattern.go
@@ -7,11 +7,11 @@
 	"github.com/juju/errors"
 )
 
-// Kind is one kind of call.
+// Kind describes one kind of call.
 type Kind struct {
 	Name string
-	// PerSecond is the mean number of calls, and Target the time wanted to the first
-	// event, or of the whole answer of a plain call.
+	// PerSecond is the mean number of calls per second. Target is the maximum time to the
+	// first event, or to the complete answer of a plain call.
 	PerSecond float64
 	Target    time.Duration
 	Rank      int
@@ -19,46 +19,48 @@
 	Prompt, Answer int
 }
 
-// Pattern is a load on a deployment. Its figures are the users' own, from their
-// deployments' sheets and from the logs of their heaviest days.
+// Pattern describes a deployment and its load. The figures come from users' deployment
+// sheets and from the logs of their days with the highest load.
 type Pattern struct {
 	Name string
-	// Grounds tells where the figures come from.
+	// Origin describes the origin of the figures.
 	Origin string
 	Kinds  []Kind
 
 	Domains, Entries, Engines int
-	// Slots are an engine's adapter slots, and Adapters those that are asked for, whose
-	// popularity falls off as their rank to the power of 1.2.
+	// Slots is the number of adapter slots per engine. Adapters is the number of requested
+	// adapters, whose popularity has a Zipf distribution with exponent 1.2.
 	Slots, Adapters int
-	// AtOnce is the number of loads that the store serves at full speed, and Load the
-	// time of one alone.
+	// StoreConcurrency is the number of concurrent loads that the store serves at full
+	// speed. Load is the duration of a single load.
 	StoreConcurrency int
 	Load             time.Duration
-	// Servers are those of the plain service, with Places and a Queue each, and Leaving
-	// of them leave at LeaveAt.
+	// Servers is the number of backend servers of the plain service. Each runs up to Places
+	// calls concurrently and queues up to Queue. Leaving of them leave at LeaveAt.
 	Servers, Places, Queue, Leaving int
 	LeaveAt                         time.Duration
-	// Burst multiplies the calls from BurstAt on for BurstTime.
+	// Burst multiplies the rates of calls, beginning at BurstAt and for BurstTime.
 	Burst              float64
 	BurstAt, BurstTime time.Duration
-	// LossAt is when all hosts lose power, to be back after Dark; 0 means never.
+	// PowerLossAt is the time at which all hosts lose power, which is back after Outage; 0
+	// means never.
 	PowerLossAt, Outage time.Duration
-	// Ending is how often a second one caller sends the request that ends each backend
-	// server that begins to run it, from EndingAt on for EndingTime; the backend server
-	// is back, empty, after Restart. It goes to the plain service where there are no
-	// engines.
+	// CrashRate is the mean number per second of requests of one caller that crash each
+	// backend server that begins to run them, beginning at CrashesAt and for CrashesFor. A
+	// crashed backend server is back, empty, after Restart. The requests go to the plain
+	// service if there are no engines.
 	CrashRate                      float64
 	CrashesAt, CrashesFor, Restart time.Duration
-	// Warm is the time before anything is counted, and Length all of the time.
+	// WarmUp is the time before calls are counted, and Length the total time in which calls
+	// are made.
 	WarmUp, Length time.Duration
 }
 
-// kindReview is the kind of call with a long prompt.
+// kindReview is the name of the kind of call with a long prompt.
 const kindReview = "review"
 
-// switchingKinds are the kinds of calls of a firm that switches households' electricity
-// suppliers, as a share of its standard day.
+// switchingKinds returns the kinds of calls of a firm that switches households' electricity
+// suppliers, with the rates of its standard day multiplied by share.
 func switchingKinds(share float64) []Kind {
 	return []Kind{
 		{Name: "query", PerSecond: 205 * share, Target: 500 * time.Millisecond, Prompt: 646, Answer: 70},
@@ -111,7 +113,8 @@
 	return append([]Pattern{burst, loss, grown, scarce, services, large, largeLoss}, endingPatterns(small)...)
 }
 
-// endingPatterns are those in which one request ends the backend servers that run it.
+// endingPatterns returns the patterns in which one request crashes the backend servers that
+// run it.
 func endingPatterns(small Pattern) []Pattern {
 	engines := small
 	engines.Name, engines.Entries, engines.Slots, engines.StoreConcurrency = "EndingEngines", 4, 8, 8
@@ -131,7 +134,7 @@
 	return []Pattern{engines, servers}
 }
 
-// FindPattern returns the pattern of a name.
+// FindPattern returns the pattern with the name, or a not-found error.
 func FindPattern(name string) (Pattern, error) {
 	all := Patterns()
 	i := slices.IndexFunc(all, func(p Pattern) bool { return p.Name == name })
@@ -147,35 +150,38 @@
 
 //go:generate stringer -type=Mechanism -trimprefix=Mechanism
 
-// Mechanism is a part of the decisions that can be switched off.
+// Mechanism is a part of the decision-making that can be disabled.
 type Mechanism int
 
 // The mechanisms.
 const (
-	// MechanismPacing narrows loads while they are slowed.
+	// MechanismPacing lowers the number of concurrent loads while the store is slow.
 	MechanismPacing Mechanism = iota
-	// MechanismWidth lets an engine load four adapters at once; without it two.
+	// MechanismWidth lets an engine load four adapters concurrently instead of two.
 	MechanismWidth
-	// MechanismSlack has loads go first that requests can still have in time.
+	// MechanismSlack gives priority to loads that can still complete in time for requests.
 	MechanismSlack
-	// MechanismUrgency has engines read prompts by slack; without it by rank alone.
+	// MechanismUrgency makes engines order prefill by remaining time instead of by rank
+	// alone.
 	MechanismUrgency
-	// MechanismDistance keeps calls in their failure domain.
+	// MechanismDistance makes placement prefer a call's own failure domain.
 	MechanismDistance
-	// MechanismStates tells entries what engines hold.
+	// MechanismStates reports the state of engines to entries.
 	MechanismStates
-	// MechanismSparing tells many entries seldomer; without it all within 80 ms.
+	// MechanismSparing lengthens the report interval with the number of entries; without it
+	// all entries get a report every 80 ms.
 	MechanismSparing
-	// MechanismSendingBack has calls go elsewhere whose entry was misled by an old state.
+	// MechanismSendingBack makes engines send back calls that were placed by an outdated
+	// state.
 	MechanismSendingBack
-	// MechanismQuarantine keeps requests from backend servers under which three ended.
+	// MechanismQuarantine quarantines requests that have crashed three backend servers.
 	MechanismQuarantine
-	// MechanismThrottling bounds the calls at plain services.
+	// MechanismThrottling limits the number of calls at backend servers of plain services.
 	MechanismThrottling
 	mechanisms
 )
 
-// FindMechanism returns the mechanism of a name.
+// FindMechanism returns the mechanism with the name, or a not-found error.
 func FindMechanism(name string) (Mechanism, error) {
 	var names []string
 	for m := range mechanisms {
--- a/internal/standin/modeler/result.go
+++ b/internal/standin/modeler/result.go
@@ -5,44 +5,49 @@
 	"time"
 )
 
-// KindResult counts the calls of one kind.
+// KindResult contains the numbers of calls of one kind by outcome. Abandoned calls ended without
+// an answer, since the caller disconnected or all hosts lost power. Away is the number of sends
+// to another failure domain.
 type KindResult struct {
 	Calls, InTime, Late, Refused, Abandoned, Away int
 }
 
-// Result is what came of one play.
+// Result is the result of one simulation.
 type Result struct {
 	Kinds map[string]*KindResult
-	// First and Copies count loads from the store, the first of an adapter since all hosts
-	// started and all further ones; Warm counts those from engines' own memory.
+	// First and Copies are numbers of loads from the store: the first load of each adapter
+	// since the last start of all hosts, and all further ones. Warm is the number of loads
+	// from engines' own memory.
 	First, Copies, Warm int
-	// TurnedAway counts sends that a plain service refused.
+	// TurnedAway is the number of sends that a plain service rejected.
 	TurnedAway int
-	// SentBack counts the calls that an engine had go elsewhere.
+	// SentBack is the number of calls that engines sent back to their entries.
 	SentBack int
-	// Ended counts the lives of backend servers that one request ended, and Repeated its
-	// sendings that reached one after all entries must know of it.
+	// Ended is the number of incarnations of backend servers that the crash request ended.
+	// Repeated is the number of its sends that reached a backend server after all entries
+	// must have quarantined it.
 	Ended, Repeated int
-	// Quarantined counts how often that request was kept from backend servers, and
-	// Innocent how often another was.
+	// Quarantined is the number of refusals of the crash request by quarantine, and Innocent
+	// the number of refusals of other requests.
 	Quarantined, Innocent int
-	// windows are what was owed and earned by the time of the callers' first asking.
+	// windows contains the windows by index; a call belongs to that of its first attempt.
 	windows map[int]*window
 }
 
-type window struct{ owed, earned float64 }
+// window contains the number of calls and the sum of their credits.
+type window struct{ calls, earned float64 }
 
 const (
-	// windowTime is the length of a window, and lateCredit what a late answer is worth
-	// beside one in time.
+	// windowTime is the length of a window. lateCredit is the credit of a late answer, where
+	// an answer in time has 1.
 	windowTime = 2 * time.Second
 	lateCredit = 0.3
-	// worstWindows is the number of windows that Worst is the mean of.
+	// worstWindows is the number of windows that Worst averages.
 	worstWindows = 2
 )
 
-// all sums the kinds up.
-func (r *Result) all() KindResult {
+// total returns the sums over all kinds.
+func (r *Result) total() KindResult {
 	var sum KindResult
 	for _, k := range r.Kinds {
 		sum.Calls += k.Calls
@@ -55,24 +60,25 @@
 	return sum
 }
 
-// InTime returns the share of the calls that were in time.
-func (r *Result) InTime() float64 { k := r.all(); return share(k.InTime, k.Calls) }
+// InTime returns the share of calls answered in time.
+func (r *Result) InTime() float64 { k := r.total(); return share(k.InTime, k.Calls) }
 
-// Late returns the share of the calls that were late.
-func (r *Result) Late() float64 { k := r.all(); return share(k.Late, k.Calls) }
+// Late returns the share of calls answered late.
+func (r *Result) Late() float64 { k := r.total(); return share(k.Late, k.Calls) }
 
-// Lost returns the share of the calls that were refused or whose callers left.
-func (r *Result) Lost() float64 { k := r.all(); return share(k.Refused+k.Abandoned, k.Calls) }
+// Lost returns the share of calls that were refused or abandoned.
+func (r *Result) Lost() float64 { k := r.total(); return share(k.Refused+k.Abandoned, k.Calls) }
 
-// Away returns the share of the calls that went to another failure domain.
-func (r *Result) Away() float64 { k := r.all(); return share(k.Away, k.Calls) }
+// Away returns the share of calls sent to another failure domain. A call sent several times
+// may count several times.
+func (r *Result) Away() float64 { k := r.total(); return share(k.Away, k.Calls) }
 
-// Worst returns what was earned of what was owed in the two worst windows.
+// Worst returns the mean credit per call in the two windows in which it is lowest.
 func (r *Result) Worst() float64 {
 	var shares []float64
 	for _, w := range r.windows {
-		if w.owed > 0 {
-			shares = append(shares, w.earned/w.owed)
+		if w.calls > 0 {
+			shares = append(shares, w.earned/w.calls)
 		}
 	}
 	slices.Sort(shares)
--- a/internal/standin/modeler/server.go
+++ b/internal/standin/modeler/server.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// workTime is the mean time of a plain call, and workSpread its spread.
+	// workTime is the mean processing time of a plain call. workSpread is the standard
+	// deviation of its logarithm.
 	workTime   = 30 * time.Millisecond
 	workSpread = 0.5
 )
 
-// server is one backend server of the plain service.
+// server simulates one backend server of the plain service.
 type server struct {
 	model   *model
 	name    string
 	running int
 	waiting []*call
-	// life rises with each start, and down tells that the server has ended.
-	life int
-	down bool
-	// working are the calls that it works on.
+	// incarnation rises with each crash. down is set between a crash and the next start.
+	incarnation int
+	down        bool
+	// working contains the calls in processing.
 	working []*call
 }
 
-// endTime is the time from the beginning of a run to the end of the server by it.
-const endTime = 20 * time.Millisecond
+// crashDelay is the time from the start of a crash request to the crash of the server.
+const crashDelay = 20 * time.Millisecond
 
-// take takes a call, or turns it away.
-func (s *server) take(c *call) {
+// accept queues a call, or rejects it if the queue is full.
+func (s *server) accept(c *call) {
 	m := s.model
 	if s.down {
-		m.clock.after(nearby, func() { c.entry.unreached(c) })
+		m.clock.after(localDelay, func() { c.entry.unreachable(c) })
 		return
 	}
-	m.reaches(c)
+	m.countRepeated(c)
 	if len(s.waiting) >= m.pattern.Queue {
 		m.result.TurnedAway++
-		m.clock.after(nearby, func() {
+		m.clock.after(localDelay, func() {
 			c.entry.placer.TurnedAway(m.clock.now, &c.choice)
 			c.entry.finish(c, placer.OutcomeNotRun)
 			m.refuse(c)
@@ -51,7 +52,7 @@
 	s.work()
 }
 
-// work works on what waits, as far as there are places.
+// work starts waiting calls while there are free places.
 func (s *server) work() {
 	m := s.model
 	for s.running < m.pattern.Places && len(s.waiting) > 0 {
@@ -59,23 +60,23 @@
 		s.waiting = s.waiting[1:]
 		s.running++
 		s.working = append(s.working, c)
-		life := s.life
-		if c.ends {
-			m.clock.after(endTime, func() { s.end(life) })
+		incarnation := s.incarnation
+		if c.crashesServer {
+			m.clock.after(crashDelay, func() { s.crash(incarnation) })
 			continue
 		}
-		took := time.Duration(float64(workTime) * math.Exp(workSpread*m.random.NormFloat64()-workSpread*workSpread/2))
-		m.clock.after(took, func() {
-			if life != s.life {
+		duration := time.Duration(float64(workTime) * math.Exp(workSpread*m.random.NormFloat64()-workSpread*workSpread/2))
+		m.clock.after(duration, func() {
+			if incarnation != s.incarnation {
 				return
 			}
 			s.running--
 			s.working = slices.DeleteFunc(s.working, func(o *call) bool { return o == c })
 			calls := s.running + len(s.waiting)
 			s.work()
-			m.clock.after(nearby, func() {
+			m.clock.after(localDelay, func() {
 				c.entry.placer.ReportLoad(m.clock.now, &c.choice, calls)
-				c.entry.survived(c)
+				c.entry.recordSuccess(c)
 				c.entry.finish(c, placer.OutcomeSuccess)
 				m.answered(c)
 			})
@@ -83,15 +84,16 @@
 	}
 }
 
-// end ends one life of the server, and all that it has; it starts anew after a time.
-func (s *server) end(life int) {
-	if life != s.life {
+// crash ends the given incarnation of the server and all its calls, unless it has ended
+// already. The server restarts after Pattern.Restart.
+func (s *server) crash(incarnation int) {
+	if incarnation != s.incarnation {
 		return
 	}
 	m := s.model
-	s.life++
+	s.incarnation++
 	s.down = true
-	there := slices.Concat(s.working, s.waiting)
+	lost := slices.Concat(s.working, s.waiting)
 	s.working, s.waiting, s.running = nil, nil, 0
-	m.ended(s.name, there, func() { s.down = false })
+	m.serverCrashed(s.name, lost, func() { s.down = false })
 }
--- a/internal/standin/modeler/store.go
+++ b/internal/standin/modeler/store.go
@@ -2,82 +2,82 @@
 
 import "time"
 
-// store is a weight store that serves some loads at full speed at once, and all more
-// slowly beyond.
+// store simulates a weight store that serves up to atOnce concurrent loads at full speed.
+// More loads share that capacity.
 type store struct {
 	clock  *clock
 	atOnce int
 	active []*transfer
-	// at is the time up to which the transfers are worked out.
-	at time.Time
-	// plan counts the changes of active: an event of an earlier plan is void.
-	plan int
+	// updatedAt is the time for which remaining of the active transfers is valid.
+	updatedAt time.Time
+	// scheduled is the number of the current event; earlier events are ignored.
+	scheduled int
 }
 
-// transfer is one load under way.
+// transfer is one load in progress.
 type transfer struct {
-	// left is the time that the rest takes at full speed.
-	left time.Duration
-	done func()
+	// remaining is the time that the rest takes at full speed.
+	remaining time.Duration
+	done      func()
 }
 
-// begin starts a load that takes a time alone.
+// begin starts a load that takes the time alone at full speed. done is called at its end.
 func (s *store) begin(alone time.Duration, done func()) {
 	s.advance()
-	s.active = append(s.active, &transfer{left: alone, done: done})
+	s.active = append(s.active, &transfer{remaining: alone, done: done})
 	s.schedule()
 }
 
-// clear drops all loads.
+// clear cancels all loads without calling done.
 func (s *store) clear() {
 	s.active = nil
-	s.plan++
+	s.scheduled++
 }
 
-// slowness returns how many times slower than alone each load runs.
+// slowness returns the factor by which each load is slower than at full speed.
 func (s *store) slowness() float64 { return max(1, float64(len(s.active))/float64(s.atOnce)) }
 
 func (s *store) advance() {
-	passed := time.Duration(float64(s.clock.now.Sub(s.at)) / s.slowness())
+	passed := time.Duration(float64(s.clock.now.Sub(s.updatedAt)) / s.slowness())
 	for _, t := range s.active {
-		t.left -= passed
+		t.remaining -= passed
 	}
-	s.at = s.clock.now
+	s.updatedAt = s.clock.now
 }
 
-// schedule sets the event of the next end.
+// schedule schedules the event of the next end of a load, replacing the previous event.
 func (s *store) schedule() {
-	s.plan++
+	s.scheduled++
 	if len(s.active) == 0 {
 		return
 	}
-	shortest := s.active[0].left
+	shortest := s.active[0].remaining
 	for _, t := range s.active {
-		shortest = min(shortest, t.left)
+		shortest = min(shortest, t.remaining)
 	}
-	plan := s.plan
+	scheduled := s.scheduled
 	s.clock.after(time.Duration(float64(max(0, shortest))*s.slowness())+time.Microsecond, func() {
-		if plan == s.plan {
+		if scheduled == s.scheduled {
 			s.end()
 		}
 	})
 }
 
-// end ends the loads that are through.
+// end ends the completed loads.
 func (s *store) end() {
 	s.advance()
-	var through []*transfer
-	kept := s.active[:0]
+	var finished []*transfer
+	unfinished := s.active[:0]
 	for _, t := range s.active {
-		if t.left <= 0 {
-			through = append(through, t)
+		if t.remaining <= 0 {
+			finished = append(finished, t)
 			continue
 		}
-		kept = append(kept, t)
+		unfinished = append(unfinished, t)
 	}
-	s.active = kept
+	s.active = unfinished
 	s.schedule()
-	for _, t := range through {
+	for _, t := range finished {
 		t.done()
 	}
 }
--- a/internal/standin/modeler/table.go
+++ b/internal/standin/modeler/table.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Row is what came of a pattern over several seeds: means, and the standard error of
-// InTime.
+// Row contains the results of a pattern over several seeds: means, and the standard error
+// InTimeError of InTime.
 type Row struct {
 	Pattern                                    string
 	Without                                    string
@@ -69,7 +69,7 @@
 	return text
 }
 
-// WriteTable writes rows as a table.
+// WriteTable writes the rows as a text table.
 func WriteTable(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "pattern\twithout\tseeds\tin time\t+-\tlate\tlost\tworst windows\taway\tfirst loads\tcopies\twarm\tturned away\tended\trepeated\tinnocent")
