--- a/internal/standin/disker/disk.go
+++ b/internal/standin/disker/disk.go
@@ -15,56 +15,58 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/journaler"
 )
 
-// Errors that the disk is told to return.
+// Errors of injected faults.
 var (
-	// ErrCrashed is returned by all operations after a crash, until Restart.
+	// ErrCrashed is returned by operations after a crash until Restart, and by
+	// files that were opened before the last Restart.
 	ErrCrashed = errors.New("disk: the host has crashed")
-	// ErrSync is returned by a sync that was told to fail.
+	// ErrSync is returned by a sync that FailSyncIn made fail.
 	ErrSync = errors.New("disk: sync failed")
 )
 
-// node is a file, whatever its names.
+// node is a file, independent of its names.
 type node struct {
 	data []byte
-	// synced is what a crash can't take.
+	// synced is the content at the last sync.
 	synced []byte
-	// kept is the shortest length since the last sync: what is before it and
-	// in synced can't be lost.
-	kept int
+	// unchanged is the minimum length since the last sync. A crash can't lose
+	// synced data before it.
+	unchanged int
 }
 
-// change is a change of names that no sync of the folder has made last.
+// change is a change of names that isn't durable yet, because its folder was not
+// synced since.
 type change struct {
 	folder string
 	name   string
 	node   *node // nil for a removal
 }
 
-// Disk is a disk in memory. Its methods may be called from several goroutines.
+// Disk is a simulated disk in memory. It is safe for concurrent use.
 type Disk struct {
 	lock sync.Mutex
-	// random decides what a crash takes. Guarded by lock.
+	// random decides what a crash loses. Guarded by lock.
 	random *rand.Rand
-	// names are the present files, durable those that a crash leaves. Guarded
-	// by lock.
+	// names contains the current files by path, durable those that survive a
+	// crash. Guarded by lock.
 	names, durable map[string]*node
-	// changes lead from durable to names, in order. Guarded by lock.
+	// changes are the changes from durable to names, in order. Guarded by lock.
 	changes []change
 	folders map[string]bool
 	locked  map[string]bool
-	// life counts restarts; files opened in an earlier one are dead. Guarded
-	// by lock.
-	life int
-	// crashIn and syncsUntilFailure count down where they are positive.
-	// Guarded by lock.
+	// restarts is the number of restarts; files opened before the last one are
+	// unusable. Guarded by lock.
+	restarts int
+	// crashIn and syncsUntilFailure are the numbers of operations and syncs until
+	// the injected fault, or 0 for none. Guarded by lock.
 	crashIn, syncsUntilFailure int
 	crashed                    bool
-	// operations counts the operations that change what lasts. Guarded by
+	// operations is the number of mutating operations, syncs included. Guarded by
 	// lock.
 	operations int
 }
 
-// NewDisk returns an empty disk.
+// NewDisk returns an empty disk. It takes ownership of random.
 func NewDisk(random *rand.Rand) *Disk {
 	return &Disk{
 		random: random, names: make(map[string]*node), durable: make(map[string]*node),
@@ -72,36 +74,37 @@
 	}
 }
 
-// CrashIn makes the disk crash instead of carrying out the n-th change from
-// now; 0 takes that back.
+// CrashIn makes the disk crash instead of executing the n-th mutating operation
+// from now on; 0 disables that.
 func (d *Disk) CrashIn(n int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.crashIn = n
 }
 
-// FailSyncIn makes the n-th sync of a file from now fail.
+// FailSyncIn makes the n-th sync of a file from now on fail with ErrSync; 0
+// disables that.
 func (d *Disk) FailSyncIn(n int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.syncsUntilFailure = n
 }
 
-// Operations returns the number of changes so far.
+// Operations returns the number of mutating operations so far, syncs included.
 func (d *Disk) Operations() int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.operations
 }
 
-// Crash loses what was not synced. All operations fail until Restart.
+// Crash loses unsynced data. File operations fail with ErrCrashed until Restart.
 func (d *Disk) Crash() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.crash()
 }
 
-// crash needs lock.
+// crash is Crash. The caller holds lock.
 func (d *Disk) crash() {
 	if d.crashed {
 		return
@@ -113,11 +116,11 @@
 	}
 	d.changes = nil
 	d.names = make(map[string]*node, len(d.durable))
-	// A fixed order keeps the draws of a seed the same.
+	// Sorted, so that a seed always gives the same random decisions.
 	for _, path := range slices.Sorted(maps.Keys(d.durable)) {
 		n := d.durable[path]
-		survivor := d.survivor(n)
-		d.names[path] = &node{data: survivor, synced: slices.Clone(survivor), kept: len(survivor)}
+		survivingContent := d.survivingContent(n)
+		d.names[path] = &node{data: survivingContent, synced: slices.Clone(survivingContent), unchanged: len(survivingContent)}
 	}
 	d.durable = make(map[string]*node, len(d.names))
 	for path, n := range d.names {
@@ -125,24 +128,24 @@
 	}
 }
 
-// survivor returns what a crash leaves of a file.
-// The caller holds lock.
-func (d *Disk) survivor(n *node) []byte {
-	firm := min(n.kept, len(n.synced))
-	if firm < len(n.synced) && d.random.IntN(2) == 0 {
-		// The truncation since the last sync never reached the medium.
+// survivingContent returns the content of a file after a crash. The caller holds
+// lock.
+func (d *Disk) survivingContent(n *node) []byte {
+	syncedLength := min(n.unchanged, len(n.synced))
+	if syncedLength < len(n.synced) && d.random.IntN(2) == 0 {
+		// The truncation since the last sync didn't reach the disk.
 		return slices.Clone(n.synced)
 	}
-	out := slices.Clone(n.data[:firm])
-	loose := n.data[firm:]
-	if len(loose) == 0 {
+	out := slices.Clone(n.data[:syncedLength])
+	unsynced := n.data[syncedLength:]
+	if len(unsynced) == 0 {
 		return out
 	}
-	loose = slices.Clone(loose[:d.random.IntN(len(loose)+1)])
-	if len(loose) > 0 && d.random.IntN(3) == 0 {
-		loose[d.random.IntN(len(loose))] ^= 0xff
+	unsynced = slices.Clone(unsynced[:d.random.IntN(len(unsynced)+1)])
+	if len(unsynced) > 0 && d.random.IntN(3) == 0 {
+		unsynced[d.random.IntN(len(unsynced))] ^= 0xff
 	}
-	return append(out, loose...)
+	return append(out, unsynced...)
 }
 
 func apply(names map[string]*node, c change) {
@@ -154,30 +157,32 @@
 	names[path] = c.node
 }
 
-// Restart lets the disk be used again, after Crash or to end all old users.
+// Restart makes the disk usable again after a crash. It invalidates all open files
+// and releases all locks, and disables pending faults.
 func (d *Disk) Restart() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.crashed = false
 	d.crashIn, d.syncsUntilFailure = 0, 0
-	d.life++
+	d.restarts++
 	d.locked = make(map[string]bool)
 }
 
-// Wipe loses all files.
+// Wipe removes all files.
 func (d *Disk) Wipe() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.names, d.durable, d.changes = make(map[string]*node), make(map[string]*node), nil
 }
 
-// Copy returns a disk with the present files as if all were synced.
+// Copy returns a disk with the current files and names, all of them synced. The
+// copy shares the random source.
 func (d *Disk) Copy() *Disk {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	out := NewDisk(d.random)
 	for path, n := range d.names {
-		c := &node{data: slices.Clone(n.data), synced: slices.Clone(n.data), kept: len(n.data)}
+		c := &node{data: slices.Clone(n.data), synced: slices.Clone(n.data), unchanged: len(n.data)}
 		out.names[path], out.durable[path] = c, c
 	}
 	for f := range d.folders {
@@ -186,7 +191,7 @@
 	return out
 }
 
-// Damage flips the bits of one byte of a file.
+// Damage inverts one byte of an existing file, durably.
 func (d *Disk) Damage(name string, offset int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -195,8 +200,9 @@
 	n.synced = slices.Clone(n.data)
 }
 
-// step counts a change, or crashes. It needs lock.
-func (d *Disk) step() error {
+// countOperation counts a mutating operation. It returns ErrCrashed if the disk
+// has crashed or crashes at this operation. The caller holds lock.
+func (d *Disk) countOperation() error {
 	if d.crashIn > 0 {
 		if d.crashIn--; d.crashIn == 0 {
 			d.crash()
@@ -209,8 +215,8 @@
 	return nil
 }
 
-// rename records a change of names. It needs lock.
-func (d *Disk) put(path string, n *node) {
+// recordChange records and applies a change of names. The caller holds lock.
+func (d *Disk) recordChange(path string, n *node) {
 	c := change{folder: filepath.Dir(path), name: filepath.Base(path), node: n}
 	d.changes = append(d.changes, c)
 	apply(d.names, c)
@@ -220,12 +226,12 @@
 func (d *Disk) Create(name string) (journaler.File, error) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return nil, err
 	}
 	n := &node{}
-	d.put(name, n)
-	return &file{disk: d, node: n, life: d.life}, nil
+	d.recordChange(name, n)
+	return &file{disk: d, node: n, restarts: d.restarts}, nil
 }
 
 // Open implements journaler.FileSystem.
@@ -239,22 +245,22 @@
 	if !ok {
 		return nil, &os.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
 	}
-	return &file{disk: d, node: n, life: d.life}, nil
+	return &file{disk: d, node: n, restarts: d.restarts}, nil
 }
 
 // Rename implements journaler.FileSystem.
 func (d *Disk) Rename(from, to string) error {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	n, ok := d.names[from]
 	if !ok {
 		return os.ErrNotExist
 	}
-	d.put(to, n)
-	d.put(from, nil)
+	d.recordChange(to, n)
+	d.recordChange(from, nil)
 	return nil
 }
 
@@ -262,13 +268,13 @@
 func (d *Disk) Remove(name string) error {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	if _, ok := d.names[name]; !ok {
 		return os.ErrNotExist
 	}
-	d.put(name, nil)
+	d.recordChange(name, nil)
 	return nil
 }
 
@@ -289,7 +295,7 @@
 	return out, nil
 }
 
-// MakeFolder implements journaler.FileSystem. Folders always last.
+// MakeFolder implements journaler.FileSystem. Folders are durable at once.
 func (d *Disk) MakeFolder(folder string) error {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -301,7 +307,7 @@
 func (d *Disk) SyncFolder(folder string) error {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	rest := d.changes[:0]
--- a/internal/standin/disker/doc.go
+++ b/internal/standin/disker/doc.go
@@ -1,8 +1,8 @@
-// Package disker is a stand-in for a disk: a journaler.FileSystem in memory
-// that forgets in a crash what was not synced, and that can be told to crash
-// after some number of operations or to fail a sync.
+// Package disker simulates a disk: an in-memory journaler.FileSystem that loses
+// unsynced data in a crash. It can be set to crash at the n-th operation or to fail
+// a sync.
 //
-// A crash keeps of each file what was synced and a random part of what was
-// written since, possibly with its end garbled, and of each folder the synced
-// names and a random number of the changes since, in their order.
+// After a crash, a file contains the synced data and a random prefix of the data
+// written since, possibly with one corrupted byte. A folder contains the synced
+// names with a random prefix of the changes of names made since.
 package disker
--- a/internal/standin/disker/file.go
+++ b/internal/standin/disker/file.go
@@ -6,21 +6,22 @@
 	"slices"
 )
 
-// file is an open file.
+// file is an open file. It implements journaler.File.
 type file struct {
-	disk *Disk
-	node *node
-	life int
+	disk     *Disk
+	node     *node
+	restarts int
 	// closed is guarded by the disk's lock.
 	closed bool
 }
 
-// usable needs the disk's lock.
-func (f *file) usable() error {
+// checkUsable returns an error if the file was closed, the disk has crashed, or it
+// has restarted since the file was opened. The caller holds the disk's lock.
+func (f *file) checkUsable() error {
 	if f.closed {
 		return os.ErrClosed
 	}
-	if f.life != f.disk.life || f.disk.crashed {
+	if f.restarts != f.disk.restarts || f.disk.crashed {
 		return ErrCrashed
 	}
 	return nil
@@ -30,11 +31,11 @@
 func (f *file) Write(b []byte) (int, error) {
 	f.disk.lock.Lock()
 	defer f.disk.lock.Unlock()
-	if err := f.usable(); err != nil {
+	if err := f.checkUsable(); err != nil {
 		return 0, err
 	}
-	if err := f.disk.step(); err != nil {
-		// The crash may have come after a part of the write.
+	if err := f.disk.countOperation(); err != nil {
+		// The write is lost completely; a crash in mid-write isn't simulated.
 		return 0, err
 	}
 	f.node.data = append(f.node.data, b...)
@@ -45,7 +46,7 @@
 func (f *file) ReadAt(b []byte, offset int64) (int, error) {
 	f.disk.lock.Lock()
 	defer f.disk.lock.Unlock()
-	if err := f.usable(); err != nil {
+	if err := f.checkUsable(); err != nil {
 		return 0, err
 	}
 	if offset >= int64(len(f.node.data)) {
@@ -62,21 +63,21 @@
 func (f *file) Size() (int64, error) {
 	f.disk.lock.Lock()
 	defer f.disk.lock.Unlock()
-	return int64(len(f.node.data)), f.usable()
+	return int64(len(f.node.data)), f.checkUsable()
 }
 
 // Truncate implements journaler.File.
 func (f *file) Truncate(size int64) error {
 	f.disk.lock.Lock()
 	defer f.disk.lock.Unlock()
-	if err := f.usable(); err != nil {
+	if err := f.checkUsable(); err != nil {
 		return err
 	}
-	if err := f.disk.step(); err != nil {
+	if err := f.disk.countOperation(); err != nil {
 		return err
 	}
 	f.node.data = slices.Clone(f.node.data[:size])
-	f.node.kept = min(f.node.kept, int(size))
+	f.node.unchanged = min(f.node.unchanged, int(size))
 	return nil
 }
 
@@ -84,10 +85,10 @@
 func (f *file) Sync() error {
 	f.disk.lock.Lock()
 	defer f.disk.lock.Unlock()
-	if err := f.usable(); err != nil {
+	if err := f.checkUsable(); err != nil {
 		return err
 	}
-	if err := f.disk.step(); err != nil {
+	if err := f.disk.countOperation(); err != nil {
 		return err
 	}
 	if f.disk.syncsUntilFailure > 0 {
@@ -96,7 +97,7 @@
 		}
 	}
 	f.node.synced = slices.Clone(f.node.data)
-	f.node.kept = len(f.node.data)
+	f.node.unchanged = len(f.node.data)
 	return nil
 }
 
