--- a/internal/standin/weigher/link.go
+++ b/internal/standin/weigher/link.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// transfer is one transfer on a link.
+// transfer is one transfer over a link.
 type transfer struct {
 	// remaining is the time that the rest takes at full speed.
 	remaining time.Duration
@@ -13,25 +13,25 @@
 	done chan struct{}
 }
 
-// link is the store's line, which its transfers share. It is not safe for
-// concurrent use.
+// link is the store's network link, whose capacity its transfers share. It is not safe
+// for concurrent use.
 type link struct {
 	penalty float64
-	// active holds the unfinished transfers.
+	// active contains the unfinished transfers.
 	active []*transfer
-	// at is the time up to which remaining is worked out.
-	at time.Time
+	// updatedAt is the time for which remaining of the active transfers is valid.
+	updatedAt time.Time
 }
 
-// slowness returns how many times slower than alone each transfer now runs.
+// slowness returns the factor by which each transfer currently is slower than alone.
 func (l *link) slowness() float64 {
 	k := float64(len(l.active))
 	return k * (1 + (k-1)*l.penalty)
 }
 
-// advance works out the transfers up to now and ends those that are through.
+// advance updates the transfers to the time now and ends the completed ones.
 func (l *link) advance(now time.Time) {
-	for len(l.active) > 0 && l.at.Before(now) {
+	for len(l.active) > 0 && l.updatedAt.Before(now) {
 		slowness := l.slowness()
 		shortest := l.active[0].remaining
 		for _, t := range l.active {
@@ -39,21 +39,21 @@
 		}
 		span := time.Duration(float64(shortest) * slowness)
 		progress := shortest
-		if left := now.Sub(l.at); left < span {
+		if left := now.Sub(l.updatedAt); left < span {
 			span = left
 			progress = time.Duration(float64(left) / slowness)
 		}
 		for _, t := range l.active {
 			t.remaining -= progress
 		}
-		l.at = l.at.Add(span)
+		l.updatedAt = l.updatedAt.Add(span)
 		l.finish()
 	}
-	l.at = now
+	l.updatedAt = now
 }
 
-// finish ends the transfers with nothing remaining. Rounding may leave up to a
-// microsecond.
+// finish ends the completed transfers. Up to 1 µs remaining is taken for a rounding
+// error.
 func (l *link) finish() {
 	l.active = slices.DeleteFunc(l.active, func(t *transfer) bool {
 		if t.remaining > time.Microsecond {
@@ -64,12 +64,13 @@
 	})
 }
 
-// remove takes out an unfinished transfer.
+// remove removes an unfinished transfer.
 func (l *link) remove(t *transfer) {
 	l.active = slices.DeleteFunc(l.active, func(a *transfer) bool { return a == t })
 }
 
-// next returns the time until the next transfer ends if none joins or leaves.
+// next returns the time until the next transfer ends if none is added or removed, or
+// false if there is none.
 func (l *link) next() (time.Duration, bool) {
 	if len(l.active) == 0 {
 		return 0, false
--- a/internal/standin/weigher/store.go
+++ b/internal/standin/weigher/store.go
@@ -12,31 +12,31 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/hoster"
 )
 
-// HeaderBytes declares the number of bytes of the weights that an answer stands for.
+// HeaderBytes is the header with the number of bytes of the weights.
 const HeaderBytes = "X-Weight-Bytes"
 
 // Paths of the store.
 const (
-	// PathWeights precedes the path of the weights.
+	// PathWeights is the prefix of the path of weights.
 	PathWeights = "/weights/"
-	// PathReport answers with the Report.
+	// PathReport is the path of the Report.
 	PathReport = "/_report"
 )
 
 // Settings are the settings of a Store. The zero value of each field means its
 // default.
 type Settings struct {
-	// FullSpeedTime is the time that one transfer takes alone; 250 ms by default.
+	// FullSpeedTime is the duration of a single transfer; 250 ms by default.
 	FullSpeedTime time.Duration
 	// Bytes is the declared size of an adapter's weights; 64 MiB by default.
 	Bytes int64
-	// Rate is the number of starts allowed in any second; 4 by default.
+	// Rate is the maximum number of started transfers in any second; 4 by default.
 	Rate int
-	// RefuseOverRate answers a start over the rate with status 429 instead of
-	// delaying it.
+	// RefuseOverRate makes the store answer requests over the rate with status 429
+	// instead of delaying them.
 	RefuseOverRate bool
-	// SharingPenalty is the part of the speed that each further transfer costs all;
-	// 0.25 by default. Of k transfers each runs 1/(k(1+(k-1)SharingPenalty)) as fast.
+	// SharingPenalty is the loss of speed per further concurrent transfer; 0.25 by
+	// default. Each of k transfers runs at 1/(k(1+(k-1)SharingPenalty)) of full speed.
 	SharingPenalty float64
 	// TimeScale multiplies FullSpeedTime and the second of Rate; 1 by default.
 	TimeScale float64
@@ -61,27 +61,28 @@
 	return s
 }
 
-// Report tells how the store was used.
+// Report contains statistics of the store's use.
 type Report struct {
-	// Starts counts the transfers begun.
+	// Starts is the number of started transfers.
 	Starts int
-	// Shared counts those begun while another was running.
+	// Shared is the number of transfers started while another was running.
 	Shared int
-	// MaxConcurrent is the highest number of transfers running at once.
+	// MaxConcurrent is the highest number of concurrent transfers.
 	MaxConcurrent int
 	// MaxStartsPerSecond is the highest number of requests in any second (scaled),
 	// refused and delayed ones included.
 	MaxStartsPerSecond int
-	// Delayed and Refused count the requests over the rate.
+	// Delayed and Refused are the numbers of requests over the rate.
 	Delayed int
 	Refused int
-	// Abandoned counts the transfers whose client left.
+	// Abandoned is the number of transfers whose client disconnected, or that Close
+	// aborted.
 	Abandoned int
-	// Transfer is the time (scaled) that transfers took, summed.
+	// Transfer is the sum of the durations (scaled) of transfers.
 	Transfer time.Duration
 }
 
-// Store is a weight store. Close it after use.
+// Store is a weight store. It is safe for concurrent use. Close it after use.
 type Store struct {
 	*hoster.Host
 	settings Settings
@@ -120,7 +121,7 @@
 	return mux
 }
 
-// Report returns how the store was used so far.
+// Report returns the statistics so far.
 func (w *Store) Report() Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,7 +150,8 @@
 	rw.WriteHeader(http.StatusOK)
 }
 
-// admit books a start and returns how long it has to wait, or false to refuse.
+// admit reserves the start of a transfer and returns the time to wait for it, or false to
+// refuse the request.
 func (w *Store) admit(now time.Time) (time.Duration, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -167,6 +169,7 @@
 	return start.Sub(now), true
 }
 
+// pause waits for the duration. It returns false if ctx or Close ends the wait.
 func (w *Store) pause(ctx context.Context, length time.Duration) bool {
 	if length <= 0 {
 		return true
@@ -182,7 +185,8 @@
 	return false
 }
 
-// transfer takes the time of one transfer and returns whether it was completed.
+// transfer simulates one transfer and reports whether it completed, rather than being
+// aborted by ctx or Close.
 func (w *Store) transfer(ctx context.Context) bool {
 	begin := time.Now()
 	t := &transfer{remaining: time.Duration(float64(w.settings.FullSpeedTime) * w.settings.TimeScale), done: make(chan struct{})}
@@ -216,17 +220,18 @@
 	return completed
 }
 
-// schedule sets the timer to the end of the next transfer. It needs mu.
+// schedule sets the timer to the end of the next transfer. The caller holds mu.
 func (w *Store) schedule() {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
 	if wait, ok := w.link.next(); ok {
-		w.timer = time.AfterFunc(wait, w.tick)
+		w.timer = time.AfterFunc(wait, w.advanceLink)
 	}
 }
 
-func (w *Store) tick() {
+// advanceLink ends the completed transfers when the timer fires.
+func (w *Store) advanceLink() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.link.advance(time.Now())
--- a/internal/standin/weigher/store_test.go
+++ b/internal/standin/weigher/store_test.go
@@ -14,8 +14,8 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/weigher"
 )
 
-// fetch starts a transfer after each of the delays and returns how long the last
-// one to end took from the start of all, and the statuses.
+// fetch requests one transfer after each of the delays. It returns the time until the last
+// one has ended, and the statuses.
 func fetch(w *weigher.Store, delays ...time.Duration) (time.Duration, []int) {
 	began := time.Now()
 	statuses := make([]int, len(delays))
@@ -40,10 +40,11 @@
 		alone, statuses := fetch(w, 0)
 		g.Expect(alone).To(BeNumerically("~", time.Second, time.Microsecond))
 		g.Expect(statuses).To(Equal([]int{http.StatusOK}))
-		// Two share: each runs at 1/(2 × 1.25) of the speed.
+		// Two share the link: each runs at 1/(2 × 1.25) of full speed.
 		two, _ := fetch(w, 0, 0)
 		g.Expect(two).To(BeNumerically("~", 2500*time.Millisecond, time.Microsecond))
-		// One runs alone for half of its time, then 1.25 s of both, then one alone.
+		// The first runs alone for half of its time, then both for 1.25 s, then the
+		// second alone.
 		staggered, _ := fetch(w, 0, 500*time.Millisecond)
 		g.Expect(staggered).To(BeNumerically("~", 2250*time.Millisecond, 10*time.Microsecond))
 		g.Expect(w.Report().MaxConcurrent).To(Equal(2))
--- a/internal/standin/weigher/window.go
+++ b/internal/standin/weigher/window.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// window holds the moments, in rising order, that lie less than length back or
-// in the future. It is not safe for concurrent use.
+// window contains, in ascending order, the times that are in the future or less than
+// length ago. It is not safe for concurrent use.
 type window struct {
-	length  time.Duration
-	moments []time.Time
+	length time.Duration
+	times  []time.Time
 }
 
-// add notes a moment, which is not before the last one added.
-func (w *window) add(t time.Time) { w.moments = append(w.moments, t) }
+// add adds a time, which must not be before the last one added.
+func (w *window) add(t time.Time) { w.times = append(w.times, t) }
 
-// count returns the number of moments in the window that ends now.
+// count returns the number of times in the window that ends now.
 func (w *window) count(now time.Time) int {
 	w.trim(now)
-	return len(w.moments)
+	return len(w.times)
 }
 
-// next returns the first moment from now on at which one more start keeps every
-// window within limit.
+// next returns the earliest time, not before now, at which one more start keeps the
+// number of starts in every window within limit.
 func (w *window) next(now time.Time, limit int) time.Time {
 	w.trim(now)
-	if len(w.moments) < limit {
+	if len(w.times) < limit {
 		return now
 	}
-	free := w.moments[len(w.moments)-limit].Add(w.length)
+	free := w.times[len(w.times)-limit].Add(w.length)
 	if free.Before(now) {
 		return now
 	}
@@ -36,5 +36,5 @@
 }
 
 func (w *window) trim(now time.Time) {
-	w.moments = slices.DeleteFunc(w.moments, func(t time.Time) bool { return now.Sub(t) >= w.length })
+	w.times = slices.DeleteFunc(w.times, func(t time.Time) bool { return now.Sub(t) >= w.length })
 }
