--- a/internal/standin/responder/doc.go
+++ b/internal/standin/responder/doc.go
@@ -1,8 +1,8 @@
-// Package responder is a small stand-in for a plain service: one that the system
-// routes to beside the model engines and of which some calls may not be repeated.
+// Package responder is a minimal stand-in for a plain service: a service other than a
+// model engine to which the system routes, and some of whose calls must not be repeated.
 //
-// It answers any path with an Answer that echoes the request id, and keeps a
-// record of every call it ran, so that a test can tell whether a call that was
-// refused as not run really did not run, and whether one ran twice. GET /_record
-// gives the Record; POST /_faults replaces the Faults.
+// It answers calls to any path with an Answer that echoes the request ID, and records
+// every call that it runs. Tests can check by the record that a call refused as not run
+// did not run, and that no call ran twice. GET /_record returns the Record; POST /_faults
+// replaces the Faults.
 package responder
--- a/internal/standin/responder/record.go
+++ b/internal/standin/responder/record.go
@@ -9,23 +9,23 @@
 
 //go:generate stringer -type=Outcome
 
-// Outcome is how a run ended.
+// Outcome is the way in which a run ended.
 type Outcome int
 
 // The outcomes of a run.
 const (
 	// Running means that the run has not ended yet.
 	Running Outcome = iota
-	// Answered means that the answer was handed to the connection.
+	// Answered means that the run completed and its answer was about to be written.
 	Answered
-	// Cut means that the work was done or broken off and no answer was given.
+	// Cut means that the run completed or was aborted without an answer.
 	Cut
 )
 
-// MarshalText writes the outcome by its name.
+// MarshalText returns the outcome's name.
 func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// UnmarshalText reads an outcome by its name.
+// UnmarshalText parses the name of an outcome.
 func (o *Outcome) UnmarshalText(text []byte) error {
 	for _, known := range []Outcome{Running, Answered, Cut} {
 		if known.String() == string(text) {
@@ -38,7 +38,7 @@
 
 // Run is one call that the service ran.
 type Run struct {
-	// Sequence rises by one from 1.
+	// Sequence is the number of the run, starting at 1.
 	Sequence int64
 	Request  string
 	// Key is the call's Idempotency-Key, or empty.
@@ -50,18 +50,18 @@
 	Outcome  Outcome
 }
 
-// Record is what a service ran.
+// Record lists the runs of a service.
 type Record struct {
 	Runs []Run
-	// Posts counts the runs of POST calls.
+	// Posts is the number of runs of POST calls.
 	Posts int
 	// MaxRunsPerKey is the highest number of runs of one idempotency key.
 	MaxRunsPerKey int
-	// MaxRunsPerRequest is the highest number of runs of one request id.
+	// MaxRunsPerRequest is the highest number of runs of one request ID.
 	MaxRunsPerRequest int
 }
 
-// Record returns a copy of what the service ran so far.
+// Record returns a copy of the record so far.
 func (s *Service) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,7 @@
 	return record
 }
 
-// begin notes the start of a run and returns its Sequence.
+// begin records the start of a run and returns its Sequence.
 func (s *Service) begin(r *http.Request) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/responder/service.go
+++ b/internal/standin/responder/service.go
@@ -10,7 +10,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/standin/hoster"
 )
 
-// Paths of the service that are not taken for calls.
+// Paths of the service that don't count as calls.
 const (
 	PathRecord = "/_record"
 	PathFaults = "/_faults"
@@ -24,26 +24,28 @@
 
 const maxBodyBytes = 64 << 20
 
-// Settings are the settings of a Service. The zero value means a service without
-// a name that answers at once.
+// Settings are the settings of a Service. The zero value describes a service without a
+// name that answers immediately.
 type Settings struct {
 	Name string
-	// Delay is the time that each call runs.
+	// Delay is the duration of each call.
 	Delay time.Duration
-	// Faults are in force from the start.
+	// Faults are the initially active faults.
 	Faults Faults
 }
 
-// Faults are switched on by the settings, by Inject or by POST /_faults.
+// Faults are the faults to inject into a service. They are set by Settings.Faults, Inject or
+// POST /_faults.
 type Faults struct {
-	// Delay lengthens each call.
+	// Delay is added to the duration of each call.
 	Delay time.Duration
-	// DieBefore is the number of next calls whose connection is cut before they run.
+	// DieBefore is the number of following calls whose connection is cut before they run.
 	DieBefore int
-	// DieAfter is the number of next calls that run, and whose connection is cut
+	// DieAfter is the number of following calls that run, but whose connection is cut
 	// instead of an answer.
 	DieAfter int
-	// Refuse is the number of next calls that are answered 503 and don't run.
+	// Refuse is the number of following calls that are answered with status 503 without
+	// being run.
 	Refuse int
 }
 
@@ -59,7 +61,7 @@
 	Bytes int64
 }
 
-// Service is a plain service. Close it after use.
+// Service is a plain service. It is safe for concurrent use. Close it after use.
 type Service struct {
 	*hoster.Host
 	settings Settings
@@ -76,7 +78,7 @@
 	return w
 }
 
-// Inject replaces the faults in force.
+// Inject replaces the active faults.
 func (s *Service) Inject(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,9 +111,9 @@
 	defer s.EndRequest()
 	size, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		return // The caller left in mid-request: nothing ran.
+		return // The client disconnected before the end of the request: nothing ran.
 	}
-	f := s.take()
+	f := s.takeFaults()
 	switch {
 	case f.Refuse > 0:
 		w.Header().Set("Retry-After", "1")
@@ -121,7 +123,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	run := s.begin(r)
-	if !s.work(s.settings.Delay + f.Delay) {
+	if !s.wait(s.settings.Delay + f.Delay) {
 		s.end(run, Cut)
 		panic(http.ErrAbortHandler)
 	}
@@ -141,8 +143,9 @@
 	})
 }
 
-// take returns the faults for one call and counts them down.
-func (s *Service) take() Faults {
+// takeFaults returns the faults for one call and decrements the counter of the fault that
+// applies.
+func (s *Service) takeFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.faults
@@ -157,9 +160,10 @@
 	return f
 }
 
-// work takes the time of a call. A caller that leaves doesn't stop it, as with a
-// service that looks at its connection only to answer.
-func (s *Service) work(length time.Duration) bool {
+// wait waits for the duration of a call and returns false if the service was closed. Like a
+// service that uses its connection only for the answer, it continues if the client
+// disconnects.
+func (s *Service) wait(length time.Duration) bool {
 	if length <= 0 {
 		return true
 	}
--- a/internal/standin/responder/service_test.go
+++ b/internal/standin/responder/service_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// book posts a booking and returns the answer, or nil if the connection was cut.
+// book posts a booking and returns the answer, or nil if the service cut the connection.
 func book(s *Service, request, key string) (w *httptest.ResponseRecorder) {
 	defer func() {
 		if recover() != nil {
@@ -40,7 +40,7 @@
 		Expect(record.Posts).To(Equal(2))
 	})
 
-	It("refuses and dies before running without a run, and dies after with one", func() {
+	It("doesn't run a call that it refuses or cuts before the run, and runs one that it cuts after it", func() {
 		s := NewService(Settings{Faults: Faults{Refuse: 1, DieBefore: 1, DieAfter: 1}})
 		defer func() { _ = s.Close() }()
 		Expect(book(s, "r1", "a").Code).To(Equal(http.StatusServiceUnavailable))
