--- a/internal/standin/hoster/host.go
+++ b/internal/standin/hoster/host.go
@@ -1,4 +1,4 @@
-// Package hoster serves a stand-in over HTTP on an address, and ends it whole.
+// Package hoster serves a stand-in over HTTP and shuts it down completely.
 package hoster
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 )
 
-// Host serves one stand-in. It may be used by several goroutines. Close it after
+// Host is the HTTP server of one stand-in. It is safe for concurrent use. Close it after
 // use.
 type Host struct {
 	name    string
@@ -19,20 +19,19 @@
 	closed  chan struct{}
 
 	mu sync.Mutex
-	// stopped is set when closed is closed; guarded by mu, so that no request
-	// enters while Close waits.
+	// stopped is set when closed is closed; guarded by mu, so that no request begins
+	// while Close waits.
 	stopped bool
 }
 
-// NewHost returns a host that is not yet listening. Name tells stand-ins apart in
-// errors.
+// NewHost returns a host that is not yet listening. Errors are annotated with name.
 func NewHost(name string) *Host { return &Host{name: name, closed: make(chan struct{})} }
 
-// Handle sets what is served. It must come before Listen and Serve.
+// Handle sets the handler. It must be called before Listen and Serve.
 func (h *Host) Handle(handler http.Handler) { h.server.Handler = handler }
 
-// Listen starts to serve on the address, which may end in port 0, and returns the
-// address it got.
+// Listen starts serving on the TCP address, whose port may be 0, and returns the bound
+// address.
 func (h *Host) Listen(address string) (string, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -42,13 +41,13 @@
 	return l.Addr().String(), nil
 }
 
-// Serve starts to serve on the listener, which it closes in the end.
+// Serve starts serving on the listener and returns at once. Close closes the listener.
 func (h *Host) Serve(l net.Listener) {
 	h.serving.Go(func() { _ = h.server.Serve(l) })
 }
 
-// Enter counts a request that Close waits for, until Leave. It returns false once
-// the host has closed.
+// BeginRequest registers a request that Close has to wait for until EndRequest. It
+// returns false, without registering the request, if the host has closed.
 func (h *Host) BeginRequest() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,13 +58,13 @@
 	return true
 }
 
-// Leave ends what Enter began.
+// EndRequest marks a request registered by BeginRequest as ended.
 func (h *Host) EndRequest() { h.serving.Done() }
 
-// Closed is closed by Close, before it waits.
+// Closed returns a channel that Close closes before it waits for requests.
 func (h *Host) Closed() <-chan struct{} { return h.closed }
 
-// Close cuts all requests and waits until the host has stopped.
+// Close aborts all requests and waits until they have ended and the host has stopped.
 func (h *Host) Close() error {
 	h.mu.Lock()
 	if !h.stopped {
