--- a/internal/standin/modeler/table.go
+++ b/internal/standin/modeler/table.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Row is what came of a pattern over several seeds: means, and the standard error of
-// InTime.
+// Row contains the results of a pattern over several seeds: means, and the standard error
+// InTimeError of InTime.
 type Row struct {
 	Pattern                                    string
 	Without                                    string
@@ -20,14 +20,15 @@
 	Ended, Repeated, Innocent                  float64
 }
 
-// PlaySeeds plays a pattern with the seeds from 1 on, several at once.
-func PlaySeeds(p Pattern, without []Mechanism, seeds, atOnce int) (Row, error) {
+// SimulateSeeds simulates a pattern with the seeds 1 to seeds, of which at most atOnce
+// run concurrently, and returns the means.
+func SimulateSeeds(p Pattern, without []Mechanism, seeds, atOnce int) (Row, error) {
 	results := make([]*Result, seeds)
 	var g errgroup.Group
 	g.SetLimit(max(1, atOnce))
 	for i := range seeds {
 		g.Go(func() error {
-			r, err := Play(Settings{Pattern: p, Without: without, Seed: uint64(i + 1)})
+			r, err := Simulate(Settings{Pattern: p, Without: without, Seed: uint64(i + 1)})
 			results[i] = r
 			return err
 		})
@@ -68,7 +69,7 @@
 	return text
 }
 
-// WriteTable writes rows as a table.
+// WriteTable writes the rows as a text table.
 func WriteTable(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "pattern\twithout\tseeds\tin time\t+-\tlate\tlost\tworst windows\taway\tfirst loads\tcopies\twarm\tturned away\tended\trepeated\tinnocent")
