--- a/internal/coordination/replicator/follower.go
+++ b/internal/coordination/replicator/follower.go
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// observeTerm adopts a higher term. A granted pre-vote is excluded: it carries the term of the
-// campaign that is only being considered.
+// observeTerm adopts a higher term. A granted pre-vote is excluded: it carries the term that the
+// candidate would start, which no host has entered yet.
 func (c *Core) observeTerm(m Message) {
 	if m.Term > c.hard.Term && (m.Kind != PreVoteReply || m.Rejected) {
 		c.becomeFollower(m.Term, 0)
@@ -42,8 +42,9 @@
 // stepFromLeader handles messages that only a leader sends.
 func (c *Core) stepFromLeader(m Message) error {
 	if m.Term < c.hard.Term {
-		// The reply tells the leader of an older term about the newer one. Without it a host that
-		// alone has incremented its term could never be reached again.
+		// The reply carries this host's newer term, so that the leader of the older term steps down
+		// and an election follows. Without it, a host that alone has incremented its term would
+		// ignore the leader's messages forever.
 		c.send(Message{Kind: AppendReply, To: m.From, ToIncarnation: m.FromIncarnation, Rejected: true, LogIndex: m.LogIndex, Hint: c.log.last() + 1})
 		return nil
 	}
@@ -77,7 +78,7 @@
 		}
 	}
 	if m.LogIndex < c.commit {
-		// Committed entries agree by definition; only those after them are compared.
+		// Committed entries are the same on all hosts; only the entries after them are compared.
 		known := c.commit - m.LogIndex
 		if known >= uint64(len(m.Entries)) {
 			c.acceptAppend(m, c.commit)
@@ -120,8 +121,9 @@
 	c.send(Message{Kind: AppendReply, To: m.From, ToIncarnation: m.FromIncarnation, LogIndex: agreed, Round: m.Round})
 }
 
-// conflictHint returns the first index of the term at index, or the index after the end of the log.
-// The leader thereby skips a whole term in one round trip.
+// conflictHint returns the index from which the leader should send again if the entry at index does
+// not match: the first uncommitted index of that entry's term, or the index after the end of the
+// log. The leader thereby skips a whole term in one round trip.
 func (c *Core) conflictHint(index uint64) uint64 {
 	if index > c.log.last() {
 		return c.log.last() + 1
@@ -149,7 +151,7 @@
 }
 
 // Install adopts a snapshot that has been stored completely. It returns whether the owner must drop
-// the entries on the disk, so that the next one follows the snapshot.
+// all entries on the disk, so that the next entry written there is the one after the snapshot.
 func (c *Core) Install(m Message, snapshot snapshotter.Metadata, configuration Configuration) (dropEntries bool) {
 	if snapshot.Index <= c.commit {
 		return false
--- a/internal/coordination/replicator/leader.go
+++ b/internal/coordination/replicator/leader.go
@@ -17,8 +17,8 @@
 	roundStarts       []time.Duration
 	// electedAt is the time of the election.
 	electedAt time.Duration
-	// quorumLost is set if no majority has answered for the length of a lease: another leader may
-	// exist. The host then accepts no proposals or reads, and may vote.
+	// quorumLost is set while no majority has answered for the length of a lease, so that another
+	// leader may exist. The host then accepts no proposals or reads, and may grant votes.
 	quorumLost bool
 	// heartbeatAt is the time of the next round.
 	heartbeatAt time.Duration
@@ -37,8 +37,8 @@
 func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leader = c.settings.Self
-	// A vote that arrives after this leader has stepped down must not reinstate it: its lease has
-	// ended, and others may have been told so.
+	// Without its votes this host can't become leader a second time in this term when a late vote
+	// arrives after it has stepped down: the end of its lease may have been reported to others.
 	c.votes, c.votesTerm = nil, 0
 	c.leadership = leadership{peers: make(map[HostID]*progress), electedAt: c.clock, firstRound: 1}
 	for _, e := range c.log.between(c.commit, c.log.last()) {
@@ -118,7 +118,8 @@
 	}
 }
 
-// sendAppend sends one append, or a snapshot piece if the log no longer reaches back far enough.
+// sendAppend sends one append, or one snapshot piece if the entries that the member needs have been
+// removed from the log by compaction.
 func (c *Core) sendAppend(id HostID, withEntries bool) {
 	p := c.peers[id]
 	previous := p.next - 1
@@ -150,8 +151,9 @@
 	c.pending.Early = append(c.pending.Early, m)
 }
 
-// propagateCommit sends a new commit index to members that no append has carried it to, so that
-// they apply the entries before the next heartbeat.
+// propagateCommit sends the commit index to the members that have newly committed entries on their
+// disks but have not been sent this index with an append. They can then apply these entries without
+// waiting for the next heartbeat.
 func (c *Core) propagateCommit() {
 	for _, m := range c.Configuration().Members {
 		id, p := m.ID, c.peers[m.ID]
@@ -202,8 +204,9 @@
 		c.transferTo = 0
 	}
 	if c.transferTo != 0 && c.clock >= c.transferDeadline {
-		// The target may still act on the delayed request. A new term invalidates that request, so
-		// that this leader's lease is sound again.
+		// The target may still receive a delayed TimeoutNow and win an election in spite of this
+		// leader's lease. A campaign in a new term invalidates that message, so that the lease can
+		// be relied on again.
 		c.campaign(true)
 		return
 	}
@@ -213,16 +216,16 @@
 }
 
 // quorumLossTimeouts is the number of election timeouts without replies from a majority after which
-// a leader steps down. Followers that do not hear from it campaign within this time.
+// a leader steps down. Followers that receive no messages from it campaign within this time.
 const quorumLossTimeouts = 2
 
 // checkQuorum stops a leader from accepting proposals and reads while no majority answers, and
 // makes it step down after quorumLossTimeouts: it may be cut off, and another leader may exist.
 //
-// Followers that stall for a moment, for instance all on a busy disk, answer as soon as they
-// continue. Stepping down at once would cost an election for each such stall, in which the group
-// accepts nothing for a second or more; a leader that only lost its quorum resumes with the
-// replies.
+// It does not step down at once, because followers that stall for a moment, for instance all on a
+// busy disk, answer as soon as they continue. Each such stall would cost an election, during which
+// the group accepts no proposals for a second or more. A leader that keeps its term accepts
+// proposals again as soon as the replies arrive.
 func (c *Core) checkQuorum() {
 	silence := time.Duration(0)
 	if !c.soleVoter() {
@@ -273,8 +276,9 @@
 	}
 }
 
-// matchesDisk reports whether a reply comes from the disk whose progress p tracks. The first disk
-// that replies identifies a learner; if another one replies later, the progress starts over, since
+// matchesDisk reports whether a reply comes from the disk whose progress p tracks. A voter's disk is
+// recorded in the configuration, and replies from any other disk are not accepted. A learner's disk
+// is the one that replied last: if a reply comes from another disk, the progress starts over, since
 // that disk holds none of the acknowledged entries.
 func (c *Core) matchesDisk(p *progress, m Message) bool {
 	if p.incarnation == m.FromIncarnation {
--- a/internal/transport/companion/drain.go
+++ b/internal/transport/companion/drain.go
@@ -20,7 +20,7 @@
 // connection takes 2 s to detect.
 const resumeWindow = 20 * time.Second
 
-// errInterrupted means that a planned stop ended before all requests had.
+// errInterrupted means that a planned stop ended while requests were still in progress.
 const errInterrupted = errors.ConstError("requests in progress were interrupted")
 
 // Drain performs a planned stop: it announces the leave, refuses new requests, waits until
@@ -68,8 +68,9 @@
 	c.draining = true
 }
 
-// announceLeaving announces the leave to the control hosts. If that fails, entries learn of
-// it from the refusals, and the lease expires after the companion has ended.
+// announceLeaving announces to the control hosts that the companion is leaving or, with
+// ended, that its membership has ended. If that fails, the entries notice the leave when the
+// companion refuses their requests, and the lease expires after the companion has stopped.
 func (c *Companion) announceLeaving(ctx context.Context, ended bool) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -87,8 +88,8 @@
 	}
 }
 
-// refuseWaiting ends, as not run, the jobs that have not started by the end of
-// DrainTimeout.
+// refuseWaiting refuses the jobs that have not started by the end of DrainTimeout. Their
+// outcome is not run, or unknown if an earlier run may have begun.
 func (c *Companion) refuseWaiting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/subscriber/permit.go
+++ b/internal/transport/subscriber/permit.go
@@ -10,7 +10,7 @@
 )
 
 // RequestPermit waits for the permit to load a version until the context ends, or for
-// CallTimeout if it has no deadline. The caller must return the permit by FinishPermit.
+// CallTimeout if it has no deadline. The caller must return the permit with FinishPermit.
 // ErrUnavailable means that no permit was granted.
 func (c *Client) RequestPermit(ctx context.Context, r permitter.Request) (permitter.Grant, error) {
 	ctx, cancel := c.withCallTimeout(ctx)
@@ -29,16 +29,17 @@
 			return g, nil
 		}
 		if ctx.Err() != nil || effectOf(err) == effectRefused || !c.pauseIn(ctx, c.settings.RetryInterval) {
-			// A grant may be on its way; return it unused.
+			// The permit may have been granted even so. A Finish without a number ends it, or
+			// withdraws the request.
 			c.sendFinish(permitter.Finish{Companion: r.Companion, Version: r.Version})
 			return permitter.Grant{}, errors.Annotatef(ErrUnavailable, "%v", err)
 		}
 	}
 }
 
-// acceptPermit marks a permit as in use. It returns false for a permit of a leader older
-// than the newest known one: the new leader was told, or will be told by the heartbeats,
-// that no such permit is in use.
+// acceptPermit marks a permit as in use. It returns false for a permit granted by a
+// previous leader: the heartbeats have reported, or will report, to the new leader that no
+// such permit is in use, so that it may grant others.
 func (c *Client) acceptPermit(g permitter.Grant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,6 +63,7 @@
 	if l == nil {
 		return
 	}
-	// If this message is lost, the heartbeats make up for it: they list the permits in use.
+	// The message may be lost: the heartbeats list the permits in use, and the leader ends
+	// a permit that they no longer list.
 	_ = l.conn.Notify(c.ctx, messenger.MethodFinishPermit, f)
 }
