--- a/cmd/marigoldpoint/timeline.go
+++ b/cmd/marigoldpoint/timeline.go
@@ -8,7 +8,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/transport/inspector"
 )
 
-// timelineCommand merges the events of several processes into one time line.
+// timelineCommand merges the events of several processes into one timeline.
 type timelineCommand struct {
 	Operators []string `arg:"positional,required" placeholder:"IP:PORT" help:"operators' listeners of the processes"`
 	Request   string   `help:"only the events of one request"`
--- a/internal/coordination/distributor/assembler_benchmark_test.go
+++ b/internal/coordination/distributor/assembler_benchmark_test.go
@@ -10,10 +10,11 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/storer"
 )
 
-// wholeTarget is a Target that receives a whole state at once.
+// wholeTarget is a Target that receives the complete state at once instead of page by page.
 type wholeTarget struct {
 	replica *indexer.Index
-	// loaded is called while the state is held in both forms.
+	// loaded is called while memory holds both the decoded resources and the index built
+	// from them.
 	loaded func()
 }
 
@@ -63,9 +64,9 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkResetPeak reports the live heap, in MB, that a restarting node needs just
-// before it switches to the whole state, with pages applied as they arrive and with
-// pages collected first.
+// BenchmarkResetPeak reports the live heap, in MB, that a restarting node needs shortly
+// before it switches to the complete state. In the case "pages", each page is applied as it
+// arrives; in the case "whole", all pages are collected first.
 func BenchmarkResetPeak(b *testing.B) {
 	for _, n := range []int{3000, 15000, 61000} {
 		b.Run(fmt.Sprintf("pages/adapters=%d", n), func(b *testing.B) {
--- a/internal/coordination/distributor/lease.go
+++ b/internal/coordination/distributor/lease.go
@@ -7,10 +7,10 @@
 // A node that is partitioned from the control group cannot know what the operators have
 // accepted since. The same applies to a node connected to a control host that is itself
 // partitioned, although its connection is alive. Each pulse therefore carries the age
-// of the host's own state, and the ages add up. Times must have a monotonic clock
-// reading, as those returned by time.Now.
+// of the host's own state, to which the node adds the time since the pulse arrived.
+// Times must have a monotonic clock reading, as those returned by time.Now.
 type Lease struct {
-	// Duration is the age of the state up to which the node trusts its rules.
+	// Duration is the age at which the node stops trusting its state.
 	Duration time.Duration
 
 	// fresh is the latest time at which the node is known to have held everything
@@ -26,10 +26,12 @@
 	fresh    time.Time
 }
 
-// maxPendingPulses bounds the pulses kept for a node that lags behind.
+// maxPendingPulses bounds the pulses kept for a node that lags behind. Further pulses are
+// dropped.
 const maxPendingPulses = 64
 
-// Pulse records a pulse that arrived at now at a node holding the revision held.
+// Pulse records a pulse that arrived at now at a node holding the revision held. It ignores
+// a pulse with a negative age, whose host has never held everything committed.
 func (l *Lease) Pulse(now time.Time, p Pulse, held uint64) {
 	if p.AgeMillis < 0 {
 		return
@@ -67,12 +69,12 @@
 	}
 }
 
-// Valid reports whether the node may trust its rules at now.
+// Valid reports whether the node may trust its state at now.
 func (l *Lease) Valid(now time.Time) bool {
 	return !l.fresh.IsZero() && now.Sub(l.fresh) < l.Duration
 }
 
-// Age returns the age of the node's state at now, and false if it has none.
+// Age returns the age of the node's state at now, or false if the age is unknown.
 func (l *Lease) Age(now time.Time) (time.Duration, bool) {
 	return now.Sub(l.fresh), !l.fresh.IsZero()
 }
--- a/internal/coordination/distributor/tally.go
+++ b/internal/coordination/distributor/tally.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Defaults of a Tally.
+// Defaults and limits of the tally of nodes.
 const (
 	// DefaultRetention is how long a node that disconnected without a goodbye is still
 	// reported as missing.
@@ -85,7 +85,9 @@
 }
 
 // Merge combines the answers of all control hosts. A node that moved from one host to
-// another is counted by its best report.
+// another may be in several answers. It counts as holding the revision if any answer says
+// so. Otherwise one of its reports is listed; a higher revision and an existing connection
+// are preferred.
 func Merge(revision uint64, answers []TallyAnswer, unreachable []string) InForce {
 	holding := make(map[string]struct{})
 	missing := make(map[string]NodeRevision)
--- a/internal/coordination/loader/bench_test.go
+++ b/internal/coordination/loader/bench_test.go
@@ -11,7 +11,8 @@
 
 // workload is a stream of requests in virtual time. The popularity of the adapters,
 // which belong to several workspaces, follows a Zipf distribution and shifts abruptly
-// halfway. In the last quarter, one workspace rushes over cold adapters.
+// halfway. If rush is set, a further workspace sends one request for every two others in the
+// last quarter, in turn for each of 200 adapters of its own, which are rarely resident.
 type workload struct {
 	adapters   int
 	workspaces int
@@ -22,10 +23,15 @@
 	settings   Settings
 }
 
+// figures are the results of one or more simulation runs. Requests of the rush are not
+// included in stalls and quiet.
 type figures struct {
-	stalls  []time.Duration
-	quiet   []time.Duration
-	stats   Stats
+	// stalls are the times from the arrival of a request to its start.
+	stalls []time.Duration
+	// quiet are those of stalls whose requests arrived during the rush.
+	quiet []time.Duration
+	stats Stats
+	// waiting is the number of requests that had not started at the end of a run.
 	waiting int
 }
 
@@ -84,7 +90,7 @@
 	return ds[int(q*float64(len(ds)-1))].Seconds()
 }
 
-// BenchmarkEviction compares the policies in virtual time.
+// BenchmarkEviction compares the eviction policies in virtual time.
 func BenchmarkEviction(b *testing.B) {
 	for _, rush := range []bool{false, true} {
 		for _, c := range []struct {
@@ -120,7 +126,7 @@
 	}
 }
 
-// BenchmarkTable measures the cost of one request in the table by the number of known
+// BenchmarkTable measures the cost of one request in the table for several numbers of known
 // adapters.
 func BenchmarkTable(b *testing.B) {
 	for _, adapters := range []int{100, 3000, 61000} {
--- a/internal/coordination/loader/enum.go
+++ b/internal/coordination/loader/enum.go
@@ -32,7 +32,7 @@
 	PolicyLeastRecentlyUsed
 )
 
-// Outcome is the outcome of an order.
+// Outcome is the outcome of a load or unload order.
 type Outcome int
 
 // The outcomes of an order.
--- a/internal/state/configurer/enums.go
+++ b/internal/state/configurer/enums.go
@@ -20,7 +20,7 @@
 const (
 	// RoleEntry accepts calls and chooses the backend servers.
 	RoleEntry Role = iota
-	// RoleCompanion manages one backend server and sends it its orders.
+	// RoleCompanion manages one backend server and sends orders to it.
 	RoleCompanion
 	// RoleControl stores the replicated log and grants load permits.
 	RoleControl
--- a/internal/state/storer/departures.go
+++ b/internal/state/storer/departures.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// departureAge is the minimum time for which a departure is kept. Delayed messages
-	// arrive within seconds.
+	// departureAge is the minimum time for which a departure is kept, unless there are
+	// too many. Delayed messages arrive within seconds.
 	departureAge = 10 * time.Minute
 	// maxDepartures limits the departures that are kept: four for each backend server of
 	// the largest planned deployment. Beyond the limit, the oldest are dropped.
@@ -22,7 +22,7 @@
 	Incarnation string  `cbor:"1,keyasint"`
 	Index       uint64  `cbor:"2,keyasint"`
 	Time        Instant `cbor:"3,keyasint"`
-	// Leaving reports that the incarnation is leaving and has not ended yet.
+	// Leaving means that the incarnation is leaving and has not ended yet.
 	Leaving bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -60,7 +60,7 @@
 }
 
 // retireMember ends an incarnation and records its departure, whether or not it has a
-// membership, so that an announcement that arrives later does not begin one.
+// membership, so that an announcement that arrives later does not start a new one.
 func (s *Store) retireMember(index uint64, c RetireMember) Result {
 	h := s.shard("")
 	h.mu.Lock()
@@ -77,8 +77,8 @@
 		incarnations = append(incarnations, m.Incarnation)
 		changes = append(changes, p.endMember(index, r))
 	}
-	// All copies of the state, and those restored from a snapshot, drop the oldest
-	// departures in the same order.
+	// The order is the same on all replicas, including those restored from a snapshot, so
+	// that they drop the same departures when there are too many.
 	slices.Sort(incarnations)
 	for _, i := range incarnations {
 		s.recordDeparture(index, p, i, false)
@@ -95,8 +95,8 @@
 	return Result{Revision: index, Resource: &changes[0].Resource}
 }
 
-// sortChanges sorts changes by resource name, so that all copies of the state publish
-// them in the same order.
+// sortChanges sorts changes by resource name, so that all replicas publish them in the same
+// order.
 func sortChanges(changes []Change) {
 	slices.SortFunc(changes, func(x, y Change) int {
 		return strings.Compare(x.Resource.Metadata.Name, y.Resource.Metadata.Name)
--- a/internal/transport/sealer/files.go
+++ b/internal/transport/sealer/files.go
@@ -11,7 +11,7 @@
 	"marigoldpoint.example/marigoldpoint/internal/state/configurer"
 )
 
-// material holds the contents of a process's files. It is immutable.
+// material holds the parsed certificate, key and authority of a process. It is immutable.
 type material struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
@@ -25,7 +25,7 @@
 	size     int64
 }
 
-// stamps are the stamps of the certificate, the key and the authority.
+// stamps are the stamps of the certificate, key and authority files, in this order.
 type stamps [3]stamp
 
 func stampsOf(files configurer.PeersSettings) (s stamps, err error) {
@@ -39,8 +39,8 @@
 	return s, nil
 }
 
-// load reads the files and checks that they match each other: other processes would refuse
-// what is refused here, and log it only on their side.
+// load reads the files and checks that they match each other. Without these checks, peers
+// would reject the certificate, and only their logs would show it.
 func load(files configurer.PeersSettings, now time.Time) (*material, error) {
 	key, err := configurer.ReadSecret(files.KeyFile)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return m, nil
 }
 
-// chainOf returns a process's certificate and the intermediate certificates between it and
+// chainOf parses a process's certificate and the intermediate certificates between it and
 // the authority.
 func chainOf(c tls.Certificate) ([]*x509.Certificate, error) {
 	chain := make([]*x509.Certificate, 0, len(c.Certificate))
@@ -90,8 +90,8 @@
 	return chain, nil
 }
 
-// verify checks that the chain's first certificate is signed by the authority and valid at
-// the time now.
+// verify checks that the chain's first certificate is signed by the authority, directly or
+// through the chain's other certificates, and is valid for usage at the time now.
 func (m *material) verify(chain []*x509.Certificate, usage x509.ExtKeyUsage, now time.Time) error {
 	if len(chain) == 0 {
 		return errors.NotValidf("peer without a certificate")
--- a/internal/transport/streamer/release_test.go
+++ b/internal/transport/streamer/release_test.go
@@ -29,10 +29,10 @@
 		return r
 	}
 
-	// Guards against a planned stop that waits two minutes for nobody: an entry is
-	// killed while it reads an answer, or its acknowledgement is lost, and the answer
-	// ends. The answer was awaited until its retention ended, although entries stop
-	// returning for it long before.
+	// Guards against a planned stop that waits two minutes for an answer that no entry
+	// will fetch: the entry was killed while reading it, or its acknowledgement was
+	// lost. The stop waited until the retention of the answer ended, although entries
+	// resume an answer only for a much shorter time.
 	It("is not awaited once its entry has been gone for too long", func() {
 		r := attach()
 		ended()
